--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -16,8 +16,8 @@
 from garnetrelay.handover import protocol as p
 from garnetrelay.handover.channel import Channel, ChannelError, Door
 from starlingwick import interface as io
-from starlingwick.hold import NEVER
-from starlingwick.memory import remember
+from starlingwick.queues import NEVER
+from starlingwick.snapshot import take_snapshot
 
 if TYPE_CHECKING:
     from garnetrelay.delivery.http import hosts as net
@@ -275,7 +275,7 @@
             str(relay.config.discovery),
             endpoints,
             list(relay.gone),
-            remember(relay.pacer),
+            take_snapshot(relay.pacer),
             None if relay.fleet is None else relay.fleet.passing(),
         )
 
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -89,7 +89,7 @@
 
     def _inherit(self, state: State) -> None:
         """The list as the process before had it, and what it knew."""
-        from starlingwick.memory import restore
+        from starlingwick.snapshot import restore_snapshot
 
         entries, addresses = [], {}
         for e in state.endpoints:
@@ -102,7 +102,7 @@
         self._place(news)
         self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
         self.turn()
-        restore(self.pacer, state.memory)
+        restore_snapshot(self.pacer, state.memory)
 
     def _recover(self) -> None:
         """Pick up what an earlier life left. Messages that keep an order come before any newcomer of theirs, and calls
--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -6,7 +6,7 @@
 Order of work in one turn: take in all events, end what must end, then one planning pass sends.
 
 A turn costs by what changed, not by what is held: a destination is looked at when an event touched it or a
-time of its own has come, and of what waits there only the most urgent are weighed (``hold.py`` keeps them).
+time of its own has come, and of what waits there only the most urgent are weighed (``queues.py`` keeps them).
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from collections.abc import Iterable, Iterator
 
 from starlingwick import interface as io
-from starlingwick.asking import AskingSchedule
-from starlingwick.hold import NEVER, Due, Key, Lane, Owed, Queue, Ranking
+from starlingwick.discovery_schedule import DiscoverySchedule
 from starlingwick.model import HALF_LEFT, Call, Destination, Host, Message
+from starlingwick.queues import NEVER, Due, Key, Lane, Owed, Queue, Ranking
 
 SECOND = 1_000_000_000
 
@@ -104,7 +104,7 @@
         self.freed: list[Host] = []  # hosts whose call ended this turn
         self.calls: dict[Call, None] = {}  # out, oldest first: each holds a slot
         self.tenant_due = [0] * len(settings.tenant_rates)  # when the next message is within the share
-        self.asking = AskingSchedule(settings, self.random)
+        self.asking = DiscoverySchedule(settings, self.random)
         self.stopping_at = NEVER  # when the process ends
         self.alarm = 0  # the newest alarm asked for; older ones need no answer
         self.alarm_at = NEVER
--- a/starlingwick/asking.py
+++ b/starlingwick/discovery_schedule.py
@@ -13,7 +13,7 @@
 import random
 
 from starlingwick import interface as io
-from starlingwick.hold import NEVER
+from starlingwick.queues import NEVER
 
 SECOND = 1_000_000_000
 ASK_SHARE = SECOND // 10  # of discovery's time, for each relay that may ask as well
@@ -28,7 +28,7 @@
 BETWEEN_MOVES = SECOND // 4  # from one asking to the next at least, where new configurations come in a row
 
 
-class AskingSchedule:
+class DiscoverySchedule:
     """Says when to ask, from what became of the calls before. One relay's."""
 
     def __init__(self, settings: io.Settings, rng: random.Random) -> None:
--- a/starlingwick/model.py
+++ b/starlingwick/model.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from starlingwick import interface as io
-from starlingwick.hold import NEVER
+from starlingwick.queues import NEVER
 
 HALF_LEFT = 0.5  # of a limit: no reason to hold back, nor to refuse
 
--- a/starlingwick/memory.py
+++ b/starlingwick/snapshot.py
@@ -41,7 +41,7 @@
 HOST = ("gap", "last_sent", "last_ok_sent", "bad", "most", "most_until", "retry_at")
 
 
-def remember(pacer: Pacer) -> dict[str, Any]:
+def take_snapshot(pacer: Pacer) -> dict[str, Any]:
     """All that was learned, in values that any serialization carries."""
     return {
         "version": VERSION,
@@ -61,7 +61,7 @@
     }
 
 
-def restore(pacer: Pacer, memory: dict[str, Any]) -> None:
+def restore_snapshot(pacer: Pacer, memory: dict[str, Any]) -> None:
     """Take it up. The list of hosts must be known already: what is not on it is forgotten."""
     if memory.get("version") != VERSION:
         return
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -10,7 +10,7 @@
 
 from benchmarks.asking import GIVEN_UP_AFTER, PATIENCE, REFUSED_AFTER, TOLD_AFTER, Service, gaps, returned
 from starlingwick import interface as io
-from starlingwick.asking import ASK_AGAIN, ASK_SOON, AskingSchedule
+from starlingwick.discovery_schedule import ASK_AGAIN, ASK_SOON, DiscoverySchedule
 from tests.helpers import MS, Relay, S, entry, settings
 
 CHANGES = io.ListScope.CHANGES
@@ -92,7 +92,7 @@
     """Any order of calls that fail after any time, answers, watches that break, and moves."""
     for seed in range(40):
         rng = random.Random(seed)
-        schedule = AskingSchedule(settings(relays=relays, discovery=discovery), rng)
+        schedule = DiscoverySchedule(settings(relays=relays, discovery=discovery), rng)
         schedule.missing(0)
         last = 0  # asking, or moment with a watch
         for now in range(0, 60 * S, 10 * MS):
@@ -112,7 +112,7 @@
 def test_the_first_asking_of_a_process_comes_in_time_too(relays: int) -> None:
     """What changed while a relay was down counts 6 s after it could reach discovery: 200 asked within 8 s."""
     for seed in range(40):
-        schedule = AskingSchedule(
+        schedule = DiscoverySchedule(
             settings(relays=relays, discovery=io.Discovery.SUBSCRIBE, rules={"ask_every": 60 * S}), random.Random(seed)
         )
         schedule.start(0)
--- a/tests/fleet/test_discovery.py
+++ b/tests/fleet/test_discovery.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from starlingwick import asking
-from starlingwick.asking import AskingSchedule
+from starlingwick import discovery_schedule
+from starlingwick.discovery_schedule import DiscoverySchedule
 from tests.fleet.world import Fleet, Register, Shared
 from tests.helpers import MS, S
 
@@ -32,7 +32,7 @@
 
 
 def test_asked_by_all_at_once_and_again_it_is_never_done(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(asking, "ASK_SHARE", 0)
-    monkeypatch.setattr(AskingSchedule, "_longest_gap", lambda schedule: S)
+    monkeypatch.setattr(discovery_schedule, "ASK_SHARE", 0)
+    monkeypatch.setattr(DiscoverySchedule, "_longest_gap", lambda schedule: S)
     fleet, register = restarted(130 * MS, 1)
     assert len(register.asked) > 80
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -18,7 +18,7 @@
 from garnetrelay.handover.channel import Channel, Door
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from starlingwick.memory import remember, restore
+from starlingwick.snapshot import restore_snapshot, take_snapshot
 from tests.helpers import S, settings
 from tests.sockets import Client, Field
 from tests.test_process import ROOT, Process
@@ -185,7 +185,7 @@
     first.handle(S, [io.Verdict("told", 0, "a", io.Status.FULL, S, False, 5 * S, False, None)])
     second = Pacer(settings(slots=2), 1)
     second.handle(S, [roster])
-    restore(second, remember(first))
+    restore_snapshot(second, take_snapshot(first))
     out = io.Recovered("out", 0, 1, None, 20 * S, 1, None, 0, "a", S)
     sent = [
         a
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -22,7 +22,7 @@
 from garnetrelay.operators import exclusions
 from garnetrelay.platform import notices
 from garnetrelay.store import store
-from starlingwick import control, memory
+from starlingwick import control, snapshot
 from starlingwick import interface as io
 
 SECOND = 1_000_000_000
@@ -245,7 +245,7 @@
 
 def knowledge_left_behind() -> None:
     """What the old process knew of hosts, waits above all, does not pass."""
-    memory.restore = lambda pacer, memory: None
+    snapshot.restore_snapshot = lambda pacer, memory: None
 
 
 def calls_left_behind() -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,7 +10,7 @@
 from benchmarks.turns import Bed, life, sends
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from starlingwick.hold import Queue
+from starlingwick.queues import Queue
 
 SECOND = 1_000_000_000
 COUNTED = [
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -9,7 +9,7 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.membership import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedPlatform, Watch
-from starlingwick.asking import ASK_AGAIN, ASK_SOON
+from starlingwick.discovery_schedule import ASK_AGAIN, ASK_SOON
 from tests.sockets import Field, endpoint, listing, until
 
 
