--- a/benchmarks/capacity/pending.py
+++ b/benchmarks/capacity/pending.py
@@ -40,7 +40,7 @@
     for start in range(0, messages, BATCH):
         batch = [arrived(number) for number in range(start, min(messages, start + BATCH))]
         longest = max(longest, spent(lambda batch=batch: driven.turn(*batch)))  # type: ignore[misc]
-    assert driven.pacer.held == messages
+    assert driven.pacer.pending_count == messages
     memory = settled() - before
 
     def more() -> None:
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -115,7 +115,7 @@
     bed = Bed(26)
     bed.shut(0)
     bed.hold(0, many)
-    assert bed.pacer.held >= many
+    assert bed.pacer.pending_count >= many
     return microseconds(life(bed, range(1, 26)), 400)
 
 
--- a/benchmarks/watches.py
+++ b/benchmarks/watches.py
@@ -56,7 +56,7 @@
             await relay.start()
             relay.discovery.subscribe()  # among many it would wait for its turn: what counts comes later
             (await platform.next_watch()).line("")
-            while not relay.pacer.asking.subscribed:
+            while not relay.pacer.discovery_schedule.subscribed:
                 await asyncio.sleep(0)
             began = time.monotonic()
             async with asyncio.timeout(LONGEST):
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -243,11 +243,11 @@
             attempts=self.hosts.calls_written,
             in_flight=sum(not message.over for message in self.held.values()) + len(self.recovering),
             hosts_known=len(self.listed),
-            hosts_excluded=self.pacer.avoided(),
+            hosts_excluded=self.pacer.count_avoided_hosts(),
             reloads_ok=self.counts.reloads_ok,
             reloads_failed=self.counts.reloads_failed,
             discovery_calls=self.discovery.watches.calls,
-            discovery_failures=self.pacer.asking.failures,
+            discovery_failures=self.pacer.discovery_schedule.failures,
             list_version=self.discovery.index,
             list_watched=int(self.discovery.heard),
         )
--- a/starlingwick/model.py
+++ b/starlingwick/model.py
@@ -11,7 +11,7 @@
 from starlingwick import interface as io
 from starlingwick.queues import NEVER
 
-HALF_LEFT = 0.5  # of a limit: no reason to hold back, nor to refuse
+AMPLE_REMAINING_SHARE = 0.5  # of a limit: no reason to hold back, nor to refuse
 
 
 @dataclass(slots=True, eq=False)
@@ -27,7 +27,7 @@
     last_sent: int = 0
     gap: int = NEVER  # between the last two sends
     last_ok_sent: int = -1  # when the latest-sent call that was answered well went out
-    bad: float = 0.0  # share of bad outcomes, newest weigh most
+    failure_share: float = 0.0  # share of bad outcomes, newest weigh most
     most: int = NEVER  # calls out that its table of connections had room for
     most_until: int = 0  # from then on one more is tried
     retry_at: int = 0  # when a suspect one is as good a choice as others again
@@ -40,26 +40,26 @@
     number: int
     per_call: int
     hosts: list[Host] = field(default_factory=list)
-    agreed: float = 0.0  # calls a second it takes from all relays, as listed; 0: unknown
-    listed: float = 0.0  # the same, as listed or reported
+    listed_rate: float = 0.0  # calls a second it takes from all relays, as listed; 0: unknown
+    rate_limit: float = 0.0  # the same, as listed or reported
     reports: bool = False  # its answers tell a limit
     ceiling: float | None = None  # calls a second of this relay
     ceiling_at: int = 0  # when the ceiling last changed
     cut_at: int = 0  # when it was last cut
     next_call: int = 0  # spacing under the ceiling
-    left: float = HALF_LEFT  # share of its limit that is left, in the mean of what it told lately
+    left: float = AMPLE_REMAINING_SHARE  # share of its limit that is left, in the mean of what it told lately
     left_at: int = 0  # when it told last
-    spaced: int = 0  # when the latest call was due by the allowance
+    last_due_at: int = 0  # when the latest call was due by the allowance
     mean: float = 0.0  # response time
     wait_until: int = 0  # told
-    rest: float = 0.0  # our own, after a call
-    rest_until: int = 0
+    backoff: float = 0.0  # our own, after a call
+    backoff_until: int = 0
     pause_at: int = 0  # when it was last set
-    refused_from: int | None = None  # when the present run of refusals began
-    bad: float = 0.0  # share of bad outcomes at all its hosts, newest weigh most
-    bad_from: int | None = None  # first bad outcome since it was well
-    bad_at: int = 0  # the latest
-    out: bool = False  # half open: one trial at a time
+    refused_since: int | None = None  # when the present run of refusals began
+    failure_share: float = 0.0  # share of bad outcomes at all its hosts, newest weigh most
+    failing_since: int | None = None  # first bad outcome since it was well
+    last_failure_at: int = 0  # the latest
+    in_outage: bool = False  # half open: one trial at a time
     ramp_from: int | None = None  # when it came back
     part: float = 0.0  # calls a second of this relay's part of what it takes when warm
     next_at: int = 0  # trial while in trouble, spacing on the ramp
@@ -103,7 +103,7 @@
     not_before: int = 0
     ran_at: int | None = None  # when the first attempt that may have run was sent
     ran_zone: int = 0
-    owed: bool = False  # an earlier life never tried it: it is not given up while a call is allowed
+    recovered_untried: bool = False  # accepted, but never attempted, by an earlier process
     over: bool = False
     aim_at: int = field(init=False)
 
--- a/starlingwick/queues.py
+++ b/starlingwick/queues.py
@@ -1,8 +1,8 @@
-"""What is held, in the shapes that let a turn cost by what changed: queues, timers and a ranking.
+"""Data structures for pending messages, which keep the cost of a tick proportional to what changed.
 
-Structures only: nothing here decides anything, reads a clock or does I/O. What they guard against is a turn
-that walks over all that is held: ``Lane`` keeps what waits for one destination in order of deadline, ``Due``
-tells which items a time has come for, ``Ranking`` which of many comes first though their keys age.
+They decide nothing, read no clock and do no I/O. Without them, each tick would walk over all pending
+messages. ``DestinationQueue`` keeps the messages that wait for one destination, in order of deadline.
+``TimerQueue`` tells which items are due. ``Ranking`` finds the item with the least key although keys age.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 Key = tuple[float, ...]
 
 
-class Queue(Generic[M]):
+class DeadlineQueue(Generic[M]):
     """Messages alike but for their times, by deadline, then by arrival."""
 
     __slots__ = ("_list",)
@@ -65,7 +65,7 @@
         return (entry[3] for entry in self._list.islice(0, place, reverse=True))
 
 
-class Owed(Generic[M]):
+class UntriedQueue(Generic[M]):
     """Messages by deadline, whatever their entry into the hold was."""
 
     __slots__ = ("_list",)
@@ -87,7 +87,7 @@
         return [entry[2] for entry in self._list.islice(0, most)]
 
 
-class Lane(Generic[M]):
+class DestinationQueue(Generic[M]):
     """What waits for one destination. Messages that may not go yet stand ``aside``, the others in queues."""
 
     __slots__ = ("number", "entered", "waiting", "queues", "aside", "opens")
@@ -96,7 +96,7 @@
         self.number = number
         self.entered = entered  # in the order in which lanes came to hold something
         self.waiting: dict[str, M] = {}  # all, in the order of entry
-        self.queues: dict[tuple[int, float], Queue[M]] = {}
+        self.queues: dict[tuple[int, float], DeadlineQueue[M]] = {}
         self.aside: dict[str, M] = {}
         self.opens = 0  # when it was last found to open; 0: it was found open, or was not looked at
 
@@ -113,7 +113,7 @@
     def _enqueue(self, m: M) -> None:
         queue = self.queues.get(m.group)
         if queue is None:
-            queue = self.queues[m.group] = Queue()
+            queue = self.queues[m.group] = DeadlineQueue()
         queue.add(m)
 
     def release(self, m: M) -> None:
@@ -138,7 +138,7 @@
         return found + [m for m in self.aside.values() if m.deadline <= time]
 
 
-class Due(Generic[T]):
+class TimerQueue(Generic[T]):
     """A time for each item; which have come. An item's newest time counts."""
 
     __slots__ = ("_times", "_heap", "_count")
--- a/starlingwick/snapshot.py
+++ b/starlingwick/snapshot.py
@@ -15,30 +15,38 @@
 
 VERSION = 1
 
-DESTINATION = (
-    "agreed",
-    "listed",
-    "reports",
-    "ceiling",
-    "ceiling_at",
-    "cut_at",
-    "next_call",
-    "mean",
-    "wait_until",
-    "rest",
-    "rest_until",
-    "pause_at",
-    "refused_from",
-    "bad",
-    "bad_from",
-    "bad_at",
-    "out",
-    "ramp_from",
-    "part",
-    "next_at",
-)
+DESTINATION_ATTRIBUTES = {
+    "agreed": "listed_rate",
+    "listed": "rate_limit",
+    "reports": "reports",
+    "ceiling": "ceiling",
+    "ceiling_at": "ceiling_at",
+    "cut_at": "cut_at",
+    "next_call": "next_call",
+    "mean": "mean",
+    "wait_until": "wait_until",
+    "rest": "backoff",
+    "rest_until": "backoff_until",
+    "pause_at": "pause_at",
+    "refused_from": "refused_since",
+    "bad": "failure_share",
+    "bad_from": "failing_since",
+    "bad_at": "last_failure_at",
+    "out": "in_outage",
+    "ramp_from": "ramp_from",
+    "part": "part",
+    "next_at": "next_at",
+}
 MARKS = ("refusals", "sent", "arrived", "served")  # times, oldest first
-HOST = ("gap", "last_sent", "last_ok_sent", "bad", "most", "most_until", "retry_at")
+HOST_ATTRIBUTES = {
+    "gap": "gap",
+    "last_sent": "last_sent",
+    "last_ok_sent": "last_ok_sent",
+    "bad": "failure_share",
+    "most": "most",
+    "most_until": "most_until",
+    "retry_at": "retry_at",
+}
 
 
 def take_snapshot(pacer: Pacer) -> dict[str, Any]:
@@ -47,12 +55,15 @@
         "version": VERSION,
         "started": pacer.started,
         "tenant_due": list(pacer.tenant_due),
-        "turn_rest": dict(pacer.turn_rest),
+        "turn_rest": dict(pacer.blocked_keys),
         "destinations": [
             {
-                **{name: getattr(dest, name) for name in DESTINATION},
+                **{name: getattr(dest, attribute) for name, attribute in DESTINATION_ATTRIBUTES.items()},
                 **{name: list(getattr(dest, name)) for name in MARKS},
-                "hosts": {host.name: {name: getattr(host, name) for name in HOST} for host in dest.hosts},
+                "hosts": {
+                    host.name: {name: getattr(host, attribute) for name, attribute in HOST_ATTRIBUTES.items()}
+                    for host in dest.hosts
+                },
             }
             for routes in pacer.routes.values()
             for dest in routes
@@ -69,18 +80,18 @@
     due = memory["tenant_due"]
     if len(due) == len(pacer.tenant_due):
         pacer.tenant_due = list(due)
-    pacer.turn_rest.update(memory["turn_rest"])
+    pacer.blocked_keys.update(memory["turn_rest"])
     for known in memory["destinations"]:
         for name, values in known["hosts"].items():
             if name in pacer.hosts:
                 dest, host = pacer.hosts[name]
-                _fill(dest, known, DESTINATION)
+                _fill(dest, known, DESTINATION_ATTRIBUTES)
                 for marks in MARKS:
                     setattr(dest, marks, deque(known.get(marks, ())))
-                _fill(host, values, HOST)
+                _fill(host, values, HOST_ATTRIBUTES)
 
 
-def _fill(target: Destination | Host, values: dict[str, Any], names: tuple[str, ...]) -> None:
-    for name in names:
+def _fill(target: Destination | Host, values: dict[str, Any], attributes: dict[str, str]) -> None:
+    for name, attribute in attributes.items():
         if name in values:
-            setattr(target, name, values[name])
+            setattr(target, attribute, values[name])
--- a/tests/fleet/test_allowance.py
+++ b/tests/fleet/test_allowance.py
@@ -27,7 +27,7 @@
 
 
 def test_without_the_allowance_refused_calls_go_on_using_the_limit_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Pacer, "spacing", lambda pacer, dest: 0)
+    monkeypatch.setattr(Pacer, "call_spacing", lambda pacer, dest: 0)
     fleet, shared = busy(0)
     assert shared.share(io.Status.FULL, 12 * S, 25 * S) > 0.4
 
@@ -60,7 +60,7 @@
 
     def with_all_saved_up(pacer: Pacer, listed: io.HostEntry) -> None:
         enter(pacer, listed)
-        pacer.hosts[listed.host][0].spaced = 0
+        pacer.hosts[listed.host][0].last_due_at = 0
 
     monkeypatch.setattr(Pacer, "on_entry", with_all_saved_up)
     assert refused_at_first(0) > 0.5
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -10,7 +10,7 @@
 
 from benchmarks.asking import GIVEN_UP_AFTER, PATIENCE, REFUSED_AFTER, TOLD_AFTER, Service, gaps, returned
 from starlingwick import interface as io
-from starlingwick.discovery_schedule import ASK_AGAIN, ASK_SOON, DiscoverySchedule
+from starlingwick.discovery_schedule import MAX_CALL_INTERVAL_NS, MAX_REOPEN_DELAY_NS, DiscoverySchedule
 from tests.helpers import MS, Relay, S, entry, settings
 
 CHANGES = io.ListScope.CHANGES
@@ -81,7 +81,7 @@
     relay = asking()
     for _ in range(12):
         fail(relay, PATIENCE)
-        assert S // 5 <= until_asked(relay) <= ASK_AGAIN - PATIENCE + 10 * MS
+        assert S // 5 <= until_asked(relay) <= MAX_CALL_INTERVAL_NS - PATIENCE + 10 * MS
 
 
 @pytest.mark.parametrize("discovery", list(io.Discovery))
@@ -105,7 +105,7 @@
                 schedule.answered()
             if schedule.due(now) or schedule.subscribed:
                 last = now
-            assert now - last <= ASK_AGAIN
+            assert now - last <= MAX_CALL_INTERVAL_NS
 
 
 @pytest.mark.parametrize("relays", [6, 40, 200])
@@ -116,7 +116,7 @@
             settings(relays=relays, discovery=io.Discovery.SUBSCRIBE, rules={"ask_every": 60 * S}), random.Random(seed)
         )
         schedule.start(0)
-        assert schedule.ask_at <= ASK_AGAIN
+        assert schedule.next_call_at <= MAX_CALL_INTERVAL_NS
 
 
 @pytest.mark.parametrize(("relays", "most"), [(1, 1250 * MS), (6, 1250 * MS), (200, 2250 * MS)])
@@ -171,7 +171,7 @@
     relay.turn(io.WatchMissing())  # moved here
     moved_at = relay.now
     first = until_asked(relay)
-    assert first <= ASK_SOON + 10 * MS
+    assert first <= MAX_REOPEN_DELAY_NS + 10 * MS
     failed_at = relay.now + after
     while relay.now < failed_at:
         relay.turn(after=10 * MS)
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -18,7 +18,7 @@
     relay = Relay(entry("a"), relays=relays, seed=seed, rules={"fall": WINDOW})
     relay.turn(relay.message(), relay.message())
     relay.try_all(io.Status.CONNECT_FAILED, 2)
-    assert relay.pacer.routes[1][0].out
+    assert relay.pacer.routes[1][0].in_outage
     return relay
 
 
@@ -65,7 +65,7 @@
     relay.turn(relay.message())
     assert len(relay.sends()) == 1
     relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK), *[relay.message() for _ in range(5)], after=STEP)
-    assert not dest.out and relay.pacer.is_cold(dest) and not relay.sends()
+    assert not dest.in_outage and relay.pacer.is_cold(dest) and not relay.sends()
 
 
 @pytest.mark.parametrize("relays", [8, 30, 200, 620])
@@ -73,13 +73,13 @@
 def test_the_parts_of_all_relays_make_no_more_than_the_rules_allow(relays: int, limit: float) -> None:
     relay = Relay(entry("a", rate=limit), relays=relays, listed_rates=True)
     pacer, dest, rules = relay.pacer, relay.pacer.routes[1][0], relay.settings.rules
-    dest.bad_at = relay.now
-    pacer.size_up(dest, relay.now)
+    dest.last_failure_at = relay.now
+    pacer.estimate_warm_rate(dest, relay.now)
     capacity = limit or CAPACITY
-    gap = pacer.next_cold(dest, relay.now, 1.0) - relay.now
+    gap = pacer.next_trial_time(dest, relay.now, 1.0) - relay.now
     assert relays * S / gap <= rules.fall_multiple * rules.start_capacity * capacity
     dest.ramp_from = relay.now
-    gap = pacer.next_cold(dest, relay.now, 1.0) - relay.now
+    gap = pacer.next_trial_time(dest, relay.now, 1.0) - relay.now
     share = rules.start_capacity + (1 - rules.start_capacity) * gap / rules.ramp_time / 2  # in the mean by then
     assert relays * S / gap <= rules.fall_multiple * capacity * share
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from starlingwick import interface as io
-from starlingwick.control import MANY, Pacer
+from starlingwick.control import MANY_RELAYS, Pacer
 
 S = 1_000_000_000
 MS = 1_000_000
@@ -104,7 +104,7 @@
         self.attempts: dict[str, int] = {}
         self.where: dict[str, str] = {}
         self.actions: list[io.Action] = self.turn(io.Roster(io.ListScope.CACHED, entries))
-        if self.settings.relays >= MANY:
+        if self.settings.relays >= MANY_RELAYS:
             self.now += 60 * S  # many relays begin each at a moment of its own: long ago
 
     def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
--- a/tests/membership/test_watches.py
+++ b/tests/membership/test_watches.py
@@ -9,7 +9,7 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.membership import watches as module
 from garnetrelay.membership.watches import MOST_CALLS, Patience, State, Watch, Watches
-from starlingwick.discovery_schedule import ASK_SOON, LEAST_HEDGE, SECOND
+from starlingwick.discovery_schedule import MAX_REOPEN_DELAY_NS, MIN_HEDGE_DELAY_NS, SECOND
 
 OLD, NEW = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
 
@@ -127,5 +127,5 @@
 
 def test_what_a_silent_watch_misses_can_be_asked_for_three_times_before_it_counts_as_told() -> None:
     """6 s: the doubt, the longest gap behind it, and two calls beside the first one, among few relays."""
-    assert module.DOUBT_AFTER + (ASK_SOON + 2 * LEAST_HEDGE) / SECOND < 6.0
+    assert module.DOUBT_AFTER + (MAX_REOPEN_DELAY_NS + 2 * MIN_HEDGE_DELAY_NS) / SECOND < 6.0
     assert module.DOUBT_AFTER > 2.0  # a line comes every 2 s
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -204,7 +204,7 @@
 
 def outage_not_seen() -> None:
     """However many calls fail, it is no outage."""
-    control.OUT = 2.0
+    control.OUTAGE_FAILURE_SHARE = 2.0
 
 
 def return_taken_for_warm() -> None:
--- a/tests/scale/test_pacer_scale.py
+++ b/tests/scale/test_pacer_scale.py
@@ -69,7 +69,7 @@
     driven.turn(io.Roster(io.ListScope.WHOLE, stopping))
     for number in range(messages):
         driven.turn(waiter(number))
-    assert driven.pacer.held == messages
+    assert driven.pacer.pending_count == messages
     return driven
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -108,7 +108,7 @@
 
 
 def test_a_table_that_forgets_nothing_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Pacer, "forget", lambda pacer, name: None)
+    monkeypatch.setattr(Pacer, "remove_host", lambda pacer, name: None)
     relay = Relay()
     evening(relay, 200, 10)
     before = sizes(relay.pacer)
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -31,13 +31,15 @@
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.name)
 def test_decides_as_recorded(scenario: Scenario, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "LOOKED_AT", 10_000)
-    monkeypatch.setattr(control, "KEY_AGE", 0)
-    monkeypatch.setattr(control, "CUT_SHARE", 0.0)
-    monkeypatch.setattr(Pacer, "stuck", lambda pacer, dest: 0)
-    monkeypatch.setattr(Pacer, "cancel", lambda pacer, call: None)
-    monkeypatch.setattr(Pacer, "owes_try", lambda pacer, r: False)
-    monkeypatch.setattr(Pacer, "back_since", lambda pacer, dest: pacer.now - (pacer.now - dest.bad_at) // 2)
+    monkeypatch.setattr(control, "MAX_EVALUATED_PER_TICK", 10_000)
+    monkeypatch.setattr(control, "MAX_RANK_AGE_NS", 0)
+    monkeypatch.setattr(control, "MIN_REFUSED_SHARE_TO_CUT", 0.0)
+    monkeypatch.setattr(Pacer, "count_stalled", lambda pacer, dest: 0)
+    monkeypatch.setattr(Pacer, "cancel_stalled", lambda pacer, call: None)
+    monkeypatch.setattr(Pacer, "is_recovered_untried", lambda pacer, r: False)
+    monkeypatch.setattr(
+        Pacer, "estimate_recovery_time", lambda pacer, dest: pacer.now - (pacer.now - dest.last_failure_at) // 2
+    )
     pacer = Pacer(settings(scenario), scenario.seed)
     with gzip.open(FOLDER / f"{scenario.name}.jsonl.gz") as file:
         for turn, line in enumerate(file):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -61,13 +61,13 @@
     field.facts["balancers"] = 200
     await field.start()
     relay = field.relays[0]
-    await until(lambda: relay.pacer.asking.ask_at < relay.pacer.now + 21 * 10**9)
+    await until(lambda: relay.pacer.discovery_schedule.next_call_at < relay.pacer.now + 21 * 10**9)
     relay.discovery.subscribe()  # its turn among 200 has come
     watch = await field.platform.next_watch()
-    await until(lambda: relay.pacer.asking.subscribed)
+    await until(lambda: relay.pacer.discovery_schedule.subscribed)
     watch.call.break_off()
-    await until(lambda: not relay.pacer.asking.subscribed)
-    assert relay.pacer.asking.ask_at - relay.pacer.now <= 10**9
+    await until(lambda: not relay.pacer.discovery_schedule.subscribed)
+    assert relay.pacer.discovery_schedule.next_call_at - relay.pacer.now <= 10**9
     await field.platform.next_watch()
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -92,7 +92,7 @@
             events.append(io.Roster(io.ListScope.CHANGES, (changed,)))
         relay.turn(*events, after=draw.choice([0, 10 * MS, S]))
         owed -= {a.call for a in relay.actions if isinstance(a, io.Refuse | io.Fail)}
-    assert relay.pacer.held <= chosen["limits"]["most_held"] and relay.pacer.held <= len(owed)
+    assert relay.pacer.pending_count <= chosen["limits"]["most_held"] and relay.pacer.pending_count <= len(owed)
 
 
 def test_a_hold_of_one_message_holds_it() -> None:
@@ -105,7 +105,7 @@
 def test_no_ramp_at_all_is_a_ramp_that_is_over() -> None:
     relay = Relay(entry("a"), rules={"ramp_time": 0})
     relay.serve(2)
-    assert relay.pacer.held == 0
+    assert relay.pacer.pending_count == 0
 
 
 def test_the_store_has_room_for_as_many_attempts_as_the_settings_allow(tmp_path: Path) -> None:
@@ -131,7 +131,7 @@
     a failure that is four times as long."""
     relay = Relay(entry("a"), seed=seed, relays=200, discovery=io.Discovery.SUBSCRIBE, rules={"ask_every": within})
     pacer = relay.pacer
-    assert pacer.asking.ask_at - 1000 * S <= within - 2 * S
-    pacer.asking.ask_at = relay.now
+    assert pacer.discovery_schedule.next_call_at - 1000 * S <= within - 2 * S
+    pacer.discovery_schedule.next_call_at = relay.now
     relay.turn(io.Roster(io.ListScope.FAILED, ()))
-    assert pacer.asking.ask_at - relay.now <= 4 * within - 2 * S
+    assert pacer.discovery_schedule.next_call_at - relay.now <= 4 * within - 2 * S
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -130,7 +130,7 @@
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
     dest, host = relay.pacer.hosts["s-1"]
-    assert not short and dest.bad_at == 0 and host.bad == 0.0
+    assert not short and dest.last_failure_at == 0 and host.failure_share == 0.0
 
 
 async def test_a_burst_of_callers_takes_no_descriptor_that_is_kept_for_others(field: Field) -> None:
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -44,7 +44,7 @@
     relay.turn(*(recovered(f"old{n}", left=2 * S, attempts=1) for n in range(15)))
     relay.turn(*(relay.message(SAFE) for _ in range(10)))
     assert len([name for name in ends(relay) if name.startswith("old")]) >= 10
-    assert not relay.pacer.owed
+    assert not relay.pacer.recovered_untried
 
 
 def test_a_full_hold_sheds_newcomers_first() -> None:
@@ -58,11 +58,11 @@
     relay = Relay(entry("a"))
     relay.serve()
     dest = relay.pacer.routes[1][0]
-    dest.rest_until = relay.now + 30 * S
+    dest.backoff_until = relay.now + 30 * S
     relay.turn(recovered("old", left=5 * S), recovered("tried", left=5 * S, attempts=1))
     assert ends(relay) == {"tried"}
     dest.wait_until = relay.now + 30 * S
-    relay.pacer.touch(1)
+    relay.pacer.mark_dirty(1)
     relay.turn(after=MS)
     assert ends(relay) == {"old"}
 
@@ -71,12 +71,12 @@
     relay = Relay(entry("a"))
     relay.turn(recovered("old"))
     relay.turn(relay.verdict("old", io.Status.ABANDONED), after=MS)
-    assert relay.pacer.messages["old"].owed
+    assert relay.pacer.messages["old"].recovered_untried
     relay.turn(after=S)
     relay.turn(relay.verdict("old", io.Status.ERROR), after=MS)
-    assert not relay.pacer.messages["old"].owed and not relay.pacer.owed
+    assert not relay.pacer.messages["old"].recovered_untried and not relay.pacer.recovered_untried
     relay.turn(recovered("gone"), io.Withdrawn("gone"), after=MS)
-    assert not relay.pacer.owed
+    assert not relay.pacer.recovered_untried
 
 
 def test_the_soonest_to_expire_goes_first_in_whatever_order_they_were_found() -> None:
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from starlingwick import interface as io
-from starlingwick.control import CUT, SUSPECT
+from starlingwick.control import CEILING_CUT_FACTOR, SUSPECT_FAILURE_SHARE
 from tests.helpers import MS, TURNS, UNSAFE, Relay, S, entry
 
 
@@ -27,7 +27,7 @@
     dest = relay.pacer.routes[1][0]
     sent_before = 13 / 2.05
     refuse(relay, 3)
-    assert dest.ceiling == pytest.approx(CUT * sent_before, rel=0.02)
+    assert dest.ceiling == pytest.approx(CEILING_CUT_FACTOR * sent_before, rel=0.02)
 
 
 def test_ceiling_climbs_a_quarter_of_the_gap_and_is_dropped_at_its_target() -> None:
@@ -57,16 +57,16 @@
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
     dest.ceiling, dest.mean = 10.0, 100.0 * MS
-    assert relay.pacer.most_calls(dest) == 2
+    assert relay.pacer.max_calls(dest) == 2
     dest.mean = 1.0 * MS
-    assert relay.pacer.most_calls(dest) == 1
+    assert relay.pacer.max_calls(dest) == 1
 
 
 def test_suspect_destination_holds_half_the_slots() -> None:
     relay = Relay(entry("a"))
     dest = relay.pacer.routes[1][0]
-    dest.bad = 0.3
-    assert relay.pacer.most_calls(dest) == 4
+    dest.failure_share = 0.3
+    assert relay.pacer.max_calls(dest) == 4
 
 
 def test_replaced_hosts_and_done_keys_are_forgotten() -> None:
@@ -80,7 +80,7 @@
     relay.turn(after=30 * S)
     pacer = relay.pacer
     assert len(pacer.hosts) == len(pacer.routes[1]) == 1
-    assert len(pacer.turn_rest) <= 2 and not pacer.turns and not pacer.messages and not pacer.waiting
+    assert len(pacer.blocked_keys) <= 2 and not pacer.key_queues and not pacer.messages and not pacer.dest_queues
 
 
 def test_host_that_returns_under_its_old_id_is_used_again() -> None:
@@ -112,11 +112,11 @@
     dest = relay.pacer.routes[1][0]
     relay.turn(relay.message(), relay.message())
     relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(0.0, 6.0)), after=50 * MS)
-    assert dest.rest > 0
-    relay.pacer.pause(dest, False, None)
-    assert dest.rest > 0
-    relay.pacer.pause(dest, False, 1.5)  # out of range, legal
-    assert dest.rest == 0
+    assert dest.backoff > 0
+    relay.pacer.update_backoff(dest, False, None)
+    assert dest.backoff > 0
+    relay.pacer.update_backoff(dest, False, 1.5)  # out of range, legal
+    assert dest.backoff == 0
 
 
 def test_message_that_cannot_be_tried_in_time_is_handed_back_at_once() -> None:
@@ -160,7 +160,7 @@
         relay.turn(relay.message(), after=5 * S)
         relay.try_all(io.Status.FULL, 1)
         relay.try_all(io.Status.OK, 1)
-    assert not relay.pacer.routes[1][0].out
+    assert not relay.pacer.routes[1][0].in_outage
 
 
 def test_long_told_wait_means_shut_and_a_ramp_from_its_end() -> None:
@@ -244,9 +244,9 @@
     relay.turn(*[relay.message() for _ in range(4)])
     first, second, third, fourth = (send.call for send in relay.sends())
     relay.turn(relay.verdict(first, io.Status.RESET), after=10 * MS)
-    assert 0 < dest.bad <= SUSPECT
+    assert 0 < dest.failure_share <= SUSPECT_FAILURE_SHARE
     relay.turn(relay.verdict(second, io.Status.RESET), after=10 * MS)
-    assert dest.bad > SUSPECT
+    assert dest.failure_share > SUSPECT_FAILURE_SHARE
 
 
 @pytest.mark.parametrize("status", [io.Status.RESET, io.Status.TIMEOUT])
@@ -258,9 +258,9 @@
     old = relay.sends()[0].call
     relay.turn(relay.message(), after=50 * MS)
     relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK), after=50 * MS)
-    bad = dest.bad
+    bad = dest.failure_share
     relay.turn(relay.verdict(old, status), after=S)
-    assert dest.bad == bad
+    assert dest.failure_share == bad
 
 
 def test_overdue_call_does_not_block_the_next_trial() -> None:
@@ -272,7 +272,7 @@
     assert len(relay.sends()) == 1
     relay.turn(after=S)
     dest = relay.pacer.routes[1][0]
-    assert dest.bad > SUSPECT and len(dest.calls) == 1
+    assert dest.failure_share > SUSPECT_FAILURE_SHARE and len(dest.calls) == 1
     relay.turn(relay.message(), after=S)
     for _ in range(20):
         if relay.sends():
@@ -302,12 +302,12 @@
     dest = relay.pacer.routes[1][0]
     relay.turn(relay.message(), after=100 * MS)
     relay.turn(relay.verdict("m4", io.Status.OK, report=report), after=100 * MS)
-    assert dest.listed == agreed or agreed == 0 and dest.listed == 900.0
+    assert dest.rate_limit == agreed or agreed == 0 and dest.rate_limit == 900.0
     relay.serve(3)
     relay.turn(relay.message(), after=100 * MS)
     good = io.Report(0.5, 31.0)
     relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=good), after=100 * MS)
-    assert dest.listed == 31.0
+    assert dest.rate_limit == 31.0
 
 
 def test_connection_that_will_not_be_used_soon_is_closed() -> None:
@@ -334,7 +334,7 @@
             relay.turn(*told, after=100 * MS)
             if refused == 2:
                 break
-        assert refused == 2 and (dest.bad > 0) is shut
+        assert refused == 2 and (dest.failure_share > 0) is shut
 
 
 def test_nothing_left_of_a_limit_rests_longer_than_a_little_left() -> None:
@@ -344,7 +344,7 @@
         relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True)
         relay.turn(relay.message())
         relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(left, 6.0)), after=50 * MS)
-        return relay.pacer.routes[1][0].rest
+        return relay.pacer.routes[1][0].backoff
 
     assert first_rest(0.0) > 2 * first_rest(0.05)
 
@@ -370,7 +370,7 @@
     for call in out[3:]:
         relay.turn(relay.verdict(call, io.Status.CROWDED))
     dest, host = relay.pacer.hosts["a"]
-    assert dest.ceiling is None and dest.refused_from is None and dest.bad == 0
+    assert dest.ceiling is None and dest.refused_since is None and dest.failure_share == 0
     assert host.most == 3 and host.calls == 3
     relay.turn(*[relay.message() for _ in range(3)], after=10 * MS)
     assert not relay.sends()
@@ -391,4 +391,4 @@
         for send in relay.sends():
             relay.turn(relay.verdict(send.call, io.Status.CROWDED), after=10 * MS)
     dest, _ = relay.pacer.hosts["a"]
-    assert dest.refused_from is not None
+    assert dest.refused_since is not None
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -390,7 +390,7 @@
     call.raw(data)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     dest, host = field.relays[0].pacer.hosts["s-1"]
-    assert dest.bad == host.bad == 0 and dest.wait_until == 0 and dest.refused_from is None
+    assert dest.failure_share == host.failure_share == 0 and dest.wait_until == 0 and dest.refused_since is None
     async with asyncio.timeout(20):
         assert await field.host.next_closing() == call.connection
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -193,7 +193,7 @@
     relay = Relay(entry("a"))
     relay.turn(replace(relay.message(), storable=False))
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"] and relay.sends() == []
-    assert relay.pacer.messages == {} and relay.pacer.held == 0
+    assert relay.pacer.messages == {} and relay.pacer.pending_count == 0
 
 
 def test_nothing_goes_out_that_the_end_of_the_process_might_cut_off() -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -10,16 +10,16 @@
 from benchmarks.turns import Bed, life, sends
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from starlingwick.queues import Queue
+from starlingwick.queues import DeadlineQueue
 
 SECOND = 1_000_000_000
 COUNTED = [
-    (Pacer, "gate"),
+    (Pacer, "admission_time"),
     (Pacer, "worth_at"),
-    (Pacer, "look"),
+    (Pacer, "evaluate_queue"),
     (Pacer, "may_refuse"),
-    (Queue, "between"),
-    (Queue, "until"),
+    (DeadlineQueue, "between"),
+    (DeadlineQueue, "until"),
 ]
 
 
@@ -98,7 +98,7 @@
             bed.turn(bed.message(n % 26))
 
         done.append(work(counts, step, 50))
-        assert bed.pacer.held <= held
+        assert bed.pacer.pending_count <= held
     assert done[1] <= 1.5 * done[0]
 
 
@@ -106,7 +106,7 @@
     bed = Bed(4, slots=64)
     bed.shut(0, 2 * SECOND)
     bed.hold(0, 3_000)
-    assert bed.pacer.held == 3_001
+    assert bed.pacer.pending_count == 3_001
     bed.now += SECOND
     out: list[io.Send] = []
     went: Counter[str] = Counter()
@@ -115,7 +115,7 @@
         out = sends(bed.turn(*[bed.answer(send) for send in out]))
         went.update(send.call for send in out)
         assert len(bed.pacer.calls) <= 48  # three quarters of the slots
-    assert len(went) == 3_001 and not bed.pacer.held
+    assert len(went) == 3_001 and not bed.pacer.pending_count
 
 
 def test_deadlines_that_passed_while_the_process_slept_all_end_in_the_next_turn() -> None:
@@ -126,4 +126,4 @@
     held = set(bed.pacer.messages)
     bed.now += 60 * SECOND
     ended = [a.call for a in bed.turn() if isinstance(a, io.Refuse | io.Fail)]
-    assert sorted(ended) == sorted(held) and not bed.pacer.messages and not bed.pacer.waiting
+    assert sorted(ended) == sorted(held) and not bed.pacer.messages and not bed.pacer.dest_queues
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -9,7 +9,7 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.membership import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedPlatform, Watch
-from starlingwick.discovery_schedule import ASK_AGAIN, ASK_SOON
+from starlingwick.discovery_schedule import MAX_CALL_INTERVAL_NS, MAX_REOPEN_DELAY_NS
 from tests.sockets import Field, endpoint, listing, until
 
 
@@ -21,20 +21,20 @@
     await until(lambda: relay.pacer.started is not None)
     relay.discovery.subscribe()  # its turn among 200 has come
     await field.platform.next_watch()
-    await until(lambda: relay.pacer.asking.subscribed)
+    await until(lambda: relay.pacer.discovery_schedule.subscribed)
     other = ScriptedPlatform()
     await other.start()
     relay.reconfigure(dataclasses.replace(relay.config, discovery=Address.parse(other.address)))
     (await other.next_call()).answer(503)
-    asking = relay.pacer.asking
+    asking = relay.pacer.discovery_schedule
     await until(lambda: asking.failures == 1)
-    assert asking.ask_at - relay.pacer.now <= ASK_SOON
+    assert asking.next_call_at - relay.pacer.now <= MAX_REOPEN_DELAY_NS
     refused = await other.next_call()
-    asked_at = asking.asked_at
+    asked_at = asking.last_call_at
     assert asked_at is not None
     refused.answer(503)
     await until(lambda: asking.failures == 2)
-    assert asking.ask_at - asked_at <= ASK_AGAIN
+    assert asking.next_call_at - asked_at <= MAX_CALL_INTERVAL_NS
     await other.stop()
 
 
@@ -58,7 +58,7 @@
     old.line(listing(42, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
-    assert not relay.pacer.asking.subscribed  # the new address is asked on
+    assert not relay.pacer.discovery_schedule.subscribed  # the new address is asked on
     watch = await other.next_watch()
     assert watch.call.target.endswith("since=0")
     assert old.call.connection.lost is False
