--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from garnetrelay.fleet.leases.controller import Controller
+from garnetrelay.fleet.leases.grant_table import GrantTable
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, Grant, HolderEffect, Refusal, Session
-from garnetrelay.fleet.leases.register import Register
 from garnetrelay.fleet.leases.settings import SECOND, Settings
 from garnetrelay.fleet.partitions.assignment import Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
@@ -58,7 +58,7 @@
         return super().receive(now, answer)
 
 
-class EqualEpochs(Register):
+class EqualEpochs(GrantTable):
     """Planted: an epoch that another had is granted again."""
 
     def refusal(self, now: int, grant: Grant, session: Session) -> Refusal | None:
@@ -69,7 +69,7 @@
     """Planted: an epoch that another had is granted again."""
 
     def receive(self, now: int, message: object, source: str = "") -> list:  # type: ignore[type-arg]
-        self.register.__class__ = EqualEpochs
+        self.grant_table.__class__ = EqualEpochs
         return super().receive(now, message, source)  # type: ignore[arg-type]
 
 
@@ -85,7 +85,7 @@
     """Planted: another session need not wait."""
 
     def receive(self, now: int, message: object, source: str = "") -> list:  # type: ignore[type-arg]
-        for held in self.register.sessions.values():
+        for held in self.grant_table.sessions.values():
             held.lease_until = min(held.lease_until, now + SECOND)
         return super().receive(now, message, source)  # type: ignore[arg-type]
 
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -12,6 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from garnetrelay.fleet.leases.grant_table import GrantTable, SessionGrants
 from garnetrelay.fleet.leases.messages import (
     MOST_GRANTS,
     MOST_RECORDS,
@@ -34,7 +35,6 @@
     WriteRecords,
 )
 from garnetrelay.fleet.leases.recovery import Recovery
-from garnetrelay.fleet.leases.register import Held, Register
 from garnetrelay.fleet.leases.settings import Settings
 
 MOST_SESSIONS = 1 << 14
@@ -72,8 +72,8 @@
         self.settings = settings
         self.figures: Counter[str] = Counter()
         own = {record.partition: record for record in records if record.partition < settings.partitions}
-        self.register = Register(settings.partitions)
-        self.register.load(own.values())
+        self.grant_table = GrantTable(settings.partitions)
+        self.grant_table.load(own.values())
         wait = now + max(settings.lease, last_lease)
         self._recovery: Recovery | None = Recovery(number, boot, settings, wait, own)
         self._recovery_ticket: int | None = None
@@ -110,7 +110,7 @@
             effects += self._recovery.tick(now)
         if now >= self._forget_at:
             self._forget_at = now + self.settings.lease
-            self.register.forget(now - self.settings.lease)
+            self.grant_table.forget(now - self.settings.lease)
         return effects
 
     def receive(
@@ -154,8 +154,8 @@
         for record in write.records:
             if self._unwritten.get(record.partition) == ticket:
                 del self._unwritten[record.partition]
-                if self.register.record(record.partition) == record:
-                    self.register.put(record.partition, record.epoch, None)
+                if self.grant_table.record(record.partition) == record:
+                    self.grant_table.put(record.partition, record.epoch, None)
             refused.append(Refusal(record.partition, record.epoch, self.settings.most_retry))
         lost = {record.partition for record in write.records}
         granted = [grant for grant in write.answer.granted if grant.partition not in lost]
@@ -165,7 +165,7 @@
 
     def _request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
         session = request.session
-        known = self.register.sessions.get(session)
+        known = self.grant_table.sessions.get(session)
         if known is not None and request.number <= known.number:
             self.figures["old number"] += 1
             return []
@@ -174,10 +174,10 @@
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         if not isinstance(request, Release) and request.terms != self.settings.terms:
             return self._other_terms(request, source)
-        if not self.ready or (known is None and len(self.register.sessions) >= MOST_SESSIONS):
+        if not self.ready or (known is None and len(self.grant_table.sessions) >= MOST_SESSIONS):
             self.figures["not ready" if not self.ready else "too many sessions"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
-        held = self.register.sessions.setdefault(session, Held())
+        held = self.grant_table.sessions.setdefault(session, SessionGrants())
         held.number = request.number
         match request:
             case Acquire():
@@ -197,7 +197,7 @@
             effects.append(LogLine(text, logging.ERROR))
         return effects
 
-    def _acquire(self, now: int, request: Acquire, held: Held) -> list[ControllerEffect]:
+    def _acquire(self, now: int, request: Acquire, held: SessionGrants) -> list[ControllerEffect]:
         held.lease_until = now + self.settings.lease
         granted: list[Grant] = []
         refused: list[Refusal] = []
@@ -206,15 +206,15 @@
             partition = grant.partition
             if partition >= self.settings.partitions:
                 continue
-            if not self.register.has(grant, request.session):
-                refusal = self.register.refusal(now, grant, request.session)
+            if not self.grant_table.has(grant, request.session):
+                refusal = self.grant_table.refusal(now, grant, request.session)
                 if refusal is not None:
                     refused.append(refusal)
                     continue
-                self.register.put(partition, grant.epoch, request.session)
-                to_write.append(self.register.record(partition))
+                self.grant_table.put(partition, grant.epoch, request.session)
+                to_write.append(self.grant_table.record(partition))
             elif partition in self._unwritten:
-                to_write.append(self.register.record(partition))
+                to_write.append(self.grant_table.record(partition))
             granted.append(grant)
         self.figures["granted"] += len(granted)
         self.figures["refused"] += len(refused)
@@ -227,7 +227,7 @@
             self._unwritten[record.partition] = self._ticket
         return [WriteRecords(self._ticket, to_write)]
 
-    def _renew(self, now: int, request: Renew, held: Held) -> Answer:
+    def _renew(self, now: int, request: Renew, held: SessionGrants) -> Answer:
         if (request.count, request.digest) != (len(held.grants), held.digest):
             self.figures["mismatch"] += 1
             return self._answer(request.number, accepted=False, matches=False, granted=self._some(request.number, held))
@@ -235,13 +235,13 @@
         held.lease_until = now + self.settings.lease
         return self._answer(request.number)
 
-    def _release(self, request: Release, held: Held) -> Answer:
+    def _release(self, request: Release, held: SessionGrants) -> Answer:
         # Not written: after a restart the record stands again, and its epoch is used up either way.
         grants = request.grants or [Grant(partition, epoch) for partition, epoch in held.grants.items()]
-        self.figures["released"] += self.register.release(request.session, grants)
+        self.figures["released"] += self.grant_table.release(request.session, grants)
         return self._answer(request.number)
 
-    def _some(self, number: int, held: Held) -> list[Grant]:
+    def _some(self, number: int, held: SessionGrants) -> list[Grant]:
         """What is on record of a session; where it does not fit, others with each request."""
         on_record = sorted(held.grants.items())
         if len(on_record) > MOST_GRANTS:
@@ -270,7 +270,7 @@
             return []
         records: list[Record] = []
         size, following = 0, -1
-        for record in self.register.known(request.first):
+        for record in self.grant_table.known(request.first):
             size += record.size()
             if len(records) == MOST_RECORDS or size > RECORDS_SIZE:
                 following = record.partition
@@ -295,8 +295,8 @@
     def _recovered(self) -> list[ControllerEffect]:
         recovery = self._recovery
         assert recovery is not None
-        self.register = Register(self.settings.partitions)
-        self.register.load(recovery.found.values())
+        self.grant_table = GrantTable(self.settings.partitions)
+        self.grant_table.load(recovery.found.values())
         self._recovery, self._recovery_ticket = None, None
         self._tells_records = True
         text = f"ready: {len(recovery.found)} partitions on record, {len(recovery.changed())} of them from others"
--- a/garnetrelay/fleet/leases/register.py
+++ b/garnetrelay/fleet/leases/grant_table.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class SessionGrants:
     """One session at one controller."""
 
     number: int = 0  # the highest of its requests that was taken
@@ -19,14 +19,14 @@
     digest: int = 0  # of the grants
 
 
-class Register:
+class GrantTable:
     """The highest epoch of each partition, and the session that has it."""
 
     def __init__(self, partitions: int) -> None:
         self.partitions = partitions
         self.epochs = [0] * partitions
         self.holders: list[Session | None] = [None] * partitions
-        self.sessions: dict[Session, Held] = {}
+        self.sessions: dict[Session, SessionGrants] = {}
 
     def load(self, records: Iterable[Record]) -> None:
         """Takes over records, with leases that have run out. Partitions out of range are left out."""
@@ -43,7 +43,7 @@
             held.digest ^= grant_hash(partition, held.grants.pop(partition))
         self.epochs[partition], self.holders[partition] = epoch, holder
         if holder is not None:
-            held = self.sessions.setdefault(holder, Held())
+            held = self.sessions.setdefault(holder, SessionGrants())
             held.grants[partition] = epoch
             held.digest ^= grant_hash(partition, epoch)
 
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -147,7 +147,7 @@
 
 def age_controller(controller: Controller, now: int) -> None:
     """Leases that have run out are alike."""
-    for held in controller.register.sessions.values():
+    for held in controller.grant_table.sessions.values():
         if held.lease_until <= now:
             held.lease_until = PAST
 
--- a/tests/fleet/leases/planted.py
+++ b/tests/fleet/leases/planted.py
@@ -11,6 +11,7 @@
 import msgspec
 
 from garnetrelay.fleet.leases.controller import Controller
+from garnetrelay.fleet.leases.grant_table import GrantTable
 from garnetrelay.fleet.leases.messages import (
     Answer,
     ControllerEffect,
@@ -23,7 +24,6 @@
     WriteRecords,
 )
 from garnetrelay.fleet.leases.recovery import Recovery
-from garnetrelay.fleet.leases.register import Register
 from garnetrelay.fleet.leases.settings import Settings
 from tests.fleet.leases.asked import DRIFT, SETTINGS, Asked, Bounds, Kinds
 
@@ -51,14 +51,14 @@
     """Takes what was not written for being on record."""
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
-        kept = [(record, self.register.holders[record.partition]) for record in self._writes[ticket].records]
+        kept = [(record, self.grant_table.holders[record.partition]) for record in self._writes[ticket].records]
         effects = super().not_written(now, ticket, reason)
         for record, holder in kept:
-            self.register.put(record.partition, record.epoch, holder)
+            self.grant_table.put(record.partition, record.epoch, holder)
         return effects
 
 
-class _EqualRegister(Register):
+class _EqualGrantTable(GrantTable):
     def refusal(self, now: int, grant: Grant, session: Session) -> Any:
         return super().refusal(now, Grant(grant.partition, grant.epoch + 1), session)
 
@@ -67,7 +67,7 @@
     """Grants an epoch that another had."""
 
     def receive(self, now: int, message: Any, source: str = "") -> list[ControllerEffect]:
-        self.register.__class__ = _EqualRegister
+        self.grant_table.__class__ = _EqualGrantTable
         return super().receive(now, message, source)
 
 
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -134,7 +134,7 @@
     assert isinstance(answer, SendToRelay) and not answer.message.accepted
     assert isinstance(line, LogLine) and "options" in line.text
     assert len(controller.receive(LEASE, _acquire(S1, 3, [(3, 1)], terms=TERMS ^ 1))) == 1  # one line a relay
-    assert controller.register.epochs[3] == 0
+    assert controller.grant_table.epochs[3] == 0
 
 
 @pytest.mark.parametrize("epoch", [MOST_EPOCH, MOST_EPOCH_STEP + 1, 0])
@@ -150,7 +150,7 @@
     assert _said(controller, LEASE, Release(S1, 2, 77, [Grant(*grant) for grant in grants])).accepted
     controller.receive(LEASE, ReadRecords(1, 5, 9, 65_535))
     controller.receive(LEASE, ReadRecords(8, 5, 9, 0))  # no such controller
-    assert not any(controller.register.epochs)
+    assert not any(controller.grant_table.epochs)
 
 
 def test_records_that_were_not_asked_for_change_nothing() -> None:
@@ -163,7 +163,7 @@
     for effect in reads:
         assert isinstance(effect, SendToController) and isinstance(effect.message, ReadRecords)
         controller.receive(LEASE, Records(effect.controller, 5, effect.message.number, [], -1))
-    assert controller.ready and controller.register.epochs[3] == 0
+    assert controller.ready and controller.grant_table.epochs[3] == 0
 
 
 def test_sessions_that_hold_nothing_are_forgotten() -> None:
@@ -172,7 +172,7 @@
         _said(controller, LEASE, Renew(Session("a", number), 1, 77, TERMS, 0, 0))
     _said(controller, LEASE, _acquire(S2, 1, [(3, 1)]))
     controller.tick(5 * LEASE)
-    assert list(controller.register.sessions) == [S2]
+    assert list(controller.grant_table.sessions) == [S2]
 
 
 # ---- starting
@@ -195,7 +195,7 @@
     assert isinstance(effect, WriteRecords) and effect.records == [Record(3, 6, "b", 2)]
     assert not controller.ready
     controller.written(LEASE, effect.ticket)
-    assert controller.ready and controller.register.epochs[3] == 6
+    assert controller.ready and controller.grant_table.epochs[3] == 6
 
 
 def test_where_others_disagree_on_an_epoch_nobody_has_it() -> None:
@@ -264,7 +264,7 @@
     cluster.run(5 * SECOND)
     assert cluster.controllers[0].ready
     assert cluster.folders[0] == cluster.folders[1]
-    assert cluster.controllers[0].register.sessions[owner.session].lease_until > cluster.now  # its vote is back
+    assert cluster.controllers[0].grant_table.sessions[owner.session].lease_until > cluster.now  # its vote is back
     assert _owns(cluster, owner) and owner.figures["lost"] == 0
 
 
@@ -349,7 +349,7 @@
     second = cluster.relay("b", [0], 2)
     cluster.run(3 * SECOND)
     assert second.figures["rounds given up"]
-    assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].register.holders[0] is None)
+    assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].grant_table.holders[0] is None)
     cluster.from_holder(second.session, second.wish(cluster.now, []))
     cluster.run(3 * SECOND)
     assert all(not link.votes and not link.unsure for link in second._links)
@@ -360,7 +360,7 @@
     """A controller knows nothing of two grants, and has one that the relay did not ask for any more."""
     cluster = Cluster().start_all()
     owner = _owner(cluster)
-    register = cluster.controllers[0].register
+    register = cluster.controllers[0].grant_table
     register.put(0, 1, None)
     register.put(1, 2, S2)
     register.put(30, 1, owner.session)
@@ -378,7 +378,7 @@
     wishes = list(range(60))
     assert len(wishes) > MOST_GRANTS
     owner = _owner(cluster, wishes=wishes)
-    register = cluster.controllers[0].register
+    register = cluster.controllers[0].grant_table
     for partition in (60, 61, 63):
         register.put(partition, 1, owner.session)
     register.put(2, 9, None)
@@ -402,7 +402,7 @@
     assert cluster.run(LEASE + 20 * SECOND, lambda: sum(len(relay.owned(cluster.now)) for relay in relays) == 6)
     cluster.run(3 * SETTINGS.renew_every)
     for controller in cluster.controllers.values():
-        assert sum(len(held.grants) for held in controller.register.sessions.values()) <= 6
+        assert sum(len(held.grants) for held in controller.grant_table.sessions.values()) <= 6
 
 
 def test_doubled_and_replayed_messages_change_nothing() -> None:
@@ -411,12 +411,12 @@
     cluster.from_holder(first.session, first.wish(cluster.now, ALL[:4]))
     second = _owner(cluster, "b", 2, ALL[4:])
     recorded = list(cluster.messages)
-    before = [(list(c.register.epochs), list(c.register.holders)) for c in cluster.controllers.values()]
+    before = [(list(c.grant_table.epochs), list(c.grant_table.holders)) for c in cluster.controllers.values()]
     random.Random(2).shuffle(recorded)
     cluster.drop = lambda sender, receiver, message: True
     for _, receiver, message in recorded:
         cluster.deliver(receiver, message)
-    assert [(c.register.epochs, c.register.holders) for c in cluster.controllers.values()] == before
+    assert [(c.grant_table.epochs, c.grant_table.holders) for c in cluster.controllers.values()] == before
     assert _owns(cluster, first, ALL[:4]) and _owns(cluster, second, ALL[4:])
 
 
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -194,7 +194,7 @@
     wire.leases.close()
     wire.carry()
     assert not wire.leases.holder.owned(wire.now) and wire.leases._timer is not None and wire.leases._timer.cancelled()
-    assert all(not any(controller.register.holders) for controller in wire.controllers)
+    assert all(not any(controller.grant_table.holders) for controller in wire.controllers)
 
 
 async def test_what_is_no_answer_is_counted(wire: Wire) -> None:
