--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -108,6 +108,6 @@
         ("bytes_in", leases.bytes_in),
         ("bytes_out", leases.bytes_out),
     ]
-    rows += [(f'events{{kind="{escaped(kind.lower())}"}}', count) for kind, count in sorted(holder.figures.items())]
+    rows += [(f'events{{kind="{escaped(kind.lower())}"}}', count) for kind, count in sorted(holder.event_counts.items())]
     rows += [(f'datagrams_refused{{cause="{escaped(cause)}"}}', count) for cause, count in sorted(leases.refused.items())]
     return "".join(f"relay_leases_{name} {value}\n" for name, value in rows)
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -70,7 +70,7 @@
         self.number = number
         self.boot = boot
         self.settings = settings
-        self.figures: Counter[str] = Counter()
+        self.event_counts: Counter[str] = Counter()
         own = {record.partition: record for record in records if record.partition < settings.partitions}
         self.grant_table = GrantTable(settings.partitions)
         self.grant_table.load(own.values())
@@ -139,7 +139,7 @@
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
         """They are not, or not for sure: nothing of them is said, and their epochs are used up."""
-        self.figures["not written"] += 1
+        self.event_counts["not written"] += 1
         line = LogLine(f"records not written: {reason}", logging.ERROR)
         if ticket == self._recovery_ticket and self._recovery is not None:
             self._recovery_ticket = None
@@ -167,15 +167,15 @@
         session = request.session
         known = self.grant_table.sessions.get(session)
         if known is not None and request.number <= known.number:
-            self.figures["old number"] += 1
+            self.event_counts["old number"] += 1
             return []
         if request.boot not in (0, self.boot):
-            self.figures["other boot"] += 1
+            self.event_counts["other boot"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         if not isinstance(request, Release) and request.terms != self.settings.terms:
             return self._other_terms(request, source)
         if not self.ready or (known is None and len(self.grant_table.sessions) >= MOST_SESSIONS):
-            self.figures["not ready" if not self.ready else "too many sessions"] += 1
+            self.event_counts["not ready" if not self.ready else "too many sessions"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         held = self.grant_table.sessions.setdefault(session, SessionGrants())
         held.number = request.number
@@ -188,7 +188,7 @@
                 return [SendToRelay(session, self._release(request, held))]
 
     def _other_terms(self, request: Acquire | Renew, source: str) -> list[ControllerEffect]:
-        self.figures["other terms"] += 1
+        self.event_counts["other terms"] += 1
         effects: list[ControllerEffect] = [SendToRelay(request.session, self._answer(request.number, accepted=False))]
         relay = request.session.relay
         if relay not in self._foreign and len(self._foreign) < MOST_SESSIONS:
@@ -216,8 +216,8 @@
             elif partition in self._unwritten:
                 to_write.append(self.grant_table.record(partition))
             granted.append(grant)
-        self.figures["granted"] += len(granted)
-        self.figures["refused"] += len(refused)
+        self.event_counts["granted"] += len(granted)
+        self.event_counts["refused"] += len(refused)
         answer = self._answer(request.number, granted=granted, refused=refused)
         if not to_write:
             return [SendToRelay(request.session, answer)]
@@ -229,16 +229,16 @@
 
     def _renew(self, now: int, request: Renew, held: SessionGrants) -> Answer:
         if (request.count, request.digest) != (len(held.grants), held.digest):
-            self.figures["mismatch"] += 1
+            self.event_counts["mismatch"] += 1
             return self._answer(request.number, accepted=False, matches=False, granted=self._some(request.number, held))
-        self.figures["renewed"] += 1
+        self.event_counts["renewed"] += 1
         held.lease_until = now + self.settings.lease
         return self._answer(request.number)
 
     def _release(self, request: Release, held: SessionGrants) -> Answer:
         # Not written: after a restart the record stands again, and its epoch is used up either way.
         grants = request.grants or [Grant(partition, epoch) for partition, epoch in held.grants.items()]
-        self.figures["released"] += self.grant_table.release(request.session, grants)
+        self.event_counts["released"] += self.grant_table.release(request.session, grants)
         return self._answer(request.number)
 
     def _some(self, number: int, held: SessionGrants) -> list[Grant]:
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -60,7 +60,7 @@
     def __init__(self, session: Session, settings: Settings, random: random.Random) -> None:
         self.session = session
         self.settings = settings
-        self.figures: Counter[str] = Counter()
+        self.event_counts: Counter[str] = Counter()
         self._random = random
         self._holder_time = settings.holder_time
         self._quorum = settings.quorum
@@ -144,7 +144,7 @@
         old_boot = link.boot
         request = link.answered(answer)
         if request is None:
-            self.figures["late answers"] += 1
+            self.event_counts["late answers"] += 1
             return []
         link.send_at = now + self.settings.request_gap
         if answer.accepted:
@@ -152,7 +152,7 @@
             link.accepted_at = request.sent_at
             self._accepted(now, link, request, answer)
         elif not answer.matches:
-            self.figures["mismatches"] += 1
+            self.event_counts["mismatches"] += 1
             link.differs(answer)
             self._reckon(self._claims)
             link.renew_at = now
@@ -167,7 +167,7 @@
         self._start(now)
         for link in self._links:
             if link.request is not None and now >= link.request.ends_at:
-                self.figures["unanswered"] += 1
+                self.event_counts["unanswered"] += 1
                 self._back_off(now, link)
                 if isinstance(link.request.message, Renew):
                     link.renew_at = link.send_at
@@ -245,11 +245,11 @@
         claim.owned = False
         claim.tries += 1
         claim.retry_at = now + self._backoff(now, claim.tries)
-        self.figures["rounds given up"] += 1
+        self.event_counts["rounds given up"] += 1
 
     def _not_accepted(self, now: int, link: Link, old_boot: int) -> None:
         """Another process, one that is not ready yet, or one with other terms."""
-        self.figures["not accepted"] += 1
+        self.event_counts["not accepted"] += 1
         if link.boot != old_boot:
             link.renew_at = now
             return
@@ -272,7 +272,7 @@
             if link.request is None and now >= link.send_at:
                 message = self._due(now, link)
                 if message is not None:
-                    self.figures[type(message).__name__] += 1
+                    self.event_counts[type(message).__name__] += 1
                     effects.append(SendToController(link.controller, message))
         return effects
 
@@ -372,8 +372,8 @@
             claim.owned = owned
         if not gained and not lost:
             return []
-        self.figures["gained"] += gained
-        self.figures["lost"] += lost
+        self.event_counts["gained"] += gained
+        self.event_counts["lost"] += lost
         count = sum(claim.owned for claim in self._claims.values())
         text = f"partitions: {gained} gained, {lost} lost, {count} of {len(self._claims)} owned"
         return [LogLine(text, logging.WARNING if lost else logging.INFO)]
--- a/garnetrelay/laboratory/lease_faults.py
+++ b/garnetrelay/laboratory/lease_faults.py
@@ -66,7 +66,7 @@
         within = 3 * settings.lease + 2 * settings.most_retry
         world.run(last + within, self.all_owned)
         owned = world.now - last if self.all_owned() else None
-        return Outcome(world.problems, owned, sum(process.machine.figures["gained"] for process in world.relays))
+        return Outcome(world.problems, owned, sum(process.machine.event_counts["gained"] for process in world.relays))
 
     def assign(self) -> None:
         """The view's wishes, of those that it holds for there."""
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -36,7 +36,7 @@
 UNHEARD = Record(0, 0, "", 0)
 _NOT_IN_KEYS = {
     "settings",
-    "figures",
+    "event_counts",
     "session",
     "terms",
     "tries",
--- a/tests/fleet/leases/explore.py
+++ b/tests/fleet/leases/explore.py
@@ -158,7 +158,7 @@
         made = self._made.get(key)
         if made is None:
             old = self.met[before]
-            component = copy.deepcopy(old, {id(each): each for each in (self.kinds.settings, DRAW, old.figures)})
+            component = copy.deepcopy(old, {id(each): each for each in (self.kinds.settings, DRAW, old.event_counts)})
             effects = change(component) or ()
             made = self._made[key] = self.number(component), tuple(effects)
         return made
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -123,7 +123,7 @@
         assert controller.receive(LEASE, _acquire(S1, number, [(3, 2)])) == []
         assert controller.receive(LEASE, Release(S1, number, 77, [])) == []
         assert controller.receive(LEASE, Renew(S1, number, 77, TERMS, 0, 0)) == []
-    assert controller.figures["old number"] == 9
+    assert controller.event_counts["old number"] == 9
 
 
 def test_requests_for_another_boot_or_under_other_terms_get_nothing() -> None:
@@ -265,7 +265,7 @@
     assert cluster.controllers[0].ready
     assert cluster.folders[0] == cluster.folders[1]
     assert cluster.controllers[0].grant_table.sessions[owner.session].lease_until > cluster.now  # its vote is back
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 def test_old_copy_of_a_folder_is_brought_up_to_date() -> None:
@@ -299,7 +299,7 @@
         cluster.start(number)
         assert cluster.run(LEASE + 10 * SECOND, lambda number=number: cluster.controllers[number].ready)  # type: ignore[misc]
         cluster.run(2 * SETTINGS.renew_every)
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 # ---- relays
@@ -348,7 +348,7 @@
     first = _owner(cluster)
     second = cluster.relay("b", [0], 2)
     cluster.run(3 * SECOND)
-    assert second.figures["rounds given up"]
+    assert second.event_counts["rounds given up"]
     assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].grant_table.holders[0] is None)
     cluster.from_holder(second.session, second.wish(cluster.now, []))
     cluster.run(3 * SECOND)
@@ -367,10 +367,10 @@
     cluster.run(3 * SETTINGS.renew_every)
     assert register.holders[30] is None
     assert register.sessions[owner.session].grants == {partition: 1 for partition in ALL[2:]}
-    renewed = cluster.controllers[0].figures["renewed"]
+    renewed = cluster.controllers[0].event_counts["renewed"]
     cluster.run(2 * SETTINGS.renew_every)
-    assert cluster.controllers[0].figures["renewed"] > renewed
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert cluster.controllers[0].event_counts["renewed"] > renewed
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 def test_more_records_than_one_answer_lists_are_settled() -> None:
@@ -436,10 +436,12 @@
     assert cluster.run(5 * SECOND, lambda: len(late) >= 3)
     first = list(late)
     cluster.drop = lambda sender, receiver, message: isinstance(receiver, Session)
-    assert cluster.run(5 * SECOND, lambda: all(link.request for link in relay._links) and relay.figures["unanswered"] > 2)
+    assert cluster.run(
+        5 * SECOND, lambda: all(link.request for link in relay._links) and relay.event_counts["unanswered"] > 2
+    )
     for answer in first:
         cluster.deliver(relay.session, answer)
-    assert not any(link.votes for link in relay._links) and relay.figures["late answers"] == len(first)
+    assert not any(link.votes for link in relay._links) and relay.event_counts["late answers"] == len(first)
 
 
 def test_the_end_of_a_relay_frees_its_partitions() -> None:
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -22,7 +22,7 @@
         cluster.run(5 * SECOND)
         assert _owns(cluster, relay)
     assert {ownership.epoch for ownership in relay.owned(cluster.now).values()} == {1}
-    assert relay.figures["lost"] == 0 and relay.figures["mismatches"] == 0
+    assert relay.event_counts["lost"] == 0 and relay.event_counts["mismatches"] == 0
 
 
 def test_ownership_ends_by_the_relays_clock_alone() -> None:
