--- a/garnetrelay/fleet/controller/figures.py
+++ b/garnetrelay/fleet/controller/metrics.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class ControllerMetrics:
     """What has happened since the process began."""
 
     received: Counter[str] = field(default_factory=Counter)  # messages, by kind
@@ -49,19 +49,21 @@
         self.longest_write = max(self.longest_write, duration)
 
 
-def figures_text(figures: Figures, controller: Controller | None, datagrams: Datagrams, records: RecordsFile) -> str:
+def metrics_text(
+    metrics: ControllerMetrics, controller: Controller | None, datagrams: Datagrams, records: RecordsFile
+) -> str:
     """All figures, a line each."""
     rows: list[tuple[str, int | float]] = [
         ("ready", int(controller is not None and controller.ready)),
-        ("granted", figures.granted),
-        ("refused", figures.refused),
-        ("answers_accepted", figures.accepted),
-        ("answers_not_accepted", figures.not_accepted),
-        ("writes", figures.writes),
-        ("writes_failed", figures.failed_writes),
-        ("records_written", figures.records_written),
-        ("write_seconds", figures.write_time / 1e9),
-        ("longest_write_seconds", figures.longest_write / 1e9),
+        ("granted", metrics.granted),
+        ("refused", metrics.refused),
+        ("answers_accepted", metrics.accepted),
+        ("answers_not_accepted", metrics.not_accepted),
+        ("writes", metrics.writes),
+        ("writes_failed", metrics.failed_writes),
+        ("records_written", metrics.records_written),
+        ("write_seconds", metrics.write_time / 1e9),
+        ("longest_write_seconds", metrics.longest_write / 1e9),
         ("file_bytes", records.size),
         ("compactions", records.compactions),
         ("datagrams_in", datagrams.received),
@@ -69,7 +71,7 @@
         ("bytes_in", datagrams.bytes_in),
         ("bytes_out", datagrams.bytes_out),
     ]
-    rows += [(f'messages_in{{kind="{escaped(kind)}"}}', count) for kind, count in sorted(figures.received.items())]
+    rows += [(f'messages_in{{kind="{escaped(kind)}"}}', count) for kind, count in sorted(metrics.received.items())]
     rows += [
         (f'datagrams_refused{{cause="{escaped(cause)}"}}', count) for cause, count in sorted(datagrams.refused.items())
     ]
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -10,7 +10,7 @@
 
 from garnetrelay.config.controller import Controller as ControllerConfig
 from garnetrelay.fleet import clock
-from garnetrelay.fleet.controller.figures import Figures, figures_text
+from garnetrelay.fleet.controller.metrics import ControllerMetrics, metrics_text
 from garnetrelay.fleet.controller.records_file import RecordsFile
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
@@ -45,7 +45,7 @@
         self.config = config
         self.records = RecordsFile(config.folder, config.number, config.settings.partitions, config.settings.lease)
         self.datagrams = Datagrams(Codec(config.secrets()), self._heard)
-        self.figures = Figures()
+        self.metrics = ControllerMetrics()
         self.controller: Controller | None = None
         self._loop = asyncio.get_running_loop()
         self._finished = asyncio.Event()
@@ -120,7 +120,7 @@
         if isinstance(message, Answer):  # from another controller, to a relay that had this address before
             self.datagrams.refused["misdirected"] += 1
             return
-        self.figures.heard(message)
+        self.metrics.heard(message)
         if isinstance(message, Acquire | Renew | Release):
             self._remember(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
@@ -141,7 +141,7 @@
                 case SendToController(number, message):
                     self.datagrams.send(self.config.places[number], message)
                 case SendToRelay(session, answer):
-                    self.figures.answered(answer)
+                    self.metrics.answered(answer)
                     if (place := self._sources.get(session)) is not None:
                         self.datagrams.send(place, answer)
                 case WriteRecords():
@@ -180,7 +180,7 @@
             self._broken = broken
             self._finished.set()
             return
-        self.figures.wrote(len(records), clock.now() - began, failure is None)
+        self.metrics.wrote(len(records), clock.now() - began, failure is None)
         self._writing = None
         for write in writes:
             self._tell(write.ticket, failure)
@@ -208,8 +208,8 @@
 
     def figures(self) -> str:
         """Its figures, a line each."""
-        return figures_text(
-            self._process.figures, self._process.controller, self._process.datagrams, self._process.records
+        return metrics_text(
+            self._process.metrics, self._process.controller, self._process.datagrams, self._process.records
         )
 
     def fleet(self, words: list[str]) -> str:
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -226,7 +226,7 @@
             trio.asker.datagrams.send(place, message)
             async with asyncio.timeout(PATIENCE):
                 await begun.wait()
-        await until(lambda: first.figures.received["acquire"] == 8)
+        await until(lambda: first.metrics.received["acquire"] == 8)
         may_end.set()
         granted = []
         async with asyncio.timeout(PATIENCE):
@@ -235,6 +235,6 @@
                 assert isinstance(answer, Answer)
                 granted += answer.granted
         assert sorted(granted) == [Grant(partition, 1) for partition in range(8)]
-        assert (first.figures.writes, first.figures.records_written) == (2, 8)
+        assert (first.metrics.writes, first.metrics.records_written) == (2, 8)
     found = on_disk(first)
     assert found is not None and sorted(record.partition for record in found) == list(range(8))
