--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -9,8 +9,8 @@
 from msgspec import Meta
 
 from garnetrelay.config.addresses import place
-from garnetrelay.fleet.leases.messages import MOST_CONTROLLERS
-from garnetrelay.fleet.leases.settings import LEAST_CONTROLLERS, MS, Settings
+from garnetrelay.fleet.leases.messages import MAX_CONTROLLERS
+from garnetrelay.fleet.leases.settings import MIN_CONTROLLERS, MS, Settings
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
@@ -58,7 +58,7 @@
 def check_controllers(table: TermsTable) -> tuple[Place, ...]:
     """The controllers' addresses; ValueError in one line that begins with the option's name."""
     count = len(table.controllers)
-    if not (LEAST_CONTROLLERS <= count <= MOST_CONTROLLERS and count % 2):
+    if not (MIN_CONTROLLERS <= count <= MAX_CONTROLLERS and count % 2):
         raise ValueError(f"controllers: {count} addresses, and there are 3, 5, 7 or 9 (an even one more bears no more)")
     places = tuple(place(text, "controllers") for text in table.controllers)
     if len(set(places)) < len(places):
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-MOST_SESSIONS = 4096  # addresses kept for answers: far more than relays ask within the time of one write
+MAX_SESSIONS = 4096  # addresses kept for answers: far more than relays ask within the time of one write
 
 
 class ControllerProcess:
@@ -128,7 +128,7 @@
     def _remember(self, session: Session, source: Place) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
-        if len(self._sources) > MOST_SESSIONS:
+        if len(self._sources) > MAX_SESSIONS:
             del self._sources[next(iter(self._sources))]
 
     def _tick(self) -> None:
--- a/garnetrelay/fleet/controller/records_file.py
+++ b/garnetrelay/fleet/controller/records_file.py
@@ -27,8 +27,10 @@
 HEADER = struct.Struct(">8sHHIQII")
 BATCH = struct.Struct(">BII")
 MARK = 0xA9
-LEAST_COMPACTION = 1 << 16  # bytes: a shorter file is read in a moment
-GROWTH = 4  # a file that has grown to so many snapshots is replaced: each byte is written anew 1/3 times in the mean
+MIN_COMPACTION_BYTES = 1 << 16  # bytes: a shorter file is read in a moment
+COMPACTION_GROWTH = (
+    4  # a file that has grown to so many snapshots is replaced: each byte is written anew 1/3 times in the mean
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[list[Record]] = msgspec.msgpack.Decoder(list[Record])
@@ -202,7 +204,7 @@
         return _header(self._controller, self._partitions, self._lease, len(batch)) + batch, len(batch)
 
     def _set_limit(self, snapshot: int) -> None:
-        self._compact_at = max(LEAST_COMPACTION, GROWTH * (HEADER.size + snapshot))
+        self._compact_at = max(MIN_COMPACTION_BYTES, COMPACTION_GROWTH * (HEADER.size + snapshot))
 
 
 def _header(controller: int, partitions: int, lease: int, snapshot: int) -> bytes:
--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -8,16 +8,16 @@
 from collections import Counter
 from collections.abc import Callable
 
-from garnetrelay.fleet.leases.codec import MOST_DATAGRAM, Codec
+from garnetrelay.fleet.leases.codec import MAX_DATAGRAM_BYTES, Codec
 from garnetrelay.fleet.leases.messages import Message
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.signing import FrameRefusedError
 
 log = logging.getLogger(__name__)
 
-ROUND = 64  # datagrams read in a round of the loop
-MOST_A_SECOND = 10_000  # taken: 1,000 relays that ask five times for all that they hold, and some
-READ_BUFFER = 1 << 20  # bytes of the kernel's: 1,000 relays that ask at once
+MAX_DATAGRAMS_PER_WAKEUP = 64  # datagrams read in a round of the loop
+MAX_DATAGRAMS_PER_SECOND = 10_000  # taken: 1,000 relays that ask five times for all that they hold, and some
+RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the kernel's: 1,000 relays that ask at once
 
 Hears = Callable[[Message, Place], None]
 
@@ -44,7 +44,7 @@
             found.close()
             raise
         found.setblocking(False)
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
+        found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket = found
         self._loop.add_reader(found, self._readable)
         return Place(*found.getsockname()[:2])
@@ -71,11 +71,11 @@
         self.bytes_out += len(data)
 
     def _readable(self) -> None:
-        for _ in range(ROUND):
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             if self._socket is None:
                 return
             try:
-                data, source = self._socket.recvfrom(MOST_DATAGRAM + 1)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier one did not arrive: that is told here
@@ -101,4 +101,4 @@
         if second != self._second:
             self._second, self._taken = second, 0
         self._taken += 1
-        return self._taken > MOST_A_SECOND
+        return self._taken > MAX_DATAGRAMS_PER_SECOND
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -27,8 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_DELAY = 0.001  # seconds until a timer: an instant that has just passed must not spin the loop
-FENCED_LINE_EVERY = 1_000_000_000  # nanoseconds between two lines on fenced attempts
+MIN_DELAY_S = 0.001  # seconds until a timer: an instant that has just passed must not spin the loop
+FENCED_LOG_INTERVAL_NS = 1_000_000_000  # nanoseconds between two lines on fenced attempts
 
 
 class Membership(Protocol):
@@ -133,7 +133,7 @@
                 epoch,
                 self.fenced - self._fenced_told,
             )
-            self._fenced_line_at, self._fenced_told = now + FENCED_LINE_EVERY, self.fenced
+            self._fenced_line_at, self._fenced_told = now + FENCED_LOG_INTERVAL_NS, self.fenced
         return False
 
     def partition(self, destination: int) -> int:
@@ -187,4 +187,4 @@
             self._timer.cancel()
         if not self._closed:
             delay = (self.holder.next_at - clock.now()) / 1e9
-            self._timer = self._loop.call_later(max(LEAST_DELAY, delay), self._tick)
+            self._timer = self._loop.call_later(max(MIN_DELAY_S, delay), self._tick)
--- a/garnetrelay/fleet/leases/codec.py
+++ b/garnetrelay/fleet/leases/codec.py
@@ -17,7 +17,7 @@
 MAGIC = b"GL"
 VERSION = 1
 CONTEXT = b"garnetrelay leases"
-MOST_DATAGRAM = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
+MAX_DATAGRAM_BYTES = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(Message)
@@ -32,13 +32,13 @@
     def encode(self, message: Message) -> bytes:
         """One datagram; ValueError where it does not fit one, which no message of the stated bounds does."""
         body = _encoder.encode(message)
-        if len(body) > MOST_DATAGRAM - HEAD:
+        if len(body) > MAX_DATAGRAM_BYTES - HEAD:
             raise ValueError(f"{type(message).__name__} takes {len(body)} bytes")
         return self.sign(body, VERSION)
 
     def decode(self, data: bytes) -> Message:
         """The message; FrameRefusedError with a cause."""
-        _, body = self.open(data, MOST_DATAGRAM)
+        _, body = self.open(data, MAX_DATAGRAM_BYTES)
         try:
             message: Message = _decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -14,9 +14,9 @@
 
 from garnetrelay.fleet.leases.grant_table import GrantTable, SessionGrants
 from garnetrelay.fleet.leases.messages import (
-    MOST_GRANTS,
-    MOST_RECORDS,
-    RECORDS_SIZE,
+    MAX_GRANTS,
+    MAX_RECORDS,
+    MAX_RECORDS_BYTES,
     Acquire,
     Answer,
     ControllerEffect,
@@ -37,7 +37,7 @@
 from garnetrelay.fleet.leases.recovery import Recovery
 from garnetrelay.fleet.leases.settings import Settings
 
-MOST_SESSIONS = 1 << 14
+MAX_SESSIONS = 1 << 14
 
 
 @dataclass(slots=True)
@@ -174,7 +174,7 @@
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         if not isinstance(request, Release) and request.terms != self.settings.terms:
             return self._other_terms(request, source)
-        if not self.ready or (known is None and len(self.grant_table.sessions) >= MOST_SESSIONS):
+        if not self.ready or (known is None and len(self.grant_table.sessions) >= MAX_SESSIONS):
             self.event_counts["not ready" if not self.ready else "too many sessions"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         held = self.grant_table.sessions.setdefault(session, SessionGrants())
@@ -191,7 +191,7 @@
         self.event_counts["other terms"] += 1
         effects: list[ControllerEffect] = [SendToRelay(request.session, self._answer(request.number, accepted=False))]
         relay = request.session.relay
-        if relay not in self._foreign and len(self._foreign) < MOST_SESSIONS:
+        if relay not in self._foreign and len(self._foreign) < MAX_SESSIONS:
             self._foreign.add(relay)
             text = f"{relay} {source} has other controllers, partitions, lease or rate error in its options: refused"
             effects.append(LogLine(text, logging.ERROR))
@@ -244,9 +244,9 @@
     def _some(self, number: int, held: SessionGrants) -> list[Grant]:
         """What is on record of a session; where it does not fit, others with each request."""
         on_record = sorted(held.grants.items())
-        if len(on_record) > MOST_GRANTS:
-            first = number * MOST_GRANTS % len(on_record)
-            on_record = (on_record[first:] + on_record[:first])[:MOST_GRANTS]
+        if len(on_record) > MAX_GRANTS:
+            first = number * MAX_GRANTS % len(on_record)
+            on_record = (on_record[first:] + on_record[:first])[:MAX_GRANTS]
         return [Grant(partition, epoch) for partition, epoch in on_record]
 
     def _answer(
@@ -272,7 +272,7 @@
         size, following = 0, -1
         for record in self.grant_table.known(request.first):
             size += record.size()
-            if len(records) == MOST_RECORDS or size > RECORDS_SIZE:
+            if len(records) == MAX_RECORDS or size > MAX_RECORDS_BYTES:
                 following = record.partition
                 break
             records.append(record)
--- a/garnetrelay/fleet/leases/grant_table.py
+++ b/garnetrelay/fleet/leases/grant_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.leases.digest import grant_hash
-from garnetrelay.fleet.leases.messages import MOST_EPOCH_STEP, Grant, Record, Refusal, Session
+from garnetrelay.fleet.leases.messages import MAX_EPOCH_STEP, Grant, Record, Refusal, Session
 
 
 @dataclass(slots=True)
@@ -73,7 +73,7 @@
         """Why a grant that is not on record can't be given now; None: it can."""
         epoch = self.epochs[grant.partition]
         wait = self.wait(now, grant.partition, session)
-        if wait or not epoch < grant.epoch <= epoch + MOST_EPOCH_STEP:
+        if wait or not epoch < grant.epoch <= epoch + MAX_EPOCH_STEP:
             return Refusal(grant.partition, epoch, wait)
         return None
 
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -15,7 +15,7 @@
 
 from garnetrelay.fleet.leases.link import Link, Request, Vote
 from garnetrelay.fleet.leases.messages import (
-    MOST_GRANTS,
+    MAX_GRANTS,
     Acquire,
     Answer,
     Grant,
@@ -29,7 +29,7 @@
 )
 from garnetrelay.fleet.leases.settings import Settings
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 SPREAD = 8  # renewals come up to an eighth early, so that relays that began together don't stay in step
 SHARES = 1 << 20
 NEVER = 1 << 62
@@ -307,12 +307,12 @@
             Grant(partition, epoch) for partition, epoch in link.unsure.items() if not self._asks(partition, epoch)
         ]
         if released:
-            return link.release(now, ends_at, released[:MOST_GRANTS])
+            return link.release(now, ends_at, released[:MAX_GRANTS])
         if now >= link.renew_at and not link.unsure:
             link.renew_at = now + self.settings.renew_every - self._part_of(now, self.settings.renew_every // SPREAD)
             return link.renew(now, ends_at)
         wanted = list(self._to_acquire(now, link))
-        return link.acquire(now, ends_at, wanted[:MOST_GRANTS]) if wanted else None
+        return link.acquire(now, ends_at, wanted[:MAX_GRANTS]) if wanted else None
 
     def _asks(self, partition: int, epoch: int) -> bool:
         claim = self._claims.get(partition)
@@ -384,7 +384,7 @@
 
     def _backoff(self, now: int, failures: int) -> int:
         """first_retry, doubled with each failure after the first up to most_retry; the second half of it is drawn."""
-        time = min(self.settings.first_retry << min(failures - 1, MOST_DOUBLINGS), self.settings.most_retry)
+        time = min(self.settings.first_retry << min(failures - 1, MAX_DOUBLINGS), self.settings.most_retry)
         return time // 2 + self._part_of(now, time - time // 2)
 
     def _part_of(self, now: int, time: int) -> int:
--- a/garnetrelay/fleet/leases/link.py
+++ b/garnetrelay/fleet/leases/link.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from garnetrelay.fleet.leases.digest import digest
-from garnetrelay.fleet.leases.messages import MOST_GRANTS, Acquire, Answer, Grant, RelayMessage, Release, Renew, Session
+from garnetrelay.fleet.leases.messages import MAX_GRANTS, Acquire, Answer, Grant, RelayMessage, Release, Renew, Session
 
 
 class Vote(NamedTuple):
@@ -100,7 +100,7 @@
     def differs(self, answer: Answer) -> None:
         """A renewal did not match: what is on record and what is not becomes unsure."""
         listed = dict(answer.granted)
-        whole = len(answer.granted) < MOST_GRANTS
+        whole = len(answer.granted) < MAX_GRANTS
         for partition, epoch in listed.items():
             vote = self.votes.get(partition)
             if vote is None or vote.epoch != epoch:
--- a/garnetrelay/fleet/leases/messages.py
+++ b/garnetrelay/fleet/leases/messages.py
@@ -11,23 +11,23 @@
 from msgspec import Meta
 
 from garnetrelay.fleet.members.claims import Name, NameOrNone
-from garnetrelay.fleet.partitions.hashing import MOST_PARTITIONS
-
-MOST_EPOCH = (1 << 48) - 1
-MOST_CONTROLLERS = 9
-MOST_EPOCH_STEP = 1 << 20  # above what a controller knows: one request can't use up all epochs of a partition
-MOST_GRANTS = 48  # in one message: 48 refusals of the largest numbers take 1,056 bytes of a datagram's 1,200
-MOST_RECORDS = 48  # in one message; names of the greatest length allow 12, see ``RECORDS_SIZE``
-RECORD_HEAD = 24  # bytes of a record at most, without the relay's name
-RECORDS_SIZE = 1_050  # bytes of all records in one message
-
-PartitionNumber = Annotated[int, Meta(ge=0, lt=MOST_PARTITIONS)]
-Epoch = Annotated[int, Meta(ge=0, le=MOST_EPOCH)]
+from garnetrelay.fleet.partitions.hashing import MAX_PARTITIONS
+
+MAX_EPOCH = (1 << 48) - 1
+MAX_CONTROLLERS = 9
+MAX_EPOCH_STEP = 1 << 20  # above what a controller knows: one request can't use up all epochs of a partition
+MAX_GRANTS = 48  # in one message: 48 refusals of the largest numbers take 1,056 bytes of a datagram's 1,200
+MAX_RECORDS = 48  # in one message; names of the greatest length allow 12, see ``MAX_RECORDS_BYTES``
+MAX_RECORD_OVERHEAD_BYTES = 24  # bytes of a record at most, without the relay's name
+MAX_RECORDS_BYTES = 1_050  # bytes of all records in one message
+
+PartitionNumber = Annotated[int, Meta(ge=0, lt=MAX_PARTITIONS)]
+Epoch = Annotated[int, Meta(ge=0, le=MAX_EPOCH)]
 Number32 = Annotated[int, Meta(ge=0, lt=1 << 32)]  # ``terms``: a print of the settings on which safety rests
 Number62 = Annotated[int, Meta(ge=0, lt=1 << 62)]
 Number64 = Annotated[int, Meta(ge=0)]  # MessagePack carries no more than 64 bits, and msgspec no such bound
 Duration = Annotated[int, Meta(ge=0, lt=1 << 50)]
-ControllerNumber = Annotated[int, Meta(ge=0, lt=MOST_CONTROLLERS)]
+ControllerNumber = Annotated[int, Meta(ge=0, lt=MAX_CONTROLLERS)]
 
 
 class Session(NamedTuple):
@@ -62,7 +62,7 @@
 
     def size(self) -> int:
         """Bytes that it takes at most in a message (MessagePack)."""
-        return RECORD_HEAD + len(self.relay)
+        return MAX_RECORD_OVERHEAD_BYTES + len(self.relay)
 
 
 class Acquire(msgspec.Struct, tag="acquire", array_like=True, frozen=True):
@@ -76,7 +76,7 @@
     number: Number62  # rises with each request of the session to this controller
     boot: Number62  # of the controller, as the relay knows it; 0: not yet known
     terms: Number32
-    grants: Annotated[list[Grant], Meta(max_length=MOST_GRANTS)]
+    grants: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]
 
 
 class Renew(msgspec.Struct, tag="renew", array_like=True, frozen=True):
@@ -86,7 +86,7 @@
     number: Number62
     boot: Number62
     terms: Number32
-    count: Annotated[int, Meta(ge=0, le=MOST_PARTITIONS)]
+    count: Annotated[int, Meta(ge=0, le=MAX_PARTITIONS)]
     digest: Number64  # of the grants, see ``digest.py``
 
 
@@ -96,7 +96,7 @@
     session: Session
     number: Number62
     boot: Number62
-    grants: Annotated[list[Grant], Meta(max_length=MOST_GRANTS)]
+    grants: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]
 
 
 class Answer(msgspec.Struct, tag="answer", array_like=True, frozen=True):
@@ -107,8 +107,8 @@
     number: Number62  # of the request
     accepted: bool  # done; after an acquire or renewal the lease runs on from the receipt. False: not ready, see ``boot``
     matches: bool  # False: a renewal whose count and digest are not those on record; it extends nothing
-    granted: Annotated[list[Grant], Meta(max_length=MOST_GRANTS)]  # of a renewal that does not match: some on record
-    refused: Annotated[list[Refusal], Meta(max_length=MOST_GRANTS)]
+    granted: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]  # of a renewal that does not match: some on record
+    refused: Annotated[list[Refusal], Meta(max_length=MAX_GRANTS)]
 
 
 class ReadRecords(msgspec.Struct, tag="read", array_like=True, frozen=True):
@@ -126,8 +126,8 @@
     controller: ControllerNumber
     boot: Number62
     number: Number62  # of the request
-    records: Annotated[list[Record], Meta(max_length=MOST_RECORDS)]
-    following: Annotated[int, Meta(ge=-1, lt=MOST_PARTITIONS)]
+    records: Annotated[list[Record], Meta(max_length=MAX_RECORDS)]
+    following: Annotated[int, Meta(ge=-1, lt=MAX_PARTITIONS)]
 
 
 RelayMessage = Acquire | Renew | Release
--- a/garnetrelay/fleet/leases/settings.py
+++ b/garnetrelay/fleet/leases/settings.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from fractions import Fraction
 
-from garnetrelay.fleet.leases.messages import MOST_CONTROLLERS
+from garnetrelay.fleet.leases.messages import MAX_CONTROLLERS
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-LEAST_CONTROLLERS = 3
-MOST_RATE_ERROR = Fraction(1, 2)
+MIN_CONTROLLERS = 3
+MAX_RATE_ERROR = Fraction(1, 2)
 PROTOCOL = 1  # in the terms: raised when rules change on which safety rests
 
 
@@ -33,10 +33,10 @@
 
     def __post_init__(self) -> None:
         check_partitions(self.partitions)
-        if not LEAST_CONTROLLERS <= self.controllers <= MOST_CONTROLLERS or self.controllers % 2 == 0:
+        if not MIN_CONTROLLERS <= self.controllers <= MAX_CONTROLLERS or self.controllers % 2 == 0:
             raise ValueError(f"controllers: {self.controllers} is not 3, 5, 7 or 9")
-        if not 0 <= self.rate_error <= MOST_RATE_ERROR:
-            raise ValueError(f"rate error: {self.rate_error} is not from 0 to {MOST_RATE_ERROR}")
+        if not 0 <= self.rate_error <= MAX_RATE_ERROR:
+            raise ValueError(f"rate error: {self.rate_error} is not from 0 to {MAX_RATE_ERROR}")
         times = (self.lease, self.renew_every, self.answer_timeout, self.first_retry, self.most_retry)
         if min(times) <= 0 or min(self.write_margin, self.request_gap) < 0:
             raise ValueError("lease times are above 0")
--- a/garnetrelay/fleet/partitions/hashing.py
+++ b/garnetrelay/fleet/partitions/hashing.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-MOST_PARTITIONS = 1 << 16  # messages of leases can carry no higher numbers
+MAX_PARTITIONS = 1 << 16  # messages of leases can carry no higher numbers
 DESTINATION_BYTES = 8
 
 
@@ -22,5 +22,5 @@
 
 def check_partitions(partitions: int) -> None:
     """Raises ValueError unless it is a power of two that messages can carry."""
-    if not 1 <= partitions <= MOST_PARTITIONS or partitions & (partitions - 1):
-        raise ValueError(f"partitions: {partitions} is not a power of two from 1 to {MOST_PARTITIONS}")
+    if not 1 <= partitions <= MAX_PARTITIONS or partitions & (partitions - 1):
+        raise ValueError(f"partitions: {partitions} is not a power of two from 1 to {MAX_PARTITIONS}")
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -10,9 +10,9 @@
 from garnetrelay.fleet.leases.digest import digest
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import (
-    MOST_EPOCH,
-    MOST_EPOCH_STEP,
-    MOST_GRANTS,
+    MAX_EPOCH,
+    MAX_EPOCH_STEP,
+    MAX_GRANTS,
     Acquire,
     Answer,
     Grant,
@@ -137,7 +137,7 @@
     assert controller.grant_table.epochs[3] == 0
 
 
-@pytest.mark.parametrize("epoch", [MOST_EPOCH, MOST_EPOCH_STEP + 1, 0])
+@pytest.mark.parametrize("epoch", [MAX_EPOCH, MAX_EPOCH_STEP + 1, 0])
 def test_one_request_can_not_use_up_a_partitions_epochs(epoch: int) -> None:
     assert _said(_ready(), LEASE, _acquire(S1, 1, [(3, epoch)])).granted == []
 
@@ -376,7 +376,7 @@
 def test_more_records_than_one_answer_lists_are_settled() -> None:
     cluster = Cluster().start_all()
     wishes = list(range(60))
-    assert len(wishes) > MOST_GRANTS
+    assert len(wishes) > MAX_GRANTS
     owner = _owner(cluster, wishes=wishes)
     register = cluster.controllers[0].grant_table
     for partition in (60, 61, 63):
--- a/tests/fleet/leases/test_lease_codec.py
+++ b/tests/fleet/leases/test_lease_codec.py
@@ -11,12 +11,12 @@
 import pytest
 
 from garnetrelay.fleet.leases import codec as lease_codec
-from garnetrelay.fleet.leases.codec import MOST_DATAGRAM, VERSION, Codec
+from garnetrelay.fleet.leases.codec import MAX_DATAGRAM_BYTES, VERSION, Codec
 from garnetrelay.fleet.leases.messages import (
-    MOST_EPOCH,
-    MOST_GRANTS,
-    MOST_RECORDS,
-    RECORDS_SIZE,
+    MAX_EPOCH,
+    MAX_GRANTS,
+    MAX_RECORDS,
+    MAX_RECORDS_BYTES,
     Acquire,
     Answer,
     Grant,
@@ -31,20 +31,20 @@
 )
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MOST_NAME
-from garnetrelay.fleet.partitions.hashing import MOST_PARTITIONS
+from garnetrelay.fleet.partitions.hashing import MAX_PARTITIONS
 from garnetrelay.fleet.signing import HEAD, FrameRefusedError
 
 SECRET, OTHER = b"the secret of the tests", b"a secret of somebody else"
 SESSION = Session("relay-7", (1 << 62) - 1)
-GRANTS = [Grant(partition, 3) for partition in range(MOST_GRANTS)]
+GRANTS = [Grant(partition, 3) for partition in range(MAX_GRANTS)]
 REFUSALS = [Refusal(partition, 3, 10**9) for partition in range(10)]
 RECORDS = [Record(partition, 3, "r7", 5) for partition in range(10)]
 MESSAGES: list[Message] = [
     Acquire(SESSION, 1, 2, 7, GRANTS),
-    Renew(SESSION, 1, 2, 7, MOST_PARTITIONS, (1 << 64) - 1),
+    Renew(SESSION, 1, 2, 7, MAX_PARTITIONS, (1 << 64) - 1),
     Release(SESSION, 1, 2, []),
     Answer(4, 2, 1, True, False, GRANTS[:20], REFUSALS),
-    ReadRecords(0, 2, 1, MOST_PARTITIONS - 1),
+    ReadRecords(0, 2, 1, MAX_PARTITIONS - 1),
     Records(8, 2, 1, RECORDS, -1),
 ]
 
@@ -59,7 +59,7 @@
 def test_every_message_comes_back_as_it_went(message: Message) -> None:
     codec = Codec([SECRET])
     data = codec.encode(message)
-    assert codec.decode(data) == message and len(data) <= MOST_DATAGRAM
+    assert codec.decode(data) == message and len(data) <= MAX_DATAGRAM_BYTES
 
 
 def test_both_secrets_are_good_during_a_change_and_the_first_signs() -> None:
@@ -79,9 +79,9 @@
 
 LONGEST = Session("n" * MOST_NAME, (1 << 62) - 1)
 TOP = (1 << 62) - 1
-TOP_GRANTS = [Grant(MOST_PARTITIONS - 1, MOST_EPOCH)] * MOST_GRANTS
-TOP_REFUSALS = [Refusal(MOST_PARTITIONS - 1, MOST_EPOCH, (1 << 50) - 1)] * MOST_GRANTS
-SHORT_RECORD, LONG_RECORD = (Record(MOST_PARTITIONS - 1, MOST_EPOCH, "n" * size, TOP) for size in (1, MOST_NAME))
+TOP_GRANTS = [Grant(MAX_PARTITIONS - 1, MAX_EPOCH)] * MAX_GRANTS
+TOP_REFUSALS = [Refusal(MAX_PARTITIONS - 1, MAX_EPOCH, (1 << 50) - 1)] * MAX_GRANTS
+SHORT_RECORD, LONG_RECORD = (Record(MAX_PARTITIONS - 1, MAX_EPOCH, "n" * size, TOP) for size in (1, MOST_NAME))
 
 
 @pytest.mark.parametrize(
@@ -89,12 +89,12 @@
     [
         Acquire(LONGEST, TOP, TOP, (1 << 32) - 1, TOP_GRANTS),
         Release(LONGEST, TOP, TOP, TOP_GRANTS),
-        Renew(LONGEST, TOP, TOP, (1 << 32) - 1, MOST_PARTITIONS, (1 << 64) - 1),
+        Renew(LONGEST, TOP, TOP, (1 << 32) - 1, MAX_PARTITIONS, (1 << 64) - 1),
         Answer(8, TOP, TOP, True, True, TOP_GRANTS, []),
         Answer(8, TOP, TOP, True, True, [], TOP_REFUSALS),
         Answer(8, TOP, TOP, True, True, TOP_GRANTS[:24], TOP_REFUSALS[:24]),
-        Records(8, TOP, TOP, [SHORT_RECORD] * min(MOST_RECORDS, RECORDS_SIZE // SHORT_RECORD.size()), 65535),
-        Records(8, TOP, TOP, [LONG_RECORD] * (RECORDS_SIZE // LONG_RECORD.size()), 65535),
+        Records(8, TOP, TOP, [SHORT_RECORD] * min(MAX_RECORDS, MAX_RECORDS_BYTES // SHORT_RECORD.size()), 65535),
+        Records(8, TOP, TOP, [LONG_RECORD] * (MAX_RECORDS_BYTES // LONG_RECORD.size()), 65535),
     ],
 )
 def test_the_longest_messages_fit_a_datagram(message: Message) -> None:
@@ -104,7 +104,7 @@
 
 def test_what_does_not_fit_is_not_sent() -> None:
     with pytest.raises(ValueError, match="Records takes"):
-        Codec([SECRET]).encode(Records(8, TOP, TOP, [LONG_RECORD] * MOST_RECORDS, -1))
+        Codec([SECRET]).encode(Records(8, TOP, TOP, [LONG_RECORD] * MAX_RECORDS, -1))
 
 
 def hostile(draw: random.Random, codec: Codec, good: list[bytes]) -> Iterator[tuple[str, bytes]]:
@@ -114,7 +114,7 @@
         """A good message with one field out of bounds."""
         whole: list[Any] = msgspec.msgpack.decode(draw.choice(good)[HEAD:])
         place = draw.randrange(len(whole))
-        whole[place] = draw.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MOST_GRANTS + 1), None, 1.5, {}])
+        whole[place] = draw.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MAX_GRANTS + 1), None, 1.5, {}])
         return codec.sign(msgspec.msgpack.encode(whole), VERSION)
 
     def damaged() -> bytes:
@@ -155,5 +155,5 @@
 
 def test_the_limit_is_that_of_a_datagram() -> None:
     codec = Codec([SECRET])
-    assert cause(codec, codec.sign(bytes(MOST_DATAGRAM), VERSION)) == "long"
+    assert cause(codec, codec.sign(bytes(MAX_DATAGRAM_BYTES), VERSION)) == "long"
     assert lease_codec.MAGIC != fr.MAGIC
--- a/tests/fleet/leases/test_records_file.py
+++ b/tests/fleet/leases/test_records_file.py
@@ -201,7 +201,7 @@
 @pytest.mark.parametrize("placed", [True, False])
 def test_a_compaction_that_fails_loses_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, placed: bool) -> None:
     """Also where only the sync of the folder's names fails: the short file is in place then."""
-    monkeypatch.setattr(records_file, "LEAST_COMPACTION", 200)
+    monkeypatch.setattr(records_file, "MIN_COMPACTION_BYTES", 200)
     written(tmp_path)
     file = opened(tmp_path)
     with monkeypatch.context() as patched:
