--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -233,7 +233,7 @@
         """It should own these from now on."""
         if self._killed:
             return
-        self._carry_out(self.holder.wish(clock.now(), partitions))
+        self._carry_out(self.holder.set_assigned(clock.now(), partitions))
 
     def kill(self) -> None:
         """End without a word, as a crash does."""
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -79,7 +79,7 @@
     def start(self) -> None:
         """Greet the controllers; partitions are asked for when there is a view to go by."""
         log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
-        self._carry_out(self.holder.wish(clock.now(), ()))
+        self._carry_out(self.holder.set_assigned(clock.now(), ()))
         self.look()
 
     def look(self) -> None:
@@ -166,7 +166,7 @@
         self._assigned_view, self._assigning = view.view, None
         wished = [partition for partition, name in enumerate(self.assigned) if name == self.name]
         log.info("leases: %d of %d partitions should be this relay's", len(wished), len(self.assigned))
-        self._carry_out(self.holder.wish(clock.now(), wished))
+        self._carry_out(self.holder.set_assigned(clock.now(), wished))
         self.look()
 
     def _tick(self) -> None:
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -61,7 +61,7 @@
         leases.name,
         leases.session.number,
         settings.partitions,
-        len(leases.holder.wished),
+        len(leases.holder.assigned),
         len(owned),
         settings.controllers,
         settings.quorum,
@@ -99,7 +99,7 @@
     """The figures of leases, a line each."""
     holder = leases.holder
     rows: list[tuple[str, int]] = [
-        ("partitions_wished", len(holder.wished)),
+        ("partitions_wished", len(holder.assigned)),
         ("partitions_owned", len(holder.owned(now))),
         ("controllers_reached", len(holder.reached(now))),
         ("fenced", leases.fenced),
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -92,7 +92,7 @@
         return self._links
 
     @property
-    def wished(self) -> Collection[int]:
+    def assigned(self) -> Collection[int]:
         """Partitions that it should own."""
         return self._claims.keys()
 
@@ -118,7 +118,7 @@
 
     # ---- what happens
 
-    def wish(self, now: int, partitions: Collection[int]) -> list[HolderEffect]:
+    def set_assigned(self, now: int, partitions: Collection[int]) -> list[HolderEffect]:
         """These are the partitions that it should own from now on; others are released."""
         if self._ended:
             return []
--- a/garnetrelay/laboratory/lease_world.py
+++ b/garnetrelay/laboratory/lease_world.py
@@ -163,7 +163,7 @@
         self.wishes[number] = frozenset(partitions)
         process = self.relays[number]
         if process.up and process.machine is not None:
-            self._do(process, lambda: process.machine.wish(process.clock(self.now), self.wishes[number]))
+            self._do(process, lambda: process.machine.set_assigned(process.clock(self.now), self.wishes[number]))
 
     def _do(self, process: Process, act: Callable[[], list[Any]]) -> None:
         if not process.up:
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -85,7 +85,7 @@
     def begin(self, now: int, above: int) -> None:
         """A round, in an epoch above those that it knows; the round before is given up."""
         if not self._claims:
-            self.wish(now, [0])
+            self.set_assigned(now, [0])
         if self.epoch:
             self._give_up_round(now, 0, self._claims[0])
         self._known[0] = self._known.get(0, 0) + above - 1
--- a/tests/fleet/leases/cluster.py
+++ b/tests/fleet/leases/cluster.py
@@ -70,7 +70,7 @@
         """A new process of a relay."""
         session = Session(name, number)
         holder = self.holders[session] = Holder(session, self.settings, random.Random(f"{name}/{number}"))
-        self.from_holder(session, holder.wish(self.now, wishes))
+        self.from_holder(session, holder.set_assigned(self.now, wishes))
         return holder
 
     def run(self, time: int, until: Callable[[], bool] = lambda: False) -> bool:
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -272,7 +272,7 @@
     cluster = Cluster().start_all()
     first = _owner(cluster)
     old = dict(cluster.folders[0])
-    cluster.from_holder(first.session, first.wish(cluster.now, []))
+    cluster.from_holder(first.session, first.set_assigned(cluster.now, []))
     _owner(cluster, "b", 2)
     cluster.folders[0] = old
     cluster.start(0)
@@ -311,7 +311,7 @@
     cluster.drop = lambda sender, receiver, message: {sender, receiver} & {1, 2} != set()
     cluster.run(LEASE)
     assert not owner.owned(cluster.now)
-    cluster.from_holder(owner.session, owner.wish(cluster.now, [*ALL, 20]))
+    cluster.from_holder(owner.session, owner.set_assigned(cluster.now, [*ALL, 20]))
     cluster.messages.clear()
     cluster.run(60 * SECOND)
     assert not any(isinstance(message, Acquire) for _, _, message in cluster.messages)
@@ -350,7 +350,7 @@
     cluster.run(3 * SECOND)
     assert second.event_counts["rounds given up"]
     assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].grant_table.holders[0] is None)
-    cluster.from_holder(second.session, second.wish(cluster.now, []))
+    cluster.from_holder(second.session, second.set_assigned(cluster.now, []))
     cluster.run(3 * SECOND)
     assert all(not link.votes and not link.unsure for link in second._links)
     assert _owns(cluster, first)
@@ -394,7 +394,7 @@
     relays = [cluster.relay(name, [number], number) for number, name in enumerate("abcdef")]
     for turn in range(12):
         for number, relay in enumerate(relays):
-            cluster.from_holder(relay.session, relay.wish(cluster.now, [(number + turn) % 6]))
+            cluster.from_holder(relay.session, relay.set_assigned(cluster.now, [(number + turn) % 6]))
         cluster.run(5 * SECOND)
         owners = [partition for relay in relays for partition in relay.owned(cluster.now)]
         assert len(owners) == len(set(owners))
@@ -408,7 +408,7 @@
 def test_doubled_and_replayed_messages_change_nothing() -> None:
     cluster = Cluster().start_all()
     first = _owner(cluster)
-    cluster.from_holder(first.session, first.wish(cluster.now, ALL[:4]))
+    cluster.from_holder(first.session, first.set_assigned(cluster.now, ALL[:4]))
     second = _owner(cluster, "b", 2, ALL[4:])
     recorded = list(cluster.messages)
     before = [(list(c.grant_table.epochs), list(c.grant_table.holders)) for c in cluster.controllers.values()]
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -140,16 +140,16 @@
 ) -> None:
     members.change("r1", "r2")
     await wire.begin()
-    before = set(wire.leases.holder.wished)
+    before = set(wire.leases.holder.assigned)
     assert 0 < len(before) < SETTINGS.partitions
     members.condition = condition
     members.change("r1")
     wire.leases.look()
-    assert wire.leases._assigning is None and set(wire.leases.holder.wished) == before
+    assert wire.leases._assigning is None and set(wire.leases.holder.assigned) == before
     members.condition = Condition.UNSETTLED  # from here on they may be: the look is caught up on
     wire.leases.look()
     await wire.assigned()
-    assert len(wire.leases.holder.wished) == SETTINGS.partitions
+    assert len(wire.leases.holder.assigned) == SETTINGS.partitions
 
 
 async def test_an_unchanged_view_is_not_worked_out_again(wire: Wire, members: StandInMembers) -> None:
