--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -65,7 +65,7 @@
         len(owned),
         settings.controllers,
         settings.quorum,
-        leases.holder.reached(now),
+        leases.holder.reached_controllers(now),
     )
     for partition, (epoch, until) in sorted(owned.items()):
         yield OwnedLine(partition, epoch, until, round((until - now) / 1e9, 3))
@@ -83,7 +83,7 @@
 
 def controllers(leases: Leases, now: int) -> Iterator[ControllerLine]:
     """All controllers, by number."""
-    reached = leases.holder.reached(now)
+    reached = leases.holder.reached_controllers(now)
     for link, place in zip(leases.holder.links, leases.config.places, strict=True):
         yield ControllerLine(
             link.controller,
@@ -101,7 +101,7 @@
     rows: list[tuple[str, int]] = [
         ("partitions_wished", len(holder.assigned)),
         ("partitions_owned", len(holder.owned(now))),
-        ("controllers_reached", len(holder.reached(now))),
+        ("controllers_reached", len(holder.reached_controllers(now))),
         ("fenced", leases.fenced),
         ("datagrams_in", leases.datagrams_in),
         ("datagrams_out", leases.datagrams_out),
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -96,7 +96,7 @@
         """Partitions that it should own."""
         return self._claims.keys()
 
-    def reached(self, now: int) -> list[int]:
+    def reached_controllers(self, now: int) -> list[int]:
         """Controllers that accepted a request which still counts."""
         since = now - self._holder_time
         return [link.controller for link in self._links if link.accepted_at is not None and link.accepted_at > since]
@@ -278,7 +278,7 @@
 
     def _begin_rounds(self, now: int) -> None:
         """Nothing new is asked for with no majority within reach, nor is anything given up then."""
-        in_reach = len(self.reached(now)) >= self._quorum
+        in_reach = len(self.reached_controllers(now)) >= self._quorum
         later = now + self.settings.first_retry
         for partition, claim in self._claims.items():
             if claim.epoch and not claim.owned and now >= claim.round_ends:
