--- a/benchmarks/capacity/leases.py
+++ b/benchmarks/capacity/leases.py
@@ -39,7 +39,7 @@
     "session": Session("relay-620", LARGE),
     "number": 1 << 24,  # of requests: a year of them at one in two seconds
     "boot": LARGE,
-    "terms": SETTINGS.terms,
+    "terms": SETTINGS.fingerprint,
     "count": 14,
     "digest": LARGE,
     "controller": 4,
@@ -97,7 +97,7 @@
         grants = [Grant(partition, 1) for partition in range(number, SETTINGS.partitions, relays)]
         for start in range(0, len(grants), GRANTS):
             part = grants[start : start + GRANTS]
-            request = Acquire(session, 1 + start // GRANTS, 1, SETTINGS.terms, part)
+            request = Acquire(session, 1 + start // GRANTS, 1, SETTINGS.fingerprint, part)
             (answer,) = answers(controller, now, controller.receive(now, request))
             if answer.granted != part:
                 raise RuntimeError(f"granted {len(answer.granted)} of {len(part)}")
@@ -114,7 +114,7 @@
     held = acquired(controller, relays, now)
     memory = settled() - before
     requests = [
-        codec.encode(Renew(session, 1_000 + turn, 1, SETTINGS.terms, len(grants), digest(grants)))
+        codec.encode(Renew(session, 1_000 + turn, 1, SETTINGS.fingerprint, len(grants), digest(grants)))
         for turn in range(ROUNDS)
         for session, grants in held
     ]
--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -86,7 +86,7 @@
         answer_timeout=answer_timeout,
         request_gap=min(DEFAULT.request_gap, answer_timeout),
         first_retry=renew_every * DEFAULT.first_retry // DEFAULT.renew_every,
-        most_retry=renew_every * DEFAULT.most_retry // DEFAULT.renew_every,
+        max_retry=renew_every * DEFAULT.max_retry // DEFAULT.renew_every,
     )
     room = found.holder_time - renew_every - answer_timeout
     if write_margin > room:
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -145,7 +145,7 @@
             self._recovery_ticket = None
             for reading in self._recovery.sources.values():
                 reading.following, reading.number = max(0, reading.following), None
-                reading.retry_at = now + self.settings.most_retry
+                reading.retry_at = now + self.settings.max_retry
             return [line]
         write = self._writes.pop(ticket, None)
         if write is None:
@@ -156,7 +156,7 @@
                 del self._unwritten[record.partition]
                 if self.grant_table.record(record.partition) == record:
                     self.grant_table.put(record.partition, record.epoch, None)
-            refused.append(Refusal(record.partition, record.epoch, self.settings.most_retry))
+            refused.append(Refusal(record.partition, record.epoch, self.settings.max_retry))
         lost = {record.partition for record in write.records}
         granted = [grant for grant in write.answer.granted if grant.partition not in lost]
         return [line, SendToRelay(write.session, self._answer(write.answer.number, granted=granted, refused=refused))]
@@ -172,7 +172,7 @@
         if request.boot not in (0, self.boot):
             self.event_counts["other boot"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
-        if not isinstance(request, Release) and request.terms != self.settings.terms:
+        if not isinstance(request, Release) and request.fingerprint != self.settings.fingerprint:
             return self._other_terms(request, source)
         if not self.ready or (known is None and len(self.grant_table.sessions) >= MAX_SESSIONS):
             self.event_counts["not ready" if not self.ready else "too many sessions"] += 1
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -64,7 +64,7 @@
         self._random = random
         self._holder_time = settings.holder_time
         self._quorum = settings.quorum
-        self._links = [Link(number, session, settings.terms) for number in range(settings.controllers)]
+        self._links = [Link(number, session, settings.fingerprint) for number in range(settings.controllers)]
         self._claims: dict[int, _Claim] = {}
         self._known: dict[int, int] = {}  # the highest epoch by partition that was heard of or used here
         self._refused: dict[int, dict[int, int]] = {}  # by partition and controller: until when, in this round
@@ -383,8 +383,8 @@
         link.send_at = now + min(self._backoff(now, link.failures), self.settings.renew_every)
 
     def _backoff(self, now: int, failures: int) -> int:
-        """first_retry, doubled with each failure after the first up to most_retry; the second half of it is drawn."""
-        time = min(self.settings.first_retry << min(failures - 1, MAX_DOUBLINGS), self.settings.most_retry)
+        """first_retry, doubled with each failure after the first up to max_retry; the second half of it is drawn."""
+        time = min(self.settings.first_retry << min(failures - 1, MAX_DOUBLINGS), self.settings.max_retry)
         return time // 2 + self._part_of(now, time - time // 2)
 
     def _part_of(self, now: int, time: int) -> int:
--- a/garnetrelay/fleet/leases/link.py
+++ b/garnetrelay/fleet/leases/link.py
@@ -36,7 +36,7 @@
 
     controller: int
     session: Session
-    terms: int
+    fingerprint: int
     boot: int = 0
     number: int = 0
     request: Request | None = None
@@ -52,14 +52,14 @@
         """A renewal of all votes."""
         snapshot = {partition: vote.epoch for partition, vote in self.votes.items()}
         number = self._next()
-        message = Renew(self.session, number, self.boot, self.terms, len(snapshot), digest(snapshot.items()))
+        message = Renew(self.session, number, self.boot, self.fingerprint, len(snapshot), digest(snapshot.items()))
         return self._begin(message, now, ends_at, snapshot)
 
     def acquire(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
         """Asks for grants."""
         for grant in grants:
             self.unsure[grant.partition] = grant.epoch
-        return self._begin(Acquire(self.session, self._next(), self.boot, self.terms, grants), now, ends_at, {})
+        return self._begin(Acquire(self.session, self._next(), self.boot, self.fingerprint, grants), now, ends_at, {})
 
     def release(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
         """Gives grants up; none named: all."""
--- a/garnetrelay/fleet/leases/messages.py
+++ b/garnetrelay/fleet/leases/messages.py
@@ -75,7 +75,7 @@
     session: Session
     number: Number62  # rises with each request of the session to this controller
     boot: Number62  # of the controller, as the relay knows it; 0: not yet known
-    terms: Number32
+    fingerprint: Number32
     grants: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]
 
 
@@ -85,7 +85,7 @@
     session: Session
     number: Number62
     boot: Number62
-    terms: Number32
+    fingerprint: Number32
     count: Annotated[int, Meta(ge=0, le=MAX_PARTITIONS)]
     digest: Number64  # of the grants, see ``digest.py``
 
--- a/garnetrelay/fleet/leases/recovery.py
+++ b/garnetrelay/fleet/leases/recovery.py
@@ -51,7 +51,7 @@
     @property
     def complete(self) -> bool:
         """Whether enough others were read to the end."""
-        return sum(source.following < 0 for source in self.sources.values()) >= self.settings.sources
+        return sum(source.following < 0 for source in self.sources.values()) >= self.settings.min_recovery_sources
 
     @property
     def next_at(self) -> int:
--- a/garnetrelay/fleet/leases/settings.py
+++ b/garnetrelay/fleet/leases/settings.py
@@ -28,8 +28,8 @@
     write_margin: int = 200 * MS  # an owner stops so long before its end: from the look to the first byte
     answer_timeout: int = SECOND
     request_gap: int = 50 * MS  # between two requests to one controller, at least
-    first_retry: int = 500 * MS  # doubles up to ``most_retry``; each with a random part
-    most_retry: int = 8 * SECOND
+    first_retry: int = 500 * MS  # doubles up to ``max_retry``; each with a random part
+    max_retry: int = 8 * SECOND
 
     def __post_init__(self) -> None:
         check_partitions(self.partitions)
@@ -37,11 +37,11 @@
             raise ValueError(f"controllers: {self.controllers} is not 3, 5, 7 or 9")
         if not 0 <= self.rate_error <= MAX_RATE_ERROR:
             raise ValueError(f"rate error: {self.rate_error} is not from 0 to {MAX_RATE_ERROR}")
-        times = (self.lease, self.renew_every, self.answer_timeout, self.first_retry, self.most_retry)
+        times = (self.lease, self.renew_every, self.answer_timeout, self.first_retry, self.max_retry)
         if min(times) <= 0 or min(self.write_margin, self.request_gap) < 0:
             raise ValueError("lease times are above 0")
-        if self.first_retry > self.most_retry:
-            raise ValueError("first_retry is above most_retry")
+        if self.first_retry > self.max_retry:
+            raise ValueError("first_retry is above max_retry")
         if self.renew_every + self.answer_timeout + self.write_margin > self.holder_time:
             raise ValueError(
                 f"lease: {self.lease} ns is too short to renew every {self.renew_every} ns with a timeout and the margin"
@@ -53,7 +53,7 @@
         return self.controllers // 2 + 1
 
     @property
-    def sources(self) -> int:
+    def min_recovery_sources(self) -> int:
         """Other controllers whose records a starting one reads: any such set meets the rest of every quorum."""
         return self.controllers - self.quorum + 1
 
@@ -67,7 +67,7 @@
         return int(self.lease * (1 - self.rate_error) / (1 + self.rate_error))
 
     @property
-    def terms(self) -> int:
+    def fingerprint(self) -> int:
         """32 bits that stand for what all must agree on: controllers, partitions, lease, rate error."""
         text = f"{PROTOCOL} {self.controllers} {self.partitions} {self.lease} {self.rate_error}"
         return zlib.crc32(text.encode())
--- a/garnetrelay/laboratory/lease_faults.py
+++ b/garnetrelay/laboratory/lease_faults.py
@@ -63,7 +63,7 @@
             world.at(world.now + self.draw.randrange(FAULTS_LAST), self.fault)
         world.run(last)
         self.mend()
-        within = 3 * settings.lease + 2 * settings.most_retry
+        within = 3 * settings.lease + 2 * settings.max_retry
         world.run(last + within, self.all_owned)
         owned = world.now - last if self.all_owned() else None
         return Outcome(world.problems, owned, sum(process.machine.event_counts["gained"] for process in world.relays))
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -26,7 +26,7 @@
     answer_timeout=1,
     request_gap=0,
     first_retry=1,
-    most_retry=1,
+    max_retry=1,
 )
 DRIFT = dataclasses.replace(SETTINGS, lease=4, rate_error=Fraction(1, 3))
 RELAYS = ("a", "b")
@@ -38,7 +38,7 @@
     "settings",
     "event_counts",
     "session",
-    "terms",
+    "fingerprint",
     "tries",
     "retry_at",
     "round_ends",
--- a/tests/fleet/leases/planted.py
+++ b/tests/fleet/leases/planted.py
@@ -138,7 +138,7 @@
         return 1
 
     @property
-    def sources(self) -> int:
+    def min_recovery_sources(self) -> int:
         return 2
 
 
--- a/tests/fleet/leases/test_controller_options.py
+++ b/tests/fleet/leases/test_controller_options.py
@@ -42,7 +42,7 @@
     found = controller.read(written(tmp_path, GOOD + figures))
     fleet = options.read(written(tmp_path, RELAY + figures + "renew_every_ms = 500\nwrite_margin_ms = 10\n"), "r1")[1]
     assert fleet is not None and fleet.leases is not None
-    assert fleet.leases.settings.terms == found.settings.terms and fleet.leases.places == found.places
+    assert fleet.leases.settings.fingerprint == found.settings.fingerprint and fleet.leases.places == found.places
     assert (fleet.leases.settings.renew_every, fleet.leases.settings.write_margin) == (500 * MS, 10 * MS)
 
 
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -33,7 +33,7 @@
 ALL = list(range(8))
 LEASE = SETTINGS.lease
 S1, S2 = Session("a", 1), Session("b", 2)
-TERMS = SETTINGS.terms
+TERMS = SETTINGS.fingerprint
 
 
 def _owns(cluster: Cluster, holder: Holder, partitions: list[int] = ALL) -> bool:
@@ -451,7 +451,7 @@
     cluster.run(SECOND)
     cluster.from_holder(first.session, first.release_all(cluster.now))
     assert not first.owned(cluster.now)
-    assert cluster.run(SETTINGS.most_retry, lambda: _owns(cluster, second))
+    assert cluster.run(SETTINGS.max_retry, lambda: _owns(cluster, second))
 
 
 def test_requests_are_few_while_all_is_refused() -> None:
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -46,7 +46,7 @@
     assert _owns(cluster, first) and not second.owned(cluster.now)
     cluster.from_holder(first.session, first.set_assigned(cluster.now, []))
     assert not first.owned(cluster.now)
-    assert cluster.run(SETTINGS.most_retry + SECOND, lambda: _owns(cluster, second))
+    assert cluster.run(SETTINGS.max_retry + SECOND, lambda: _owns(cluster, second))
     assert min(ownership.epoch for ownership in second.owned(cluster.now).values()) > 1
 
 
--- a/tests/scale/test_control_scale.py
+++ b/tests/scale/test_control_scale.py
@@ -24,7 +24,7 @@
     controller, now = leases.ready(), leases.MOST_WAIT
     held = leases.acquired(controller, relays, now)
     session, grants = held[0]
-    request = Renew(session, 1_000, 1, leases.SETTINGS.terms, len(grants), digest(grants))
+    request = Renew(session, 1_000, 1, leases.SETTINGS.fingerprint, len(grants), digest(grants))
     return calls(lambda: controller.receive(now, request))
 
 
