--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -77,8 +77,8 @@
         if config.operators is not None:
             self._front = Front(Staff(self))
             await self._front.start(config.operators)
-        if self.records.cut_bytes:
-            log.warning("controller: a torn write of %d bytes was cut", self.records.cut_bytes)
+        if self.records.truncated_bytes:
+            log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
         self.controller = Controller(
             config.number,
             secrets.randbits(62),
@@ -86,7 +86,7 @@
             found or [],
             clock.now(),
             found is None,
-            self.records.last_lease,
+            self.records.previous_lease,
         )
         log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
         self._tick()
@@ -176,7 +176,9 @@
             await self._loop.run_in_executor(self._thread, self.records.append, records)
         except OSError as error:
             failure = error
-        except Exception as broken:  # RecordsBrokenError, or a fault of ours: either way nothing is sure of the file
+        except (
+            Exception
+        ) as broken:  # RecordsStateUnknownError, or a fault of ours: either way nothing is sure of the file
             self._broken = broken
             self._finished.set()
             return
--- a/garnetrelay/fleet/controller/records_file.py
+++ b/garnetrelay/fleet/controller/records_file.py
@@ -21,7 +21,7 @@
 from garnetrelay.fleet.leases.messages import Record
 from garnetrelay.store.storage import Folder, FolderTakenError
 
-FILE = "grants"
+FILE_NAME = "grants"
 MAGIC = b"GRLEASES"
 VERSION = 1
 HEADER = struct.Struct(">8sHHIQII")
@@ -40,7 +40,7 @@
     """A file that a controller must not start with; one plain line."""
 
 
-class RecordsBrokenError(RecordsError):
+class RecordsStateUnknownError(RecordsError):
     """Nothing is sure of the file any more: the process has to end."""
 
 
@@ -49,10 +49,10 @@
 
     def __init__(self, folder: Path, controller: int, partitions: int, lease: int) -> None:
         """``lease`` in nanoseconds."""
-        self.path = folder / FILE
-        self.cut_bytes = 0  # of a torn write, at the start
+        self.path = folder / FILE_NAME
+        self.truncated_bytes = 0  # of a torn write, at the start
         self.compactions = 0
-        self.last_lease = 0  # the longest for which the file's processes may have granted; ns
+        self.previous_lease = 0  # the longest for which the file's processes may have granted; ns
         self._folder = Folder(folder)
         self._controller = controller
         self._partitions = partitions
@@ -70,7 +70,7 @@
         """Write a valid file without records; RecordsError where there is one, OSError where it can't be."""
         self._claim()
         try:
-            if FILE in self._folder.names():
+            if FILE_NAME in self._folder.names():
                 raise RecordsError(f"{self.path}: there is one already: it is initialized once, and never anew")
             self._create({})
         finally:
@@ -89,10 +89,11 @@
             raise
 
     def append(self, records: Iterable[Record]) -> None:
-        """Make them durable; OSError where that can't be: none of them is on disk then.
+        """Makes records durable.
 
-        RecordsBrokenError where even that is not sure: a grant that the controller takes for not given might be on record
-        after its next start, so that this process must not answer anybody any more.
+        Raises OSError if the write fails and has been undone: none of the records is on disk then. Raises
+        RecordsStateUnknownError if the undo fails too: a grant that the controller reports as refused might be on record
+        after the next start, so the process must stop answering.
         """
         records = list(records)
         latest = self._latest | {record.partition: record for record in records}
@@ -116,9 +117,9 @@
             raise RecordsError(f"{self._folder.path}: another controller works on this folder") from None
 
     def _read(self) -> list[Record] | None:
-        if FILE not in self._folder.names():
+        if FILE_NAME not in self._folder.names():
             return None
-        data = self._folder.read(FILE)
+        data = self._folder.read(FILE_NAME)
         snapshot = self._check_header(data)
         batches, end = _scan(data, self.path, snapshot)
         for batch in batches:
@@ -126,10 +127,10 @@
                 if record.partition >= self._partitions:
                     raise RecordsError(f"{self.path}: a record of partition {record.partition} of {self._partitions}")
                 self._latest[record.partition] = record
-        self.cut_bytes = len(data) - end
+        self.truncated_bytes = len(data) - end
         self._size = end
         self._set_limit(snapshot)
-        if self._lease > self.last_lease:
+        if self._lease > self.previous_lease:
             self._create(self._latest)  # from now on grants may last longer: that has to be on record first
         return list(self._latest.values())
 
@@ -137,7 +138,7 @@
         """Bytes of the snapshot."""
         if len(data) < HEADER.size:
             raise RecordsError(f"{self.path}: damaged: no header")
-        magic, version, controller, partitions, self.last_lease, snapshot, checksum = HEADER.unpack_from(data)
+        magic, version, controller, partitions, self.previous_lease, snapshot, checksum = HEADER.unpack_from(data)
         if magic != MAGIC or zlib.crc32(data[: HEADER.size - 4]) != checksum:
             raise RecordsError(f"{self.path}: damaged: no header of a controller's records")
         if version != VERSION:
@@ -150,16 +151,16 @@
 
     def _append(self, data: bytes) -> None:
         try:
-            self._folder.cut(FILE, self._size, data)
+            self._folder.cut(FILE_NAME, self._size, data)
         except OSError:
-            self._undo(lambda: self._folder.cut(FILE, self._size, b""))
+            self._undo(lambda: self._folder.cut(FILE_NAME, self._size, b""))
             raise
         self._size += len(data)
 
     def _create(self, latest: dict[int, Record]) -> None:
         data, snapshot = self._whole(latest)
         try:
-            self._folder.replace(FILE, data, sync=True)
+            self._folder.replace(FILE_NAME, data, sync=True)
         except OSError:
             if not self._size:
                 self._undo(self._remove)
@@ -171,18 +172,20 @@
         try:
             undo()
         except OSError as error:
-            raise RecordsBrokenError(f"{self.path}: a write that failed can't be undone: {error.strerror}") from None
+            raise RecordsStateUnknownError(
+                f"{self.path}: a write that failed can't be undone: {error.strerror}"
+            ) from None
 
     def _remove(self) -> None:
-        if FILE in self._folder.names():
-            self._folder.remove(FILE)
+        if FILE_NAME in self._folder.names():
+            self._folder.remove(FILE_NAME)
         self._folder.sync_names()
 
     def _compact(self) -> None:
         """Put a short file in the place of a long one; where that fails the long one goes on."""
         data, snapshot = self._whole(self._latest)
         try:
-            self._folder.replace(FILE, data, sync=True)
+            self._folder.replace(FILE_NAME, data, sync=True)
         except OSError:
             if not self._in_place(data):
                 self._compact_at = self._size * 2
@@ -194,9 +197,9 @@
     def _in_place(self, data: bytes) -> bool:
         """Whether a file that was to be put in place is there all the same: both say the same."""
         try:
-            return self._folder.read(FILE) == data
+            return self._folder.read(FILE_NAME) == data
         except OSError as error:
-            raise RecordsBrokenError(f"{self.path}: {error.strerror}") from None
+            raise RecordsStateUnknownError(f"{self.path}: {error.strerror}") from None
 
     def _whole(self, latest: dict[int, Record]) -> tuple[bytes, int]:
         """A file with these records alone, and the bytes of its snapshot."""
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -52,9 +52,9 @@
 class Controller:
     """The decisions of one controller process.
 
-    ``boot``: a random number of this process. ``records``: what its folder holds. ``folder_was_empty``: the folder holds
-    nothing valid, not even what ``initialize`` writes. ``last_lease``: the lease of the process before, where the folder
-    tells it and settings have changed (ns).
+    ``boot``: the random number of this process. ``records``: the records read from its folder. ``folder_was_empty``:
+    the folder had no valid file, not even the empty one that ``initialize`` writes. ``previous_lease``: the lease
+    duration (ns) of the previous process, if the folder has it and the settings have changed.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         records: Iterable[Record],
         now: int,
         folder_was_empty: bool,
-        last_lease: int = 0,
+        previous_lease: int = 0,
     ) -> None:
         self.number = number
         self.boot = boot
@@ -74,7 +74,7 @@
         own = {record.partition: record for record in records if record.partition < settings.partitions}
         self.grant_table = GrantTable(settings.partitions)
         self.grant_table.load(own.values())
-        wait = now + max(settings.lease, last_lease)
+        wait = now + max(settings.lease, previous_lease)
         self._recovery: Recovery | None = Recovery(number, boot, settings, wait, own)
         self._recovery_ticket: int | None = None
         self._tells_records = not folder_was_empty
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -15,7 +15,7 @@
 
 from garnetrelay.config import controller as options
 from garnetrelay.fleet.controller.process import ControllerProcess, Staff
-from garnetrelay.fleet.controller.records_file import RecordsBrokenError, RecordsFile
+from garnetrelay.fleet.controller.records_file import RecordsFile, RecordsStateUnknownError
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
@@ -178,7 +178,7 @@
         )
         async with asyncio.timeout(PATIENCE):
             await asyncio.wait([trio.runs[0]])
-        with pytest.raises(RecordsBrokenError, match="can't be undone"):
+        with pytest.raises(RecordsStateUnknownError, match="can't be undone"):
             trio.runs[0].result()
         assert trio.asker.answers.empty()
 
--- a/tests/fleet/leases/test_records_file.py
+++ b/tests/fleet/leases/test_records_file.py
@@ -9,7 +9,7 @@
 import pytest
 
 from garnetrelay.fleet.controller import records_file
-from garnetrelay.fleet.controller.records_file import FILE, RecordsBrokenError, RecordsError, RecordsFile
+from garnetrelay.fleet.controller.records_file import FILE_NAME, RecordsError, RecordsFile, RecordsStateUnknownError
 from garnetrelay.fleet.leases.messages import Record
 
 LEASE = 15 * 10**9
@@ -40,7 +40,7 @@
     for batch in (FIRST, SECOND, THIRD):
         file.append(batch)
     file.close()
-    return (folder / FILE).read_bytes()
+    return (folder / FILE_NAME).read_bytes()
 
 
 def test_the_latest_record_of_each_partition_is_read(tmp_path: Path) -> None:
@@ -59,7 +59,7 @@
 
 def test_a_first_write_into_an_empty_folder_makes_the_file(tmp_path: Path) -> None:
     file = opened(tmp_path)
-    assert not (tmp_path / FILE).exists()
+    assert not (tmp_path / FILE_NAME).exists()
     file.append(FIRST)
     file.append(SECOND)
     file.close()
@@ -70,23 +70,23 @@
     whole = written(tmp_path)
     cut_from = len(whole) - records_file.BATCH.size - len(records_file._encoder.encode(THIRD))
     for end in range(cut_from + 1, len(whole)):
-        (tmp_path / FILE).write_bytes(whole[:end])
+        (tmp_path / FILE_NAME).write_bytes(whole[:end])
         file = RecordsFile(tmp_path, 3, 64, LEASE)
-        assert file.open() == [FIRST[0], *SECOND] and file.cut_bytes == end - cut_from
+        assert file.open() == [FIRST[0], *SECOND] and file.truncated_bytes == end - cut_from
         file.append(THIRD)  # it goes on from there
         file.close()
-        assert (tmp_path / FILE).read_bytes() == whole
+        assert (tmp_path / FILE_NAME).read_bytes() == whole
 
 
 def test_damage_in_the_middle_is_refused_at_every_byte(tmp_path: Path) -> None:
     whole = written(tmp_path)
     last = len(whole) - records_file.BATCH.size - len(records_file._encoder.encode(THIRD))
     for place in range(last):
-        (tmp_path / FILE).write_bytes(whole[:place] + bytes([whole[place] ^ 0x55]) + whole[place + 1 :])
+        (tmp_path / FILE_NAME).write_bytes(whole[:place] + bytes([whole[place] ^ 0x55]) + whole[place + 1 :])
         with pytest.raises(RecordsError) as refused:
             read(tmp_path)
-        assert str(tmp_path / FILE) in str(refused.value) and "\n" not in str(refused.value)
-    (tmp_path / FILE).write_bytes(whole)
+        assert str(tmp_path / FILE_NAME) in str(refused.value) and "\n" not in str(refused.value)
+    (tmp_path / FILE_NAME).write_bytes(whole)
     assert read(tmp_path) == [FIRST[0], *SECOND, *THIRD]  # the folder was let go of each time, and is as it was
 
 
@@ -94,9 +94,9 @@
     file = opened(tmp_path)
     file.append(FIRST)  # a snapshot alone
     file.close()
-    whole = (tmp_path / FILE).read_bytes()
+    whole = (tmp_path / FILE_NAME).read_bytes()
     for data in (whole[:-1], whole[: records_file.HEADER.size], whole[:-1] + bytes([whole[-1] ^ 1])):
-        (tmp_path / FILE).write_bytes(data)
+        (tmp_path / FILE_NAME).write_bytes(data)
         with pytest.raises(RecordsError, match="damaged at byte"):
             read(tmp_path)
 
@@ -140,7 +140,7 @@
         patched.setattr(os, "write", half_full)
         with pytest.raises(OSError, match="No space left"):
             file.append([Record(9, 9, "r9", 9)])
-    assert (tmp_path / FILE).read_bytes() == whole
+    assert (tmp_path / FILE_NAME).read_bytes() == whole
     file.append([Record(8, 1, "r8", 8)])
     file.close()
     found = read(tmp_path)
@@ -164,7 +164,7 @@
         patched.setattr(os, "fsync", fails_once)
         with pytest.raises(OSError, match="Input/output"):
             file.append([Record(9, 9, "r9", 9)])
-    assert (tmp_path / FILE).read_bytes() == whole
+    assert (tmp_path / FILE_NAME).read_bytes() == whole
 
 
 @pytest.mark.parametrize("first", [True, False])
@@ -180,7 +180,7 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(os, "fsync", fails)
-        with pytest.raises(RecordsBrokenError, match="can't be undone"):
+        with pytest.raises(RecordsStateUnknownError, match="can't be undone"):
             file.append(FIRST)
 
 
@@ -190,7 +190,7 @@
         file.append([Record(epoch % 64, epoch, "r1", 1)])
         if file.compactions:
             break
-    assert file.compactions == 1 and file.size == (tmp_path / FILE).stat().st_size < 4096
+    assert file.compactions == 1 and file.size == (tmp_path / FILE_NAME).stat().st_size < 4096
     file.append(THIRD)
     file.close()
     found = read(tmp_path)
@@ -222,13 +222,13 @@
 
 
 def test_the_longest_lease_is_on_record_before_anything_is_granted_for_it(tmp_path: Path) -> None:
-    def last_lease(lease: int) -> int:
+    def previous_lease(lease: int) -> int:
         file = RecordsFile(tmp_path, 3, 64, lease)
         assert file.open() == [FIRST[0], *SECOND, *THIRD]
         file.close()
-        return file.last_lease
+        return file.previous_lease
 
     written(tmp_path)
-    assert last_lease(LEASE) == LEASE
-    assert last_lease(2 * LEASE) == LEASE  # that of the process before
-    assert last_lease(LEASE) == 2 * LEASE == last_lease(LEASE)
+    assert previous_lease(LEASE) == LEASE
+    assert previous_lease(2 * LEASE) == LEASE  # that of the process before
+    assert previous_lease(LEASE) == 2 * LEASE == previous_lease(LEASE)
