--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -75,7 +75,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
         place = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = Front(Staff(self))
+            self._front = Front(OperatorCommands(self))
             await self._front.start(config.operators)
         if self.records.truncated_bytes:
             log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
@@ -196,8 +196,8 @@
             self._carry_out(self.controller.not_written(clock.now(), ticket, failure.strerror or str(failure)))
 
 
-class Staff:
-    """What staff may ask of a controller, by the calls that a relay knows."""
+class OperatorCommands:
+    """The operator commands that a controller answers, with the interface that relays use."""
 
     def __init__(self, process: ControllerProcess) -> None:
         self._process = process
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, SendToController, Session
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.members.view import FleetView
-from garnetrelay.fleet.partitions.assignment import NOBODY, Assignment
+from garnetrelay.fleet.partitions.assignment import NO_OWNER, Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
 from garnetrelay.fleet.signing import FrameRefusedError
 from garnetrelay.ownership import Ownership
@@ -142,7 +142,7 @@
 
     def should_own(self, partition: int) -> str:
         """Who should, by the last view that was relied on; empty: nobody is known."""
-        return self.assigned[partition] if self.assigned else NOBODY
+        return self.assigned[partition] if self.assigned else NO_OWNER
 
     # ---- what happens
 
--- a/garnetrelay/fleet/partitions/assignment.py
+++ b/garnetrelay/fleet/partitions/assignment.py
@@ -25,7 +25,7 @@
 RING = 1 << 64
 PARTITION_SEED = 1  # so that no partition's point is a relay's
 FEW = 8  # relays whose points are put in or taken out one by one
-NOBODY = ""
+NO_OWNER = ""
 
 
 def load_limit(members: int, partitions: int) -> int:
@@ -34,7 +34,7 @@
 
 
 def assign(members: Collection[str], partitions: int) -> tuple[str, ...]:
-    """The owner of each partition; ``NOBODY`` for all where there are no members."""
+    """The owner of each partition; ``NO_OWNER`` for all where there are no members."""
     return Assignment(partitions).change(members)
 
 
@@ -53,7 +53,7 @@
         self._ring: list[tuple[int, str]] = []  # sorted
         self._places: list[int] = []  # the points alone
         self._held: dict[str, list[tuple[int, int]]] = {}  # heaps of (-distance, -partition): the farthest first
-        self._owners = [NOBODY] * partitions
+        self._owners = [NO_OWNER] * partitions
         self._limit = 0
 
     @property
@@ -94,7 +94,7 @@
     def _place_all(self) -> None:
         self._held = {name: [] for name in self._members}
         if not self._members:
-            self._owners = [NOBODY] * len(self._points)
+            self._owners = [NO_OWNER] * len(self._points)
             return
         self._propose(range(len(self._points)))
 
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -14,7 +14,7 @@
 import pytest
 
 from garnetrelay.config import controller as options
-from garnetrelay.fleet.controller.process import ControllerProcess, Staff
+from garnetrelay.fleet.controller.process import ControllerProcess, OperatorCommands
 from garnetrelay.fleet.controller.records_file import RecordsFile, RecordsStateUnknownError
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
@@ -143,7 +143,7 @@
         answer = await trio.asker.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("said")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "said"]
-        figures = Staff(first).figures()
+        figures = OperatorCommands(first).figures()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
             assert f"controller_{line}\n" in figures
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
@@ -161,7 +161,7 @@
             answer = await trio.asker.acquire(first, Grant(3, 1))
             assert not answer.granted and [refusal.partition for refusal in answer.refused] == [3]
             assert any("records not written: No space left on device" in line for line in trio.log.lines)
-            assert "controller_writes_failed 1\n" in Staff(first).figures()
+            assert "controller_writes_failed 1\n" in OperatorCommands(first).figures()
         assert (await trio.asker.acquire(first, Grant(3, 2))).granted == [Grant(3, 2)]
     assert on_disk(first) == [Record(3, 2, "r1", 77)]
 
@@ -199,12 +199,12 @@
             place, Renew(SESSION, 3, first.controller.boot if first.controller else 0, terms, 0, 0)
         )
         assert answer.accepted
-        staff = Staff(first)
-        staff.health()
+        commands = OperatorCommands(first)
+        commands.health()
         with pytest.raises(CallRefusedError):
-            staff.fleet(["MEMBERS"])
+            commands.fleet(["MEMBERS"])
         with pytest.raises(CallRefusedError):
-            staff.exclude("s-1", True)
+            commands.exclude("s-1", True)
 
 
 async def test_what_comes_while_a_write_runs_shares_the_next_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/partitions/test_assignment.py
+++ b/tests/fleet/partitions/test_assignment.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from garnetrelay.fleet.partitions.assignment import NOBODY, Assignment, assign, load_limit
+from garnetrelay.fleet.partitions.assignment import NO_OWNER, Assignment, assign, load_limit
 from garnetrelay.fleet.partitions.hashing import check_partitions, partition_of
 
 PARTITIONS = 2048
@@ -44,7 +44,7 @@
 
 
 def test_nobody_owns_where_there_are_no_members() -> None:
-    assert set(assign([], 16)) == {NOBODY}
+    assert set(assign([], 16)) == {NO_OWNER}
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 7, 40, 120])
