--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -44,7 +44,7 @@
         ...
 
 
-class Leases:
+class LeaseService:
     """One session of one relay."""
 
     def __init__(
@@ -64,7 +64,7 @@
         self.refused: Counter[str] = Counter()
         self.datagrams_in = self.datagrams_out = self.bytes_in = self.bytes_out = 0
         self.fenced = 0
-        self.assigned: tuple[str, ...] = ()  # who should own each partition, by the last view that was relied on
+        self.assigned_relays: tuple[str, ...] = ()  # who should own each partition, by the last view that was relied on
         self._members = members
         self._send = send
         self._loop = asyncio.get_running_loop()
@@ -80,9 +80,9 @@
         """Greet the controllers; partitions are asked for when there is a view to go by."""
         log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
         self._carry_out(self.holder.set_assigned(clock.now(), ()))
-        self.look()
+        self.on_view_change()
 
-    def look(self) -> None:
+    def on_view_change(self) -> None:
         """The view may have changed. Where its numbers can't be relied on, the wishes stay as they are: relays on both
         sides of a cut would take each other's partitions for free otherwise, and ask for what they can't get."""
         if self._closed or self._assigning is not None or self._members.view == self._assigned_view:
@@ -91,7 +91,7 @@
         if view.relies.count:
             self._assigning = self._loop.create_task(self._assign(view))
 
-    def leave(self) -> None:
+    def release_all(self) -> None:
         """Give all up: this session is over."""
         self._carry_out(self.holder.release_all(clock.now()))
 
@@ -99,14 +99,14 @@
         """The same, and do nothing any more."""
         if self._closed:
             return
-        self.leave()
+        self.release_all()
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
         if self._assigning is not None:
             self._assigning.cancel()
 
-    def read_secrets(self, shared_secrets: list[bytes]) -> None:
+    def set_secrets(self, shared_secrets: list[bytes]) -> None:
         """They have changed."""
         self.codec = Codec(shared_secrets)
 
@@ -140,13 +140,13 @@
         """The partition of a destination."""
         return partition_of(destination, self.config.settings.partitions)
 
-    def should_own(self, partition: int) -> str:
+    def assigned_relay(self, partition: int) -> str:
         """Who should, by the last view that was relied on; empty: nobody is known."""
-        return self.assigned[partition] if self.assigned else NO_OWNER
+        return self.assigned_relays[partition] if self.assigned_relays else NO_OWNER
 
     # ---- what happens
 
-    def hear(self, data: bytes, source: Place) -> None:
+    def receive(self, data: bytes, source: Place) -> None:
         """A datagram of this protocol."""
         self.datagrams_in += 1
         self.bytes_in += len(data)
@@ -162,12 +162,12 @@
 
     async def _assign(self, view: FleetView) -> None:
         """Off the loop: with hundreds of members it takes longer than a client's answer may wait."""
-        self.assigned = await self._loop.run_in_executor(None, self._assignment.change, frozenset(view.zones))
+        self.assigned_relays = await self._loop.run_in_executor(None, self._assignment.change, frozenset(view.zones))
         self._assigned_view, self._assigning = view.view, None
-        wished = [partition for partition, name in enumerate(self.assigned) if name == self.name]
-        log.info("leases: %d of %d partitions should be this relay's", len(wished), len(self.assigned))
+        wished = [partition for partition, name in enumerate(self.assigned_relays) if name == self.name]
+        log.info("leases: %d of %d partitions should be this relay's", len(wished), len(self.assigned_relays))
         self._carry_out(self.holder.set_assigned(clock.now(), wished))
-        self.look()
+        self.on_view_change()
 
     def _tick(self) -> None:
         if not self._closed:
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.lease_service import Leases
+from garnetrelay.fleet.lease_service import LeaseService
 from garnetrelay.operators.figures import escaped
 
 
@@ -54,7 +54,7 @@
     votes: int  # partitions that it has granted to this relay
 
 
-def owners(leases: Leases, now: int) -> Iterator[OwnersState | OwnedLine]:
+def owners(leases: LeaseService, now: int) -> Iterator[OwnersState | OwnedLine]:
     """This session, then all that it owns."""
     settings, owned = leases.config.settings, leases.holder.owned(now)
     yield OwnersState(
@@ -71,17 +71,17 @@
         yield OwnedLine(partition, epoch, until, round((until - now) / 1e9, 3))
 
 
-def destination(leases: Leases, number: int, now: int) -> DestinationLine:
+def destination(leases: LeaseService, number: int, now: int) -> DestinationLine:
     """One destination."""
     partition = leases.partition(number)
     found = leases.holder.ownership(partition, now)
-    should_own = leases.should_own(partition)
+    should_own = leases.assigned_relay(partition)
     if found is None:
         return DestinationLine(number, partition, should_own)
     return DestinationLine(number, partition, should_own, found.epoch, found.until, round((found.until - now) / 1e9, 3))
 
 
-def controllers(leases: Leases, now: int) -> Iterator[ControllerLine]:
+def controllers(leases: LeaseService, now: int) -> Iterator[ControllerLine]:
     """All controllers, by number."""
     reached = leases.holder.reached_controllers(now)
     for link, place in zip(leases.holder.links, leases.config.places, strict=True):
@@ -95,7 +95,7 @@
         )
 
 
-def figures(leases: Leases, now: int) -> str:
+def figures(leases: LeaseService, now: int) -> str:
     """The figures of leases, a line each."""
     holder = leases.holder
     rows: list[tuple[str, int]] = [
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -25,7 +25,7 @@
 from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
 
 if TYPE_CHECKING:
-    from garnetrelay.fleet.lease_service import Leases
+    from garnetrelay.fleet.lease_service import LeaseService
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
         self.closed = False
         self.transport = Transport(fr.Codec(config.secrets()), self._heard)
         self.members: Members | None = None
-        self.leases: Leases | None = None  # None: not switched on
+        self.leases: LeaseService | None = None  # None: not switched on
         self._passed = None if passed is None else msgspec.convert(passed, Passing)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
@@ -110,21 +110,21 @@
     def _start_leases(self) -> None:
         if self.config.leases is None:
             return
-        from garnetrelay.fleet.lease_service import Leases
+        from garnetrelay.fleet.lease_service import LeaseService
         from garnetrelay.fleet.leases import codec  # only where they are switched on
 
         assert self.members is not None
-        self.leases = Leases(
+        self.leases = LeaseService(
             self.config.leases, self.name, self.config.secrets(), self.members, self.transport.send_bytes
         )
-        self.transport.protocols[codec.MAGIC] = self.leases.hear
+        self.transport.protocols[codec.MAGIC] = self.leases.receive
         self.leases.start()
 
     def leave(self) -> None:
         """Tell the others that this life ends."""
         if self.members is not None and not self.closed:
             if self.leases is not None:
-                self.leases.leave()
+                self.leases.release_all()
             self._carry_out(self.members.leave(time.monotonic_ns()))
 
     def close(self) -> None:
@@ -152,7 +152,7 @@
             found = self.config.secrets()
             self.transport.codec = fr.Codec(found)
             if self.leases is not None:
-                self.leases.read_secrets(found)
+                self.leases.set_secrets(found)
         except ValueError as error:
             log.error("fleet: the old secrets stay: %s", error)
         else:
@@ -238,7 +238,7 @@
                 case Note(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
-            self.leases.look()
+            self.leases.on_view_change()
         if self._timer is not None:
             self._timer.cancel()
         if not self.closed:
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -63,7 +63,7 @@
             assert controller.ready
         self.members = members
         self.sent: list[tuple[Place, bytes]] = []
-        self.leases = service.Leases(LeasesConfig(PLACES, SETTINGS), "r1", [SECRET], members, self._send)
+        self.leases = service.LeaseService(LeasesConfig(PLACES, SETTINGS), "r1", [SECRET], members, self._send)
 
     def _send(self, place: Place, data: bytes) -> bool:
         self.sent.append((place, data))
@@ -86,7 +86,7 @@
             if isinstance(effect, WriteRecords):
                 effects += controller.written(self.now, effect.ticket)
             elif isinstance(effect, SendToRelay):
-                self.leases.hear(self.codec.encode(effect.message), PLACES[number])
+                self.leases.receive(self.codec.encode(effect.message), PLACES[number])
 
     async def assigned(self) -> None:
         """The view has been worked out."""
@@ -124,12 +124,12 @@
     found = wire.leases.ownership(4711)
     assert found is not None and found.epoch == 1 and found.until > wire.now
     members.change("r1", "r2")
-    wire.leases.look()
+    wire.leases.on_view_change()
     await wire.assigned()
     await wire.run(3)
     owned = wire.leases.holder.owned(wire.now)
     assert 0 < len(owned) < SETTINGS.partitions
-    assert {wire.leases.should_own(partition) for partition in owned} == {"r1"}
+    assert {wire.leases.assigned_relay(partition) for partition in owned} == {"r1"}
     said = status.destination(wire.leases, 4711, wire.now)
     assert said.should_own in ("r1", "r2") and (said.epoch is None) == (said.should_own == "r2")
 
@@ -144,10 +144,10 @@
     assert 0 < len(before) < SETTINGS.partitions
     members.condition = condition
     members.change("r1")
-    wire.leases.look()
+    wire.leases.on_view_change()
     assert wire.leases._assigning is None and set(wire.leases.holder.assigned) == before
     members.condition = Condition.UNSETTLED  # from here on they may be: the look is caught up on
-    wire.leases.look()
+    wire.leases.on_view_change()
     await wire.assigned()
     assert len(wire.leases.holder.assigned) == SETTINGS.partitions
 
@@ -155,7 +155,7 @@
 async def test_an_unchanged_view_is_not_worked_out_again(wire: Wire, members: StandInMembers) -> None:
     await wire.begin()
     asked = members.asked
-    wire.leases.look()
+    wire.leases.on_view_change()
     assert members.asked == asked
 
 
@@ -199,9 +199,9 @@
 
 async def test_what_is_no_answer_is_counted(wire: Wire) -> None:
     await wire.begin()
-    wire.leases.hear(wire.codec.encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
-    wire.leases.hear(Codec([b"a secret of somebody else"]).encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
-    wire.leases.hear(b"GLnoise", PLACES[0])
+    wire.leases.receive(wire.codec.encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
+    wire.leases.receive(Codec([b"a secret of somebody else"]).encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
+    wire.leases.receive(b"GLnoise", PLACES[0])
     assert wire.leases.refused == {"misdirected": 1, "secret": 1, "foreign": 1}
 
 
