--- a/garnetrelay/cli/fleet.py
+++ b/garnetrelay/cli/fleet.py
@@ -94,9 +94,9 @@
 
 
 def _say_owned(lines: list[str]) -> None:
-    from garnetrelay.fleet.lease_status import OwnedLine, OwnersState
+    from garnetrelay.fleet.lease_status import OwnedLine, SessionLine
 
-    state: OwnersState = msgspec.json.decode(lines[0], type=OwnersState)
+    state: SessionLine = msgspec.json.decode(lines[0], type=SessionLine)
     click.echo(
         f"{state.name}, session {state.session}: owns {state.owned} of {state.should_own} partitions that should be its "
         f"own, of {state.partitions}; {len(state.reached)} of {state.controllers} controllers reached, "
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -10,7 +10,7 @@
 from garnetrelay.operators.figures import escaped
 
 
-class OwnersState(msgspec.Struct, frozen=True):
+class SessionLine(msgspec.Struct, frozen=True):
     """This relay's session."""
 
     name: str
@@ -54,10 +54,10 @@
     votes: int  # partitions that it has granted to this relay
 
 
-def owners(leases: LeaseService, now: int) -> Iterator[OwnersState | OwnedLine]:
+def owners(leases: LeaseService, now: int) -> Iterator[SessionLine | OwnedLine]:
     """This session, then all that it owns."""
     settings, owned = leases.config.settings, leases.holder.owned(now)
-    yield OwnersState(
+    yield SessionLine(
         leases.name,
         leases.session.number,
         settings.partitions,
@@ -95,7 +95,7 @@
         )
 
 
-def figures(leases: LeaseService, now: int) -> str:
+def metrics_text(leases: LeaseService, now: int) -> str:
     """The figures of leases, a line each."""
     holder = leases.holder
     rows: list[tuple[str, int]] = [
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -213,7 +213,7 @@
         from garnetrelay.fleet import clock
         from garnetrelay.fleet import lease_status as status
 
-        return found + status.figures(self.leases, clock.now())
+        return found + status.metrics_text(self.leases, clock.now())
 
     # ---- what happens
 
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.fleet import clock
 from garnetrelay.fleet.controller.records_file import RecordsFile
-from garnetrelay.fleet.lease_status import ControllerLine, OwnedLine, OwnersState
+from garnetrelay.fleet.lease_status import ControllerLine, OwnedLine, SessionLine
 from garnetrelay.fleet.leases.settings import MS
 from garnetrelay.laboratory.links import Fate
 from garnetrelay.rehearsal.links.network import Network
@@ -115,7 +115,7 @@
     """One relay's latest answer."""
 
     heard: int
-    state: OwnersState
+    state: SessionLine
     owned: dict[int, OwnedLine]
 
 
@@ -199,7 +199,7 @@
         except (OSError, TimeoutError, AssertionError):
             return  # it is stopped, ended, or not ready
         heard = clock.now()
-        state: OwnersState = msgspec.json.decode(first, type=OwnersState)
+        state: SessionLine = msgspec.json.decode(first, type=SessionLine)
         lines: list[OwnedLine] = [msgspec.json.decode(line, type=OwnedLine) for line in rest]
         owned = {line.partition: line for line in lines}
         self.latest[relay.name] = Look(heard, state, owned)
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -169,7 +169,7 @@
     assert not wire.leases.still_owned(4711, found.epoch)  # a second one within the second: counted, no second line
     lines = [record.getMessage() for record in caplog.records if "fenced" in record.getMessage()]
     assert len(lines) == 1 and f"epoch {found.epoch}" in lines[0]
-    assert "relay_leases_fenced 2\n" in status.figures(wire.leases, wire.now)
+    assert "relay_leases_fenced 2\n" in status.metrics_text(wire.leases, wire.now)
 
 
 async def test_an_attempt_of_an_earlier_epoch_is_fenced(wire: Wire) -> None:
