--- a/garnetrelay/fleet/leases/link.py
+++ b/garnetrelay/fleet/leases/link.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from garnetrelay.fleet.leases.digest import digest
-from garnetrelay.fleet.leases.messages import MOST_GRANTS, Acquire, Answer, Grant, RelayMessage, Release, Renew, Session
+from garnetrelay.fleet.leases.messages import MAX_GRANTS, Acquire, Answer, Grant, RelayMessage, Release, Renew, Session
 
 
 class Vote(NamedTuple):
@@ -36,7 +36,7 @@
 
     controller: int
     session: Session
-    terms: int
+    fingerprint: int
     boot: int = 0
     number: int = 0
     request: Request | None = None
@@ -52,14 +52,14 @@
         """A renewal of all votes."""
         snapshot = {partition: vote.epoch for partition, vote in self.votes.items()}
         number = self._next()
-        message = Renew(self.session, number, self.boot, self.terms, len(snapshot), digest(snapshot.items()))
+        message = Renew(self.session, number, self.boot, self.fingerprint, len(snapshot), digest(snapshot.items()))
         return self._begin(message, now, ends_at, snapshot)
 
     def acquire(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
         """Asks for grants."""
         for grant in grants:
             self.unsure[grant.partition] = grant.epoch
-        return self._begin(Acquire(self.session, self._next(), self.boot, self.terms, grants), now, ends_at, {})
+        return self._begin(Acquire(self.session, self._next(), self.boot, self.fingerprint, grants), now, ends_at, {})
 
     def release(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
         """Gives grants up; none named: all."""
@@ -100,7 +100,7 @@
     def differs(self, answer: Answer) -> None:
         """A renewal did not match: what is on record and what is not becomes unsure."""
         listed = dict(answer.granted)
-        whole = len(answer.granted) < MOST_GRANTS
+        whole = len(answer.granted) < MAX_GRANTS
         for partition, epoch in listed.items():
             vote = self.votes.get(partition)
             if vote is None or vote.epoch != epoch:
