--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -20,7 +20,7 @@
 SECOND = 1_000_000_000
 REFUSED_AFTER = SECOND // 10  # a call's way there and back
 PATIENCE = 2 * SECOND  # the protocol's: a call that waited longer fails
-GIVEN_UP_AFTER = 3 * SECOND  # the relay's own (``garnetrelay.membership.register.ANSWER_TIME``)
+GIVEN_UP_AFTER = 3 * SECOND  # the relay's own (``garnetrelay.discovery.client.ANSWER_TIME``)
 TOLD_AFTER = 6 * SECOND  # the protocol's: a change counts as told
 START = 1000 * SECOND
 LONGEST = 120 * SECOND  # beyond it a relay counts as never answered
@@ -101,7 +101,7 @@
 
     def overtaken(self, relay: int, event: io.Roster, now: int) -> bool:
         """Whether a call has ended that does not count: one that failed beside a later one, or that another one's answer
-        has closed. The register keeps that to itself (``garnetrelay.membership.watches``)."""
+        has closed. The register keeps that to itself (``garnetrelay.discovery.watches``)."""
         if event.scope is io.ListScope.CACHED:
             return False
         begun = self.out[relay].pop(now, None)
--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.size import CONTROL_MEMORY, READY, SIZE, Budget, Mark, Unit
 from benchmarks.capacity.subject import Quantity, Subject
 from garnetrelay.config.deployment import load
-from garnetrelay.membership.listing import MOST_LINE, Lines, Reader, UnreadableListError
+from garnetrelay.discovery.host_list import MOST_LINE, Lines, Reader, UnreadableListError
 
 CHUNK = 65_536  # bytes that a watch reads at once
 WATCH_LINE = Budget("bytes of one version on a watch", float(MOST_LINE), Mark.COMPUTED)
--- a/benchmarks/capacity/protocols.py
+++ b/benchmarks/capacity/protocols.py
@@ -14,7 +14,7 @@
 BODY = 400  # bytes: nobody told how long events are; `message` of these benchmarks has the same
 REF, KEY = "client-7-000000001", "key-000000001"
 ANSWER = b"+OK\r\n"
-EMPTY_LINE_EVERY = 2.0  # seconds, of a watch: garnetrelay/membership/register.py
+EMPTY_LINE_EVERY = 2.0  # seconds, of a watch: garnetrelay/discovery/client.py
 EMPTY_LINE = len(b"1\r\n\n\r\n")  # an empty line in a chunk of its own
 HOUR = 3_600.0
 
--- a/garnetrelay/membership/register.py
+++ b/garnetrelay/discovery/client.py
@@ -1,6 +1,6 @@
 """Follows the list of hosts by watches of discovery, over HTTP/1.1 (h11 parses). The Pacer says when to call.
 
-Sockets and timers only: what a line says is read by ``listing.py``, which of several watches counts stands in
+Sockets and timers only: what a line says is read by ``host_list.py``, which of several watches counts stands in
 ``watches.py``.
 """
 
@@ -14,8 +14,8 @@
 import h11
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.membership.listing import Lines, News, Reader, UnreadableListError, described
-from garnetrelay.membership.watches import Patience, State, Watch, Watches
+from garnetrelay.discovery.host_list import Lines, News, Reader, UnreadableListError, described
+from garnetrelay.discovery.watches import Patience, State, Watch, Watches
 
 log = logging.getLogger(__name__)
 
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -11,8 +11,8 @@
 
 from garnetrelay.config.deployment import Config
 from garnetrelay.delivery.http.hosts import Hosts
+from garnetrelay.discovery.client import Discovery
 from garnetrelay.fronts.resp.server import Server
-from garnetrelay.membership.register import Discovery
 from garnetrelay.pending import PendingMessage
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING
 
 from garnetrelay.config.deployment import Address, Config
-from garnetrelay.membership.listing import News, Reader
-from garnetrelay.membership.register import Discovery
+from garnetrelay.discovery.client import Discovery
+from garnetrelay.discovery.host_list import News, Reader
 from garnetrelay.pending import PendingMessage
 from garnetrelay.recorded_times import newest_time, ran_ago
 from garnetrelay.recovery_stats import RecoveryStats
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -21,11 +21,11 @@
 from garnetrelay.counters import Counters
 from garnetrelay.delivery.http import hosts as net
 from garnetrelay.delivery.http.answers import Outcome
+from garnetrelay.discovery.client import Discovery
+from garnetrelay.discovery.host_list import News, Reader
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
-from garnetrelay.membership.listing import News, Reader
-from garnetrelay.membership.register import Discovery
 from garnetrelay.pending import Newcomer, PendingMessage
 from garnetrelay.platform.notices import Notices
 from garnetrelay.recovery import Recovery
--- a/tests/membership/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -7,8 +7,8 @@
 import pytest
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.membership import watches as module
-from garnetrelay.membership.watches import MOST_CALLS, Patience, State, Watch, Watches
+from garnetrelay.discovery import watches as module
+from garnetrelay.discovery.watches import MOST_CALLS, Patience, State, Watch, Watches
 from starlingwick.asking import ASK_SOON, LEAST_HEDGE, SECOND
 
 OLD, NEW = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -17,8 +17,8 @@
 from garnetrelay import daemon
 from garnetrelay import relay as core
 from garnetrelay.delivery.http import answers, hosts
+from garnetrelay.discovery import client, host_list
 from garnetrelay.fronts.resp import server
-from garnetrelay.membership import listing, register
 from garnetrelay.operators import exclusions
 from garnetrelay.platform import notices
 from garnetrelay.store import store
@@ -168,7 +168,7 @@
 
 def drain_not_understood() -> None:
     """An endpoint that drains is taken for one that serves."""
-    listing.STATES["Terminating"] = io.Availability.RUNNING
+    host_list.STATES["Terminating"] = io.Availability.RUNNING
 
 
 def news_taken_up_late() -> None:
@@ -196,7 +196,7 @@
 
         return wrong
 
-    replaced(register.Discovery, "subscribe", make)
+    replaced(client.Discovery, "subscribe", make)
 
 
 # ---- rule 4
--- a/tests/scale/test_files_scale.py
+++ b/tests/scale/test_files_scale.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity import journal, lists
 from benchmarks.capacity.files import configuration, listing
 from garnetrelay.config.deployment import load
-from garnetrelay.membership.listing import MOST_LINE, Reader
+from garnetrelay.discovery.host_list import MOST_LINE, Reader
 from garnetrelay.store.store import Store
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,12 +18,11 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import Outcome
+from garnetrelay.discovery import host_list, watches
+from garnetrelay.discovery.host_list import Lines, UnreadableListError
 from garnetrelay.fronts.resp import server as clients
 from garnetrelay.handover.channel import Door
 from garnetrelay.handover.protocol import VERSION, Hello
-from garnetrelay.membership import listing as listing_module
-from garnetrelay.membership import watches
-from garnetrelay.membership.listing import Lines, UnreadableListError
 from garnetrelay.platform import notices
 from garnetrelay.rehearsal.http import Call
 from garnetrelay.rehearsal.scripted_peers import PATIENCE, ScriptedHost, ScriptedPlatform
@@ -115,7 +114,7 @@
     lines = Lines()
     whole = listing(8).encode()
     assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
-    monkeypatch.setattr(listing_module, "MOST_LINE", 100)
+    monkeypatch.setattr(host_list, "MOST_LINE", 100)
     with pytest.raises(UnreadableListError):
         lines.feed(b'{"index":9,"endpoints":[\n' + b" 1,\n" * 40)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,8 +9,8 @@
 
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import AnswerReader, Outcome
+from garnetrelay.discovery import watches
 from garnetrelay.fronts.resp import server as clients
-from garnetrelay.membership import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedHost
 from garnetrelay.store.reading import load
 from garnetrelay.store.storage import Folder
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -7,7 +7,7 @@
 import pytest
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.membership import watches
+from garnetrelay.discovery import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedPlatform, Watch
 from starlingwick.asking import ASK_AGAIN, ASK_SOON
 from tests.sockets import Field, endpoint, listing, until
