--- a/garnetrelay/discovery/client.py
+++ b/garnetrelay/discovery/client.py
@@ -14,7 +14,7 @@
 import h11
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.discovery.host_list import Lines, News, Reader, UnreadableListError, described
+from garnetrelay.discovery.host_list import Lines, ListUpdate, Reader, UnreadableListError, described
 from garnetrelay.discovery.watches import Patience, State, Watch, Watches
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,9 @@
 class Discovery:
     """Watches the list. ``on_news`` gets what comes, None when a watch or a call at the present address has failed."""
 
-    def __init__(self, address: Address, reader: Reader, index: int, on_news: Callable[[News | None], None]) -> None:
+    def __init__(
+        self, address: Address, reader: Reader, index: int, on_news: Callable[[ListUpdate | None], None]
+    ) -> None:
         self.reader = reader
         self.on_news = on_news
         self.watches = Watches(address, index)
@@ -147,7 +149,7 @@
         self.watches.taken_up(watch)
         log.info("discovery: %s is taken up", watch)
         if self.watches.is_current(watch):  # also where nothing has changed
-            self.on_news(News(watch.index, False, (), {}))
+            self.on_news(ListUpdate(watch.index, False, (), {}))
 
     def _line(self, watch: Watch, line: bytes | None) -> None:
         news = None if line is None else self._version(watch, line)
@@ -158,9 +160,9 @@
             log.info("%s", described(news))
             self.on_news(news if self.watches.is_current(watch) else news.of_address_left())
         elif doubted and self.watches.is_current(watch):  # it goes on
-            self.on_news(News(watch.index, False, (), {}))
+            self.on_news(ListUpdate(watch.index, False, (), {}))
 
-    def _version(self, watch: Watch, line: bytes) -> News:
+    def _version(self, watch: Watch, line: bytes) -> ListUpdate:
         """Read a version. What can't be read leaves a hole, a drain perhaps, that no later line fills: it is asked for
         once more, on another watch. If that can't be read either, what can be read of it counts, and the lines behind
         it."""
--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """One version of the list, or the changes since the one before, in the Pacer's terms."""
 
     index: int
@@ -35,7 +35,7 @@
     addresses: dict[str, Address]
     current: bool = True  # of a watch at discovery's present address, not one that is about to be left
 
-    def of_address_left(self) -> News:
+    def of_address_left(self) -> ListUpdate:
         """The same from a watch at an address that discovery has moved away from."""
         return dataclasses.replace(self, current=False)
 
@@ -47,7 +47,7 @@
         self.zones = {name: number for number, name in enumerate(config.zone_names)}
         self.kinds = {name: number for number, name in enumerate(config.kind_names)}
 
-    def read(self, raw: Any) -> News:
+    def read(self, raw: Any) -> ListUpdate:
         """ValueError if it can't be read: then nothing of it is taken over."""
         try:
             entries, addresses = [], {}
@@ -56,11 +56,11 @@
                 entries.append(entry)
                 if entry.availability is not io.Availability.DELETED:
                     addresses[entry.host] = Address.parse(line["address"])
-            return News(int(raw["index"]), bool(raw["snapshot"]), tuple(entries), addresses)
+            return ListUpdate(int(raw["index"]), bool(raw["snapshot"]), tuple(entries), addresses)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
-    def salvage(self, raw: Any, index: int) -> News:
+    def salvage(self, raw: Any, index: int) -> ListUpdate:
         """What can be read of a version that can't be read whole, as changes that leave the version at ``index``: a drain
         among them is not lost for a neighbour's sake."""
         lines = raw.get("endpoints") if isinstance(raw, dict) else None
@@ -71,7 +71,7 @@
                 news = self.read({"index": index, "snapshot": False, "endpoints": [line]})
                 entries += news.entries
                 addresses |= news.addresses
-        return News(index, False, tuple(entries), addresses)
+        return ListUpdate(index, False, tuple(entries), addresses)
 
     def _entry(self, line: dict[str, Any]) -> io.HostEntry:
         if line["status"] not in STATES:
@@ -86,7 +86,7 @@
         )
 
 
-def described(news: News) -> str:
+def described(news: ListUpdate) -> str:
     """A version in one line: what it holds, and which hosts get nothing new from it on."""
     leaving = [entry.host for entry in news.entries if entry.availability is not io.Availability.RUNNING]
     named = ", ".join(leaving[:MOST_NAMED]) + (", ..." if len(leaving) > MOST_NAMED else "")
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -16,7 +16,7 @@
 
 from garnetrelay.config.deployment import Address, Config
 from garnetrelay.discovery.client import Discovery
-from garnetrelay.discovery.host_list import News, Reader
+from garnetrelay.discovery.host_list import ListUpdate, Reader
 from garnetrelay.pending import PendingMessage
 from garnetrelay.recorded_times import newest_time, ran_ago
 from garnetrelay.recovery_stats import RecoveryStats
@@ -70,7 +70,7 @@
         """Decide on all that has come."""
 
     @abstractmethod
-    def _place(self, news: News) -> None:
+    def _place(self, news: ListUpdate) -> None:
         """Where each host listens now."""
 
     @abstractmethod
@@ -98,7 +98,7 @@
         self.gone = dict.fromkeys(state.gone)
         # Another address may count its versions in a way of its own: it is asked for all.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
-        news = News(state.index, True, tuple(entries), addresses)
+        news = ListUpdate(state.index, True, tuple(entries), addresses)
         self._place(news)
         self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
         self.turn()
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -22,7 +22,7 @@
 from garnetrelay.delivery.http import hosts as net
 from garnetrelay.delivery.http.answers import Outcome
 from garnetrelay.discovery.client import Discovery
-from garnetrelay.discovery.host_list import News, Reader
+from garnetrelay.discovery.host_list import ListUpdate, Reader
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
@@ -328,7 +328,7 @@
             )
         )
 
-    def on_news(self, news: News | None) -> None:
+    def on_news(self, news: ListUpdate | None) -> None:
         """The list of hosts has changed; None: the watch has failed."""
         if news is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
@@ -344,7 +344,7 @@
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, news: News) -> None:
+    def _place(self, news: ListUpdate) -> None:
         """Where each host listens now. Connections to those that drain or went are closed."""
         named = {entry.host for entry in news.entries}
         gone = [host for host in self.listed if host not in named] if news.whole else []
