--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.size import CONTROL_MEMORY, READY, SIZE, Budget, Mark, Unit
 from benchmarks.capacity.subject import Quantity, Subject
 from garnetrelay.config.deployment import load
-from garnetrelay.discovery.host_list import MOST_LINE, Lines, Reader, UnreadableListError
+from garnetrelay.discovery.host_list import MOST_LINE, ObjectSplitter, Reader, UnreadableListError
 
 CHUNK = 65_536  # bytes that a watch reads at once
 WATCH_LINE = Budget("bytes of one version on a watch", float(MOST_LINE), Mark.COMPUTED)
@@ -32,7 +32,7 @@
 
 def refuses(line: bytes) -> bool:
     """Whether a watch takes a version of the list for a line without end."""
-    lines = Lines()
+    lines = ObjectSplitter()
     try:
         for start in range(0, len(line), CHUNK):
             lines.feed(line[start : start + CHUNK])
--- a/garnetrelay/discovery/client.py
+++ b/garnetrelay/discovery/client.py
@@ -14,7 +14,7 @@
 import h11
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.discovery.host_list import Lines, ListUpdate, Reader, UnreadableListError, described
+from garnetrelay.discovery.host_list import ListUpdate, ObjectSplitter, Reader, UnreadableListError, described
 from garnetrelay.discovery.watches import Patience, State, Watch, Watches
 
 log = logging.getLogger(__name__)
@@ -110,7 +110,7 @@
         target = f"/api/targets?follow=1&since={watch.index}"
         writer.write(http.send(h11.Request(method="GET", target=target, headers=[("Host", str(watch.address))])) or b"")
         writer.write(http.send(h11.EndOfMessage()) or b"")
-        loop, lines = asyncio.get_running_loop(), Lines()
+        loop, lines = asyncio.get_running_loop(), ObjectSplitter()
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -98,7 +98,7 @@
     """What came of the list can't be read."""
 
 
-class Lines:
+class ObjectSplitter:
     """Takes a watch's bytes apart into objects, each on a line of its own or indented over several. No I/O.
 
     JSON has no line's end inside a string, so a line's quotes and brackets tell whether an object goes on behind it."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import Outcome
 from garnetrelay.discovery import host_list, watches
-from garnetrelay.discovery.host_list import Lines, UnreadableListError
+from garnetrelay.discovery.host_list import ObjectSplitter, UnreadableListError
 from garnetrelay.fronts.resp import server as clients
 from garnetrelay.handover.channel import Door
 from garnetrelay.handover.protocol import VERSION, Hello
@@ -105,13 +105,13 @@
         json.dumps(versions[2], indent=0),
         json.dumps(versions[3]),
     ]
-    data, lines = "".join(f"{text}\n" for text in texts).encode(), Lines()
+    data, lines = "".join(f"{text}\n" for text in texts).encode(), ObjectSplitter()
     found = [one for at in range(0, len(data), size) for one in lines.feed(data[at : at + size])]
     assert found.count(None) == 1 and [json.loads(one) for one in found if one is not None] == versions
 
 
 def test_an_object_without_an_end_takes_no_later_version_with_it_and_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = Lines()
+    lines = ObjectSplitter()
     whole = listing(8).encode()
     assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
     monkeypatch.setattr(host_list, "MOST_LINE", 100)
