--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -13,7 +13,7 @@
 from benchmarks.capacity.size import CONTROL_MEMORY, READY, SIZE, Budget, Mark, Unit
 from benchmarks.capacity.subject import Quantity, Subject
 from garnetrelay.config.deployment import load
-from garnetrelay.discovery.host_list import MOST_LINE, ObjectSplitter, Reader, UnreadableListError
+from garnetrelay.discovery.host_list import MOST_LINE, ListReader, ObjectSplitter, UnreadableListError
 
 CHUNK = 65_536  # bytes that a watch reads at once
 WATCH_LINE = Budget("bytes of one version on a watch", float(MOST_LINE), Mark.COMPUTED)
@@ -49,7 +49,7 @@
 
         def read() -> None:
             config = load({"RELAY_NAME": "measured", **environment})
-            Reader(config).read(config.known)
+            ListReader(config).read(config.known)
 
         seconds = spent(read)
         version = json.dumps(listing(destinations, "Ready")).encode() + b"\n"
--- a/garnetrelay/discovery/client.py
+++ b/garnetrelay/discovery/client.py
@@ -14,7 +14,7 @@
 import h11
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.discovery.host_list import ListUpdate, ObjectSplitter, Reader, UnreadableListError, described
+from garnetrelay.discovery.host_list import ListReader, ListUpdate, ObjectSplitter, UnreadableListError, described
 from garnetrelay.discovery.watches import Patience, State, Watch, Watches
 
 log = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
     """Watches the list. ``on_news`` gets what comes, None when a watch or a call at the present address has failed."""
 
     def __init__(
-        self, address: Address, reader: Reader, index: int, on_news: Callable[[ListUpdate | None], None]
+        self, address: Address, reader: ListReader, index: int, on_news: Callable[[ListUpdate | None], None]
     ) -> None:
         self.reader = reader
         self.on_news = on_news
--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -40,7 +40,7 @@
         return dataclasses.replace(self, current=False)
 
 
-class Reader:
+class ListReader:
     """Turns discovery's form into the Pacer's."""
 
     def __init__(self, config: Config) -> None:
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -16,7 +16,7 @@
 
 from garnetrelay.config.deployment import Address, Config
 from garnetrelay.discovery.client import Discovery
-from garnetrelay.discovery.host_list import ListUpdate, Reader
+from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.pending import PendingMessage
 from garnetrelay.recorded_times import newest_time, ran_ago
 from garnetrelay.recovery_stats import RecoveryStats
@@ -43,7 +43,7 @@
     settings: io.Settings
     pacer: Pacer
     journal: Store
-    reader: Reader
+    reader: ListReader
     discovery: Discovery
     inheritance: Inheritance | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -22,7 +22,7 @@
 from garnetrelay.delivery.http import hosts as net
 from garnetrelay.delivery.http.answers import Outcome
 from garnetrelay.discovery.client import Discovery
-from garnetrelay.discovery.host_list import ListUpdate, Reader
+from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
@@ -115,7 +115,7 @@
         )
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
         self.server.on_closed = self._end_if_idle
-        self.reader = Reader(config)
+        self.reader = ListReader(config)
         self.discovery = Discovery(config.discovery, self.reader, 0, self.on_news)
         self.notices = Notices(config.discovery, self._told)
 
