--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -67,14 +67,14 @@
 
     def exchange(self) -> net.Exchange:
         """The exchange that carries this attempt out."""
-        exchange = net.Exchange(self.host, self.stop_at, self.prepare, self.done, self.still_clear, self.message.ref)
+        exchange = net.Exchange(self.host, self.stop_at, self.prepare, self.done, self.final_check, self.message.ref)
         if self.relay.owners is not None:
             exchange.at_first_byte = self.fence
         return exchange
 
     def prepare(self, address: Address) -> bytes | None:
         """The last look and the record, then the request."""
-        if not self.still_clear():
+        if not self.final_check():
             return None
         message, zones = self.message, self.relay.config.zone_names
         name = zones[message.zone] if 0 <= message.zone < len(zones) else ""
@@ -85,7 +85,7 @@
             log.info("%s", self.relay.recovery_stats)
         return net.call(address, message.ref, message.key, message.body, self.stop_at) if self.written else None
 
-    def still_clear(self) -> bool:
+    def final_check(self) -> bool:
         """The last look: whether the call may still begin, by its time and by the Pacer."""
         now = time.monotonic_ns()
         if now >= self.stop_at:
--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -43,13 +43,13 @@
 
 class Exchange:
     """One call or probe: ``prepare`` gives its request at the last instant, or None to abandon it. Where some time
-    may pass between that and its first byte, ``still_clear`` looks once more."""
+    may pass between that and its first byte, ``final_check`` looks once more."""
 
     __slots__ = (
         "host",
         "stop_at",
         "prepare",
-        "still_clear",
+        "final_check",
         "_done",
         "ended",
         "connection",
@@ -65,11 +65,11 @@
         stop_at: int,
         prepare: Prepare,
         done: Callable[[Outcome], None],
-        still_clear: Callable[[], bool] = always,
+        final_check: Callable[[], bool] = always,
         ref: str | None = None,
     ) -> None:
         self.ref = ref  # of the message that it calls with; None: a probe
-        self.still_clear = still_clear
+        self.final_check = final_check
         self.at_first_byte: Callable[[], None] | None = None  # called just before it
         self.host = host
         self.stop_at = stop_at
@@ -419,7 +419,7 @@
 
     def _still_good(self, connection: Connection, exchange: Exchange) -> bool:
         """A last look at what may have changed while the record was under way: also a write may take its time."""
-        return exchange.still_clear() and (not self.delayed or connection.usable)
+        return exchange.final_check() and (not self.delayed or connection.usable)
 
     def rest(self, connection: Connection) -> None:
         """Keep a connection for the next call, or not."""
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -550,16 +550,16 @@
     def _probe(self, probe: io.Probe) -> None:
         started = self.pacer.now
 
-        def still_clear() -> bool:
+        def final_check() -> bool:
             return self.pacer.clear_to_send(time.monotonic_ns(), None, probe.host)
 
         def prepare(address: Address) -> bytes | None:
-            return net.probe(address, self.config.load_reports) if still_clear() else None
+            return net.probe(address, self.config.load_reports) if final_check() else None
 
         def done(outcome: Outcome) -> None:
             self.post(io.Probed(probe.host, outcome.status, time.monotonic_ns() - started, outcome.report))
 
-        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, still_clear))
+        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, final_check))
 
     # ---- ends
 
