--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -189,7 +189,7 @@
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
-    def let_go(self) -> None:
+    def close_after_handover(self) -> None:
         """Another process has the connection: close it here without a word, also to whoever waits for an answer."""
         exchange = self.exchange
         self.abort()
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -132,7 +132,7 @@
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
-    def let_go(self) -> None:
+    def close_after_handover(self) -> None:
         """Another process has the connection: close it here without a word."""
         self.closing = True
         self._stop_timer()
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -211,14 +211,14 @@
             for clients in _batches(relay.server.passing()):
                 channel.send(p.Clients([p.Client(bytes(one.raw), one.asked) for one in clients]), _descriptors(clients))
                 for one in clients:
-                    one.let_go()
+                    one.close_after_handover()
             for idle in _batches(relay.hosts.passing()):
                 channel.send(
                     p.IdleHosts([p.Idle(one.host, one.address.host, one.address.port) for one in idle]),
                     _descriptors(idle),
                 )
                 for connection in idle:
-                    connection.let_go()
+                    connection.close_after_handover()
             for calls in _batches(_passing(relay.held.values())):
                 connections = [connection for _, _, connection in calls]
                 channel.send(
@@ -240,7 +240,7 @@
                     _descriptors(connections),
                 )
                 for connection in connections:
-                    connection.let_go()
+                    connection.close_after_handover()
             channel.send(p.End())
         except ChannelError as error:
             log.error("upgrade: broken off: %s", error)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -42,7 +42,7 @@
         await asyncio.sleep(0)  # the timer has come; its end waits for a look at the sockets
     assert not outcomes and exchange.timer is not None
     if passed:
-        exchange.timer.cancel()  # as `let_go` does
+        exchange.timer.cancel()  # as `close_after_handover` does
     for _ in range(5):
         await asyncio.sleep(0)
     assert len(outcomes) == (0 if passed else 1)
