--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -174,7 +174,7 @@
         return not poll.poll(0)
 
     @property
-    def can_pass(self) -> bool:
+    def can_hand_over(self) -> bool:
         """Whether another process can read on from here: all is written, and nothing of an answer has come."""
         return (
             self.written_in_full()
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -117,7 +117,7 @@
             self.data_received(raw)
 
     @property
-    def can_pass(self) -> bool:
+    def can_hand_over(self) -> bool:
         """Whether another process can read on from here: no answer is owed or on its way."""
         return (
             not self.closing
@@ -416,9 +416,9 @@
     def passing(self) -> list[Connection]:
         """Connections that can pass to another process. Others close once what is owed there is written."""
         for connection in list(self.connections):
-            if not connection.can_pass:
+            if not connection.can_hand_over:
                 connection.close_between_requests()
-        return [connection for connection in self.connections if connection.can_pass]
+        return [connection for connection in self.connections if connection.can_hand_over]
 
     async def adopt(self, found: socket.socket, raw: bytes, asked: bool) -> None:
         """A connection that passed from another process."""
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -173,14 +173,15 @@
         for _, exchange in list(_out(relay.held.values())):
             if exchange.connection is None:
                 exchange.abandon()
-            elif not exchange.connection.can_pass:
+            elif not exchange.connection.can_hand_over:
                 exchange.give_up(io.Status.CANCELLED)
         return listener
 
     def _unquiet(self) -> bool:
         relay = self.relay
         return bool(relay.turn_due or relay.unreleased or relay.hosts.opening) or any(
-            exchange.connection is None or not exchange.connection.can_pass for _, exchange in _out(relay.held.values())
+            exchange.connection is None or not exchange.connection.can_hand_over
+            for _, exchange in _out(relay.held.values())
         )
 
     def _settled(self) -> bool:
@@ -366,5 +367,5 @@
 def _passing(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
     """Calls that pass. That of a message which has ended meanwhile is not waited for: its connection closes."""
     for message, exchange in _out(messages):
-        if not message.over and exchange.connection is not None and exchange.connection.can_pass:
+        if not message.over and exchange.connection is not None and exchange.connection.can_hand_over:
             yield message, exchange, exchange.connection
