--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -356,7 +356,7 @@
         self.opening.add(task)
         task.add_done_callback(self._opened)
 
-    def passing(self) -> list[Connection]:
+    def connections_to_hand_over(self) -> list[Connection]:
         """Idle connections that are good."""
         return [connection for connection in self.resting if connection.usable]
 
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -413,7 +413,7 @@
         assert self._server is not None
         asyncio.get_running_loop().remove_reader(self._server.sockets[0].fileno())
 
-    def passing(self) -> list[Connection]:
+    def connections_to_hand_over(self) -> list[Connection]:
         """Connections that can pass to another process. Others close once what is owed there is written."""
         for connection in list(self.connections):
             if not connection.can_hand_over:
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -209,11 +209,11 @@
             channel.send(self._state(), [claim, listener.fileno()])
             os.close(claim)
             claim = -1
-            for clients in _batches(relay.server.passing()):
+            for clients in _batches(relay.server.connections_to_hand_over()):
                 channel.send(p.Clients([p.Client(bytes(one.raw), one.asked) for one in clients]), _descriptors(clients))
                 for one in clients:
                     one.close_after_handover()
-            for idle in _batches(relay.hosts.passing()):
+            for idle in _batches(relay.hosts.connections_to_hand_over()):
                 channel.send(
                     p.IdleHosts([p.Idle(one.host, one.address.host, one.address.port) for one in idle]),
                     _descriptors(idle),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -318,7 +318,7 @@
     async def give() -> None:
         listener = await server.stop_listening()
         listener.close()
-        passing.set_result(server.passing())
+        passing.set_result(server.connections_to_hand_over())
 
     loop.call_at(loop.time(), lambda: giving.append(loop.create_task(give())))
     giving: list[asyncio.Task[None]] = []
