--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -283,14 +283,14 @@
         self,
         settings: io.Settings,
         room: Callable[[], int],
-        more_room: Callable[[], bool],
+        free_descriptor: Callable[[], bool],
         on_record: Callable[[Callable[[bool], None]], None],
         delayed: bool = False,
     ) -> None:
         self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
         self.idle_time = IDLE_SHARE * settings.limits.conn_idle / SECOND
         self.room = room  # how many more connections there may be
-        self.more_room = more_room  # frees a descriptor elsewhere, where one can be had
+        self.free_descriptor = free_descriptor  # frees a descriptor elsewhere, where one can be had
         self.on_record = on_record
         self.delayed = delayed
         self.addresses: dict[str, Address] = {}
@@ -349,7 +349,7 @@
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         # An idle client costs nothing to close; an idle connection to a host saves a call its handshake.
-        if self.room() <= 0 and not self.more_room() and not self.close_longest_idle():
+        if self.room() <= 0 and not self.free_descriptor() and not self.close_longest_idle():
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -363,12 +363,12 @@
 
 class Server:
     """Listens for clients and bounds their connections: ``room`` says how many more there may be now, and
-    ``more_room`` frees a descriptor elsewhere, where one can be had."""
+    ``free_descriptor`` frees a descriptor elsewhere, where one can be had."""
 
-    def __init__(self, handler: Handler, room: Callable[[], int], more_room: Callable[[], bool]) -> None:
+    def __init__(self, handler: Handler, room: Callable[[], int], free_descriptor: Callable[[], bool]) -> None:
         self.handler = handler
         self.room = room
-        self.more_room = more_room
+        self.free_descriptor = free_descriptor
         self.connections: set[Connection] = set()
         self.idle: dict[Connection, None] = {}  # without an open request, longest first
         self.silent: dict[Connection, None] = {}  # the same, of those that have never asked
@@ -494,7 +494,7 @@
 
     def admit(self) -> bool | None:
         """Whether there is room for one more connection. None: not even to tell it that there is none."""
-        if self.room() > 0 or self.close_longest_idle() or self.more_room():
+        if self.room() > 0 or self.close_longest_idle() or self.free_descriptor():
             return True
         return False if self.room() > -MOST_TOLD else None
 
