--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -282,14 +282,14 @@
     def __init__(
         self,
         settings: io.Settings,
-        room: Callable[[], int],
+        remaining_capacity: Callable[[], int],
         free_descriptor: Callable[[], bool],
         on_record: Callable[[Callable[[bool], None]], None],
         delayed: bool = False,
     ) -> None:
         self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
         self.idle_time = IDLE_SHARE * settings.limits.conn_idle / SECOND
-        self.room = room  # how many more connections there may be
+        self.remaining_capacity = remaining_capacity  # how many more connections there may be
         self.free_descriptor = free_descriptor  # frees a descriptor elsewhere, where one can be had
         self.on_record = on_record
         self.delayed = delayed
@@ -349,7 +349,7 @@
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         # An idle client costs nothing to close; an idle connection to a host saves a call its handshake.
-        if self.room() <= 0 and not self.free_descriptor() and not self.close_longest_idle():
+        if self.remaining_capacity() <= 0 and not self.free_descriptor() and not self.close_longest_idle():
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -362,12 +362,14 @@
 
 
 class Server:
-    """Listens for clients and bounds their connections: ``room`` says how many more there may be now, and
+    """Listens for clients and bounds their connections: ``remaining_capacity`` says how many more there may be now, and
     ``free_descriptor`` frees a descriptor elsewhere, where one can be had."""
 
-    def __init__(self, handler: Handler, room: Callable[[], int], free_descriptor: Callable[[], bool]) -> None:
+    def __init__(
+        self, handler: Handler, remaining_capacity: Callable[[], int], free_descriptor: Callable[[], bool]
+    ) -> None:
         self.handler = handler
-        self.room = room
+        self.remaining_capacity = remaining_capacity
         self.free_descriptor = free_descriptor
         self.connections: set[Connection] = set()
         self.idle: dict[Connection, None] = {}  # without an open request, longest first
@@ -494,9 +496,9 @@
 
     def admit(self) -> bool | None:
         """Whether there is room for one more connection. None: not even to tell it that there is none."""
-        if self.room() > 0 or self.close_longest_idle() or self.free_descriptor():
+        if self.remaining_capacity() > 0 or self.close_longest_idle() or self.free_descriptor():
             return True
-        return False if self.room() > -MOST_TOLD else None
+        return False if self.remaining_capacity() > -MOST_TOLD else None
 
     @property
     def turned_away(self) -> int:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -242,14 +242,14 @@
     assert net.close_longest_idle() and not net.close_longest_idle()
     asked: list[bool] = []
     net.free_descriptor = lambda: not asked.append(True)  # type: ignore[func-returns-value]
-    net.room = lambda: 0
+    net.remaining_capacity = lambda: 0
     for _ in range(2):  # an idle client goes first: the connection of the first call is there for the second
         net.begin(hosts.Exchange("s-1", 1 << 62, lambda address: None, opened.append))
         await until(lambda: bool(opened))
         opened.clear()
     assert len(asked) == 1 and net.close_longest_idle()
     net.free_descriptor = lambda: False
-    net.room = lambda: 0
+    net.remaining_capacity = lambda: 0
     net.begin(hosts.Exchange("s-1", 1 << 62, lambda address: None, opened.append))
     await until(lambda: bool(opened))
     assert opened == [Outcome(io.Status.ABANDONED)] and net.count == 0
