--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -95,7 +95,7 @@
             self.opening.cancel()
         self.end(Outcome(io.Status.ABANDONED))
 
-    def stops(self) -> None:
+    def start_timer(self) -> None:
         """See that it ends in its time. An answer that lies there by then is read first."""
         self.timer = asyncio.get_running_loop().call_at(self.stop_at / SECOND, after_socket_poll, self._time_is_up)
 
@@ -335,7 +335,7 @@
     def begin(self, exchange: Exchange) -> None:
         """Start a call or a probe, on an idle connection where there is a good one."""
         loop = asyncio.get_running_loop()
-        exchange.stops()
+        exchange.start_timer()
         idle = self.idle.get(exchange.host)
         while idle:
             connection = idle.pop()  # the latest used: the others may age and go
@@ -369,7 +369,7 @@
         connection.used, connection.exchange = used, exchange
         if exchange is not None:
             exchange.connection = connection
-            exchange.stops()
+            exchange.start_timer()
         await loop.create_connection(lambda: connection, sock=found)
         if exchange is None:
             self.rest(connection)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -37,7 +37,7 @@
 async def test_a_call_that_has_passed_to_another_process_is_not_timed_out_here(passed: bool) -> None:
     outcomes: list[Outcome] = []
     exchange = hosts.Exchange("s-1", 0, lambda address: None, outcomes.append)
-    exchange.stops()
+    exchange.start_timer()
     for _ in range(2):
         await asyncio.sleep(0)  # the timer has come; its end waits for a look at the sockets
     assert not outcomes and exchange.timer is not None
