--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -299,7 +299,7 @@
         self.resting: dict[Connection, None] = {}  # all that are idle, longest first
         self.opening: set[asyncio.Task[None]] = set()
         self.calls_written = 0  # since the start of the process
-        self._gathered: list[Ready] | None = None
+        self._gathered: list[PreparedCall] | None = None
         self._retiring: asyncio.TimerHandle | None = None
 
     @property
@@ -322,12 +322,12 @@
         """Hold back the calls that begin from now on, until ``release``."""
         self._gathered = []
 
-    def gathered(self) -> list[Ready]:
+    def gathered(self) -> list[PreparedCall]:
         """What was held back since ``gather``; it waits for ``release``."""
         gathered, self._gathered = self._gathered or [], None
         return gathered
 
-    def release(self, gathered: list[Ready], recorded: bool) -> None:
+    def release(self, gathered: list[PreparedCall], recorded: bool) -> None:
         """Start gathered calls, now that their attempts are on record; without that none of them runs."""
         for connection, exchange, request in gathered:
             self._start(connection, exchange, request, recorded)
@@ -478,7 +478,7 @@
         return oldest is not None
 
 
-Ready = tuple[Connection, Exchange, bytes]  # a call that may start, and its request
+PreparedCall = tuple[Connection, Exchange, bytes]  # a call that may start, and its request
 
 
 def call(address: Address, ref: str, key: str | None, body: bytes, stop_at: int) -> bytes:
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -425,7 +425,7 @@
         self.lag.round_ends(time.monotonic_ns())
 
     def _let_out(
-        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.Ready], recorded: bool
+        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.PreparedCall], recorded: bool
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
         self.unreleased -= 1
