--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -307,7 +307,7 @@
         """Connections that there are, or will be in a moment."""
         return len(self.open) + len(self.opening)
 
-    def place(self, host: str, address: Address, draining: bool) -> None:
+    def set_address(self, host: str, address: Address, draining: bool) -> None:
         """Where a host listens now; connections to elsewhere, or to one that drains, are not kept."""
         if draining or self.addresses.get(host, address) != address:
             log.debug("idle connections to %s close: %s", host, "it drains" if draining else "it moved")
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -356,7 +356,7 @@
             self.gone.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
-            self.hosts.place(entry.host, news.addresses[entry.host], draining)
+            self.hosts.set_address(entry.host, news.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
                 self.gone[host] = None
