--- a/benchmarks/capacity/protocols.py
+++ b/benchmarks/capacity/protocols.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.size import CONTROL_NETWORK, DAY, SIZE, Mark, Unit
 from benchmarks.capacity.subject import Results, Row
 from garnetrelay.config.deployment import Address
-from garnetrelay.delivery.http.hosts import call
+from garnetrelay.delivery.http.hosts import call_request
 
 BODY = 400  # bytes: nobody told how long events are; `message` of these benchmarks has the same
 REF, KEY = "client-7-000000001", "key-000000001"
@@ -73,7 +73,7 @@
 
 def _clients() -> list[Row]:
     enqueue = enqueue_bytes()
-    out = len(call(Address("10.1.2.3", 8080), REF, KEY, bytes(BODY), time.monotonic_ns() + 7 * 10**9))
+    out = len(call_request(Address("10.1.2.3", 8080), REF, KEY, bytes(BODY), time.monotonic_ns() + 7 * 10**9))
     each, events = SIZE.meets_every, SIZE.relay_events
     body = f"bodies of {BODY} B (assumed)"
 
--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -83,7 +83,7 @@
         self.written = self.relay.journal.trying(message.ref, name, time.time_ns() // MS, self.epoch)
         if self.written and self.relay.recovery_stats.on_try(message.ref):
             log.info("%s", self.relay.recovery_stats)
-        return net.call(address, message.ref, message.key, message.body, self.stop_at) if self.written else None
+        return net.call_request(address, message.ref, message.key, message.body, self.stop_at) if self.written else None
 
     def final_check(self) -> bool:
         """The last look: whether the call may still begin, by its time and by the Pacer."""
--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -481,7 +481,7 @@
 PreparedCall = tuple[Connection, Exchange, bytes]  # a call that may start, and its request
 
 
-def call(address: Address, ref: str, key: str | None, body: bytes, stop_at: int) -> bytes:
+def call_request(address: Address, ref: str, key: str | None, body: bytes, stop_at: int) -> bytes:
     """A message's call, as the protocol words it. What goes into the headers holds no space and no control
     character: the front sees to that."""
     left = max(1, (stop_at - time.monotonic_ns()) // 1_000_000)
