--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -493,6 +493,6 @@
     return head.encode("ascii") + body
 
 
-def probe(address: Address, with_report: bool) -> bytes:
+def probe_request(address: Address, with_report: bool) -> bytes:
     path = "/-/load" if with_report else "/-/healthy"
     return f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode("ascii")
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -554,7 +554,7 @@
             return self.pacer.clear_to_send(time.monotonic_ns(), None, probe.host)
 
         def prepare(address: Address) -> bytes | None:
-            return net.probe(address, self.config.load_reports) if final_check() else None
+            return net.probe_request(address, self.config.load_reports) if final_check() else None
 
         def done(outcome: Outcome) -> None:
             self.post(io.Probed(probe.host, outcome.status, time.monotonic_ns() - started, outcome.report))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -565,7 +565,7 @@
     outcomes: list[Outcome] = []
     later: list[object] = []
     net.on_record = later.append
-    exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe(address, False), outcomes.append)
+    exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe_request(address, False), outcomes.append)
     net.begin(exchange)
     await until(lambda: bool(later))
     exchange.give_up(io.Status.CANCELLED)
