--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -501,7 +501,7 @@
         return False if self.remaining_capacity() > -MOST_TOLD else None
 
     @property
-    def turned_away(self) -> int:
+    def rejected_count(self) -> int:
         """Connections beyond the room: they hold the descriptors that are kept for them, and take nobody's part."""
         return min(len(self.lingering), MOST_TOLD)
 
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -121,7 +121,7 @@
 
     def _host_room(self) -> int:
         """How many more connections to hosts there may be."""
-        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.turned_away)
+        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
     def _client_room(self) -> int:
