--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -76,7 +76,7 @@
     def __init__(self, server: Server, passed: tuple[bytes, bool] | None = None) -> None:
         self.server = server
         self.passed = passed  # from another process: what had come of a command, and whether it has ever asked
-        self.asked = passed is not None and passed[1]
+        self.has_sent_command = passed is not None and passed[1]
         self.reader = hiredis.Reader(protocolError=RejectedError, replyError=RejectedError)
         self.raw = bytearray()  # of a command that has not come whole
         self.replies: deque[Reply] = deque()
@@ -219,7 +219,7 @@
             raise RejectedError("a length is wrong")
         del self.raw[: len(written)]
         self._stop_timer()
-        self.asked = True
+        self.has_sent_command = True
         self.server.busy(self)
         reply = Reply(self)
         self.replies.append(reply)
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -210,7 +210,9 @@
             os.close(claim)
             claim = -1
             for clients in _batches(relay.server.connections_to_hand_over()):
-                channel.send(p.Clients([p.Client(bytes(one.raw), one.asked) for one in clients]), _descriptors(clients))
+                channel.send(
+                    p.Clients([p.Client(bytes(one.raw), one.has_sent_command) for one in clients]), _descriptors(clients)
+                )
                 for one in clients:
                     one.close_after_handover()
             for idle in _batches(relay.hosts.connections_to_hand_over()):
