--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -46,7 +46,7 @@
         self.data: bytes | None = None
 
     @property
-    def wanted(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether its client is still there to hear it."""
         return not self._connection.lost
 
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -461,7 +461,7 @@
             if ref in ends:
                 continue
             # Others of this turn may have taken the room that there was when it came.
-            if not newcomer.reply.wanted or not self.journal.has_room(ref, request.key, len(request.body)):
+            if not newcomer.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
                 newcomer.reply.busy(0)
                 self.post(io.Withdrawn(ref))
