--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -104,13 +104,13 @@
             # Not an error: the request that is on its way has failed for good behind one.
             self._shut(lambda reply: reply.busy(0), f"too many connections: {self.server.counts}")
         else:
-            self.server.silent[self] = None
+            self.server.without_command[self] = None
             self._expect_command()
 
     def _go_on(self, raw: bytes, asked: bool) -> None:
         """Where the other process left it: it was admitted there."""
         self.server.connections.add(self)
-        (self.server.idle if asked else self.server.silent)[self] = None
+        (self.server.idle if asked else self.server.without_command)[self] = None
         if raw or not asked:
             self._expect_command()
         if raw:
@@ -373,7 +373,7 @@
         self.free_descriptor = free_descriptor
         self.connections: set[Connection] = set()
         self.idle: dict[Connection, None] = {}  # without an open request, longest first
-        self.silent: dict[Connection, None] = {}  # the same, of those that have never asked
+        self.without_command: dict[Connection, None] = {}  # the same, of those that have never asked
         self.lingering: dict[Connection, None] = {}  # told that they are shut out, longest first
         self.draining = False
         self.ended = False  # nothing more is read
@@ -513,7 +513,7 @@
                 connection.transport.abort()
                 self.forget(connection)
                 return True
-        for waiting, time in ((self.silent, SILENT_TIME), (self.idle, IDLE_TIME)):
+        for waiting, time in ((self.without_command, SILENT_TIME), (self.idle, IDLE_TIME)):
             for connection in waiting:
                 if self.now() < connection.heard_at + time:
                     break
@@ -526,14 +526,14 @@
     def counts(self) -> str:
         """Who holds the descriptors, for the log."""
         return (
-            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.silent)} have never "
+            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.without_command)} have never "
             f"asked, {len(self.lingering)} are shut out"
         )
 
     def busy(self, connection: Connection) -> None:
         """It does not make room for another."""
         self.idle.pop(connection, None)
-        self.silent.pop(connection, None)
+        self.without_command.pop(connection, None)
 
     def forget(self, connection: Connection) -> None:
         self.connections.discard(connection)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -219,7 +219,7 @@
     relay = field.relays[0]
     silent = [await Client.connect(field.port) for _ in range(relay._client_room())]
     await until(lambda: relay._client_room() == 0)
-    first = next(iter(relay.server.silent))
+    first = next(iter(relay.server.without_command))
     await until(lambda: relay.server.now() > first.heard_at + clients.SILENT_TIME)
     late = await Client.connect(field.port)
     assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
