--- a/garnetrelay/platform/notices.py
+++ b/garnetrelay/platform/notices.py
@@ -110,7 +110,7 @@
         self._set_aside(LONGEST_ANSWER_TIME)
         self.send()
 
-    def tell(self, ref: str, result: str, wait_ms: int) -> None:
+    def add(self, ref: str, result: str, wait_ms: int) -> None:
         """Queue a notice; it stays until it is acknowledged. ``send`` is what lets it go."""
         notice: dict[str, str | int] = {"ref": ref, "result": result}
         if wait_ms:
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -434,7 +434,7 @@
         if self.time_is_up and not self.unreleased:
             self.finished.set()
         for end in ends:
-            self.notices.tell(*end)
+            self.notices.add(*end)
         self.notices.send()
         for newcomer in newcomers:
             self._answer(newcomer, recorded)
--- a/tests/platform/test_notices.py
+++ b/tests/platform/test_notices.py
@@ -45,7 +45,7 @@
     """It came up to 2 s later: the time for an answer and the pause both grew to 1 s."""
     platform = Posts()
     notices, told = await telling(platform)
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     for _ in range(7):
         await platform.next_call()
@@ -61,7 +61,7 @@
 async def test_an_answer_that_comes_behind_the_next_try_is_taken() -> None:
     platform = Posts()
     notices, told = await telling(platform)
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     await platform.next_call()
     second = await platform.next_call()
@@ -69,7 +69,7 @@
     second.answer(204)
     await until(lambda: told == ["m1"])
     third.answer(204)
-    notices.tell("m2", "bounced", 5)
+    notices.add("m2", "bounced", 5)
     notices.send()
     while b"m2" not in (call := await platform.next_call()).body:
         call.answer(204)
@@ -82,7 +82,7 @@
 async def test_a_platform_that_refuses_is_tried_on_at_bounded_gaps() -> None:
     platform = Posts()
     notices, told = await telling(platform)
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     for _ in range(10):
         (await platform.next_call()).answer(503)
@@ -107,7 +107,7 @@
         return await connect(address)
 
     monkeypatch.setattr(notices, "_connect", first_hangs)
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     assert due_in(notices) <= module.OPEN_BESIDE
     (await platform.next_call()).answer(204)
@@ -122,7 +122,7 @@
     old, new = Posts(), Posts()
     notices, told = await telling(old)
     await new.start()
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     for _ in range(6):
         (await old.next_call()).answer(503)
@@ -141,7 +141,7 @@
     old, new = Posts(), Posts()
     notices, told = await telling(old)
     await new.start()
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     call = await old.next_call()
     notices.move(Address.parse(new.address))
@@ -160,13 +160,13 @@
     nobody = new.address
     await new.stop()
     notices.move(Address.parse(nobody))
-    notices.tell("m1", "dead", 0)
+    notices.add("m1", "dead", 0)
     notices.send()
     assert (await old.next_notice())["ref"] == "m1"
     await until(lambda: told == ["m1"])
     host, _, port = nobody.partition(":")
     await new.start(host, int(port))
-    notices.tell("m2", "dead", 0)
+    notices.add("m2", "dead", 0)
     notices.send()
     assert (await new.next_notice())["ref"] == "m2"
     await until(lambda: told == ["m1", "m2"])
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -82,7 +82,7 @@
 
         return wrong
 
-    replaced(notices.Notices, "tell", make)
+    replaced(notices.Notices, "add", make)
 
 
 def nothing_recovered() -> None:
@@ -114,7 +114,7 @@
                 import asyncio
 
                 asyncio.get_running_loop().call_later(
-                    1.5, lambda: (self.notices.tell(message.ref, "dead", 0), self.notices.send())
+                    1.5, lambda: (self.notices.add(message.ref, "dead", 0), self.notices.send())
                 )
 
         return wrong
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -698,7 +698,7 @@
     relay = field.relays[0]
     waits: list[float] = []
     monkeypatch.setattr(field.platform, "handler", lambda call: waits.append(relay.notices.patience))
-    relay.notices.tell("m1", "dead", 0)
+    relay.notices.add("m1", "dead", 0)
     relay.notices.send()
     await until(lambda: len(waits) == 3)
     assert waits == [notices.ANSWER_TIME, 2 * notices.ANSWER_TIME, 4 * notices.ANSWER_TIME]
@@ -719,7 +719,7 @@
 
     monkeypatch.setattr(field.platform, "handler", picky)
     for n in range(1, 4):
-        relay.notices.tell(f"m{n}", "dead", 0)
+        relay.notices.add(f"m{n}", "dead", 0)
     relay.notices.send()
     assert [(await field.platform.next_notice())["ref"] for _ in range(2)] == ["m1", "m3"]
     await until(lambda: not relay.notices.queue)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -687,7 +687,7 @@
     field.facts["rules"]["answerSlack"] = 250_000_000
     client = await field.start()
     relay = field.relays[0]
-    handle, tell = relay.pacer.handle, relay.notices.tell
+    handle, tell = relay.pacer.handle, relay.notices.add
     longest, late = 0, {}
     deadlines: dict[str, int] = {}
 
@@ -705,7 +705,7 @@
         tell(ref, result, wait_ms)
 
     monkeypatch.setattr(relay.pacer, "handle", dear)
-    monkeypatch.setattr(relay.notices, "tell", told)
+    monkeypatch.setattr(relay.notices, "add", told)
     answers = [await client.enqueue(f"m{n}", ("unsafe", "keyed", "safe")[n % 3], d=900) for n in range(24)]
     taken = [f"m{n}" for n, answer in enumerate(answers) if answer == b"OK"]
     notices = [(await field.platform.next_notice())["ref"] for _ in taken]
