--- a/garnetrelay/discovery/client.py
+++ b/garnetrelay/discovery/client.py
@@ -50,9 +50,9 @@
         self.watches.index = index
 
     @property
-    def heard(self) -> bool:
+    def up_to_date(self) -> bool:
         """Whether the list is no old one: a watch at the present address has told something, and is open."""
-        return self.watches.heard
+        return self.watches.up_to_date
 
     @property
     def open(self) -> int:
--- a/garnetrelay/discovery/watches.py
+++ b/garnetrelay/discovery/watches.py
@@ -80,7 +80,7 @@
         return watch.generation == self.generation
 
     @property
-    def heard(self) -> bool:
+    def up_to_date(self) -> bool:
         """Whether a watch at the present address tells what is in force: the list is no old one."""
         return any(watch.state is State.OPEN and self.is_current(watch) for watch in self.out)
 
@@ -116,7 +116,7 @@
             return False
         self._drop([watch])
         later = watch.state is State.CALLING and any(other.number > watch.number for other in self.out)
-        return self.is_current(watch) and not watch.reported and not self.heard and not later
+        return self.is_current(watch) and not watch.reported and not self.up_to_date and not later
 
     def _drop(self, gone: list[Watch]) -> None:
         self.out = [watch for watch in self.out if watch not in gone]
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -249,7 +249,7 @@
             discovery_calls=self.discovery.watches.calls,
             discovery_failures=self.pacer.asking.failures,
             list_version=self.discovery.index,
-            list_watched=int(self.discovery.heard),
+            list_watched=int(self.discovery.up_to_date),
         )
 
     def knows_host(self, host: str) -> bool:
@@ -292,7 +292,9 @@
         if request.klass not in self.class_numbers:
             raise RejectedError(f"unknown class '{request.klass[:40]}'")
         if request.dest not in self.dests:
-            if not self.discovery.heard:  # the list that we started with may be old: that it does not name it says little
+            if (
+                not self.discovery.up_to_date
+            ):  # the list that we started with may be old: that it does not name it says little
                 self.counts.refused[request.klass] += 1
                 reply.busy(0)
                 return
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -26,7 +26,7 @@
 def test_a_watch_at_the_old_address_goes_on_until_the_new_one_has_brought_a_line() -> None:
     watches, old = watching()
     watches.move(NEW)
-    assert not watches.heard and watches.out == [old]
+    assert not watches.up_to_date and watches.out == [old]
     call, closing = watches.begin()
     assert (call.address, call.index, closing) == (NEW, 0, [])
     watches.taken_up(call)
@@ -34,7 +34,7 @@
     watches.told(old, 50)
     assert watches.index == 0  # the new address counts in a way of its own
     assert watches.line(call) == [old]
-    assert watches.heard and watches.out == [call]
+    assert watches.up_to_date and watches.out == [call]
 
 
 def test_the_first_of_two_calls_that_brings_a_line_is_the_watch() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -47,7 +47,7 @@
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     watch.call.break_off()
     again = await field.platform.next_watch()
     again.line(listing(50, endpoint(field.host, status="Terminating")))
@@ -170,7 +170,7 @@
     client = await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     assert str(await client.enqueue("m1", dest=4)).startswith("ERR unknown destination")
     watch.call.break_off()
     again = await field.platform.next_watch()  # opened, and nothing has come on it
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -114,7 +114,7 @@
 ) -> None:
     client = await field.start()
     (await field.platform.next_watch()).line("")  # before that, a destination that is not listed may be a new one
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     assert (await client.ask(*words)).startswith("ERR")
     assert await client.ask("PING") == b"PONG"
     assert field.relays[0].held == {}
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -44,7 +44,7 @@
     old = await field.platform.next_watch()
     old.line("")
     relay = field.relays[0]
-    await until(lambda: relay.discovery.heard)
+    await until(lambda: relay.discovery.up_to_date)
     other = ScriptedPlatform()
     await other.start()
     relay.reconfigure(dataclasses.replace(relay.config, discovery=Address.parse(other.address)))
