--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -18,7 +18,7 @@
 MOST_NAMED = 8  # hosts in a log line
 IN_QUOTES = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
-STATES = {
+AVAILABILITY_BY_STATUS = {
     "Ready": io.Availability.RUNNING,
     "Terminating": io.Availability.STOPPING,
     "Gone": io.Availability.DELETED,
@@ -74,14 +74,14 @@
         return ListUpdate(index, False, tuple(entries), addresses)
 
     def _entry(self, line: dict[str, Any]) -> io.HostEntry:
-        if line["status"] not in STATES:
+        if line["status"] not in AVAILABILITY_BY_STATUS:
             raise ValueError(f"unknown status {line['status']!r}")
         return io.HostEntry(
             host=str(line["name"]),
             zone=self.zones[line["zone"]] if self.zones else 0,
             kind=self.kinds[line["type"]] if self.kinds else 0,
             dest=int(line["group"]),
-            availability=STATES[line["status"]],
+            availability=AVAILABILITY_BY_STATUS[line["status"]],
             rate=float(line.get("weight", 1.0)),
         )
 
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -168,7 +168,7 @@
 
 def drain_not_understood() -> None:
     """An endpoint that drains is taken for one that serves."""
-    host_list.STATES["Terminating"] = io.Availability.RUNNING
+    host_list.AVAILABILITY_BY_STATUS["Terminating"] = io.Availability.RUNNING
 
 
 def news_taken_up_late() -> None:
