--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -21,7 +21,7 @@
 
 MOST_COMMAND = MOST_BODY + 16 * 1024  # a command with all its framing
 MOST_OPEN = 64  # commands of one connection without an answer: usual clients have one
-COMMAND_TIME = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
+COMMAND_TIMEOUT_S = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
 IDLE_TIME = 2.0  # seconds without an open request after which a connection may make room for another
 SILENT_TIME = 0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
 LINGER = 1.0  # seconds without a byte in which a client that is shut out may still read why
@@ -158,7 +158,7 @@
     def _expect_command(self) -> None:
         """A connection that says nothing, half of a command, or a byte now and then, is not kept: the time
         runs from its beginning."""
-        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIME, self._overdue)
+        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_S, self._overdue)
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -156,8 +156,8 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
     """The time runs from the beginning: a byte now and then wins none. One that has asked may stay."""
-    assert clients.COMMAND_TIME < 3
-    monkeypatch.setattr(clients, "COMMAND_TIME", 0.2)
+    assert clients.COMMAND_TIMEOUT_S < 3
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.2)
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     bad = await Client.connect(field.port)
