--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -24,7 +24,7 @@
 COMMAND_TIMEOUT_S = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
 IDLE_TIME = 2.0  # seconds without an open request after which a connection may make room for another
 SILENT_TIME = 0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
-LINGER = 1.0  # seconds without a byte in which a client that is shut out may still read why
+LINGER_S = 1.0  # seconds without a byte in which a client that is shut out may still read why
 LONGEST_LINGER = 5.0  # for one that goes on sending what nobody reads
 ACCEPTED_AT_ONCE = 4  # connections taken up in a round of the loop: each is a descriptor already
 MOST_TOLD = 16  # connections kept beyond the room there is, until they have read that there is none
@@ -291,14 +291,14 @@
             return
         if transport.can_write_eof():
             transport.write_eof()
-        self.timer = asyncio.get_running_loop().call_later(LINGER, self._lingered, self.server.now())
+        self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, self.server.now())
 
     def _lingered(self, since: float) -> None:
         """One that is still sending at full speed reads the error only once it has sent all."""
         self.timer = None
         now = self.server.now()
-        if now < min(self.heard_at + LINGER, since + LONGEST_LINGER):
-            self.timer = asyncio.get_running_loop().call_later(LINGER, self._lingered, since)
+        if now < min(self.heard_at + LINGER_S, since + LONGEST_LINGER):
+            self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, since)
         elif self.transport is not None:
             self.transport.abort()
 
@@ -341,7 +341,7 @@
         self.server.busy(self)
         transport.close()
         if transport.get_write_buffer_size():
-            self.timer = asyncio.get_running_loop().call_later(LINGER, transport.abort)
+            self.timer = asyncio.get_running_loop().call_later(LINGER_S, transport.abort)
 
     def _end_our_side(self, transport: asyncio.Transport) -> None:
         self.closing = True
@@ -509,7 +509,7 @@
         """Make room: by one that is shut out and has been told, by one that never asked, or by one that has
         had no request open for long. Its client opens another when it needs one."""
         for connection in self.lingering:
-            if connection.transport is not None and self.now() >= connection.heard_at + LINGER / 4:
+            if connection.transport is not None and self.now() >= connection.heard_at + LINGER_S / 4:
                 connection.transport.abort()
                 self.forget(connection)
                 return True
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -204,7 +204,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its answers can't be written, so its connection never closed, and as one with work to do it made no room either."""
-    monkeypatch.setattr(clients, "LINGER", 0.0)
+    monkeypatch.setattr(clients, "LINGER_S", 0.0)
     await field.start()
     relay = field.relays[0]
     deaf = await Client.connect(field.port)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -176,7 +176,7 @@
 
 async def test_sender_of_much_gets_to_read_the_error(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """It reads only when it has sent all, long after it was shut out."""
-    monkeypatch.setattr(clients, "LINGER", 0.1)
+    monkeypatch.setattr(clients, "LINGER_S", 0.1)
     client = await field.start()
     client.write("PING")
     client.writer.write(b"*1\r\n$60000000\r\n")
