--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -190,7 +190,7 @@
         await asyncio.sleep(0)
     await until(lambda: connection in relay.server.idle)
     open_before = descriptors()
-    now = relay.server.now() + clients.IDLE_TIME + 1
+    now = relay.server.now() + clients.MIN_IDLE_S + 1
     relay.server.now = lambda: now
     while connection in relay.server.connections:
         assert relay.server.close_longest_idle()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -200,7 +200,7 @@
     assert relay._client_room() == 0
     late = await Client.connect(field.port)
     assert (await late.read()).startswith("BUSY") and await late.read() is None
-    monkeypatch.setattr(clients, "IDLE_TIME", 0.0)
+    monkeypatch.setattr(clients, "MIN_IDLE_S", 0.0)
     first.writer.write(b"*1\r\n")  # a command has begun
     await until(lambda: any(connection.raw for connection in relay.server.connections))
     late = await Client.connect(field.port)
@@ -212,7 +212,7 @@
 
 async def test_silent_connections_make_room_long_before_others(field: Field) -> None:
     """Hundreds connected, said nothing and came again; for 2 s each they shut out all that had to ask."""
-    assert clients.SILENT_TIME < clients.IDLE_TIME
+    assert clients.SILENT_TIME < clients.MIN_IDLE_S
     field.limits["sockets"] = 60
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
