--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -23,7 +23,9 @@
 MOST_OPEN = 64  # commands of one connection without an answer: usual clients have one
 COMMAND_TIMEOUT_S = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
 MIN_IDLE_S = 2.0  # seconds without an open request after which a connection may make room for another
-SILENT_TIME = 0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
+MIN_IDLE_WITHOUT_COMMAND_S = (
+    0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
+)
 LINGER_S = 1.0  # seconds without a byte in which a client that is shut out may still read why
 LONGEST_LINGER = 5.0  # for one that goes on sending what nobody reads
 ACCEPTED_AT_ONCE = 4  # connections taken up in a round of the loop: each is a descriptor already
@@ -513,7 +515,7 @@
                 connection.transport.abort()
                 self.forget(connection)
                 return True
-        for waiting, time in ((self.without_command, SILENT_TIME), (self.idle, MIN_IDLE_S)):
+        for waiting, time in ((self.without_command, MIN_IDLE_WITHOUT_COMMAND_S), (self.idle, MIN_IDLE_S)):
             for connection in waiting:
                 if self.now() < connection.heard_at + time:
                     break
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -212,7 +212,7 @@
 
 async def test_silent_connections_make_room_long_before_others(field: Field) -> None:
     """Hundreds connected, said nothing and came again; for 2 s each they shut out all that had to ask."""
-    assert clients.SILENT_TIME < clients.MIN_IDLE_S
+    assert clients.MIN_IDLE_WITHOUT_COMMAND_S < clients.MIN_IDLE_S
     field.limits["sockets"] = 60
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
@@ -220,7 +220,7 @@
     silent = [await Client.connect(field.port) for _ in range(relay._client_room())]
     await until(lambda: relay._client_room() == 0)
     first = next(iter(relay.server.without_command))
-    await until(lambda: relay.server.now() > first.heard_at + clients.SILENT_TIME)
+    await until(lambda: relay.server.now() > first.heard_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
     assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
     assert await usual.ask("PING") == b"PONG"
