--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -32,7 +32,7 @@
 SECOND = 1_000_000_000
 IDLE_SHARE = 0.8  # of the host's own idle limit: a call written just as it closes would end as a reset
 OUR_OWN = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # errors of a connect that no host has made
-DRAIN_TIME = 0.5  # seconds for what is left of an answer once it has begun
+ANSWER_REST_TIMEOUT_S = 0.5  # seconds for what is left of an answer once it has begun
 
 Prepare = Callable[[Address], bytes | None]
 
@@ -230,7 +230,7 @@
         elif not reader.pending:
             self._stop_timer()
         elif self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(DRAIN_TIME, self._overdue)
+            self.timer = asyncio.get_running_loop().call_later(ANSWER_REST_TIMEOUT_S, self._overdue)
 
     def _judged(self, outcome: Outcome) -> Outcome:
         """A host with too many connections turns a new one away, before it looks at limits: no answer on one
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -343,7 +343,7 @@
 async def test_first_line_with_200_is_true_in_a_spoilt_answer(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.1)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
@@ -383,7 +383,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
     """The host answers others as before: it is neither suspect nor told to be waited for."""
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.1)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=8000)
     call = await field.host.next_call()
@@ -407,7 +407,7 @@
 
 
 async def test_answer_may_take_its_time_behind_1xx(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.05)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.05)
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
