--- a/garnetrelay/discovery/watches.py
+++ b/garnetrelay/discovery/watches.py
@@ -21,7 +21,7 @@
 FIRST_LINE = 1.25  # seconds from there to the whole list, where all was asked for
 LINE_TIME = 1.0  # seconds in which nothing comes of a line that has begun
 DOUBT_AFTER = 2.5  # seconds without a whole line, behind which another call is made
-SILENCE = 8.0  # seconds without a whole line, behind which the watch ends
+SILENCE_TIMEOUT_S = 8.0  # seconds without a whole line, behind which the watch ends
 MOST_CALLS = 6  # connections to discovery at a time
 
 
@@ -144,7 +144,7 @@
     def line(self, now: float) -> None:
         """A whole line has come. A byte now and then renews nothing: what counts is a whole line."""
         self._heard_at = now
-        self.doubt_at, self.end_at = now + DOUBT_AFTER, now + SILENCE
+        self.doubt_at, self.end_at = now + DOUBT_AFTER, now + SILENCE_TIMEOUT_S
 
     def unfinished(self, now: float) -> None:
         """A piece of a line has come, and not its end."""
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -113,16 +113,16 @@
     patience = Patience.begin(100.0)
     assert (patience.doubt_at, patience.end_at) == (None, 100.0 + module.ANSWER_TIME)
     patience.taken_up(101.0, all_asked_for=True)
-    assert (patience.doubt_at, patience.end_at) == (101.0 + module.FIRST_LINE, 101.0 + module.SILENCE)
+    assert (patience.doubt_at, patience.end_at) == (101.0 + module.FIRST_LINE, 101.0 + module.SILENCE_TIMEOUT_S)
     patience.line(102.0)
-    assert (patience.doubt_at, patience.end_at) == (102.0 + module.DOUBT_AFTER, 102.0 + module.SILENCE)
+    assert (patience.doubt_at, patience.end_at) == (102.0 + module.DOUBT_AFTER, 102.0 + module.SILENCE_TIMEOUT_S)
     patience.unfinished(102.1)
     assert patience.doubt_at == 102.1 + module.LINE_TIME
     for tenth in range(1, 40):  # a trickle
         patience.unfinished(102.1 + tenth / 10)
         assert patience.doubt_at is not None
         assert patience.doubt_at <= 102.0 + module.DOUBT_AFTER
-        assert patience.end_at == 102.0 + module.SILENCE
+        assert patience.end_at == 102.0 + module.SILENCE_TIMEOUT_S
 
 
 def test_what_a_silent_watch_misses_can_be_asked_for_three_times_before_it_counts_as_told() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -72,7 +72,7 @@
 
 async def test_bytes_that_make_no_line_do_not_keep_a_watch_alive(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """A trickle of bytes from a service that is stuck renewed its patience for ever."""
-    monkeypatch.setattr(watches, "SILENCE", 0.1)
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
     watch = await field.platform.next_watch()
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -610,8 +610,8 @@
 
 async def test_silent_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that vanished says nothing; lines come every 2 s while all is well."""
-    assert watches.SILENCE > 3
-    monkeypatch.setattr(watches, "SILENCE", 0.1)
+    assert watches.SILENCE_TIMEOUT_S > 3
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
     await field.platform.next_watch()
     await field.platform.next_watch()
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -97,7 +97,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watches, "DOUBT_AFTER", 0.05)
-    monkeypatch.setattr(watches, "SILENCE", 60.0)
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
@@ -113,7 +113,7 @@
 ) -> None:
     """Taken up, and then no list or half of one: it took the whole time of a watch that says nothing."""
     monkeypatch.setattr(watches, "DOUBT_AFTER", 60.0)
-    monkeypatch.setattr(watches, "SILENCE", 60.0)
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     relay = field.relays[0]
     relay.discovery.index = 0
@@ -133,7 +133,7 @@
 
 async def test_what_cannot_be_read_closes_no_other_watch(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watches, "DOUBT_AFTER", 0.05)
-    monkeypatch.setattr(watches, "SILENCE", 60.0)
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
