--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -13,10 +13,10 @@
 from benchmarks.capacity.size import CONTROL_MEMORY, READY, SIZE, Budget, Mark, Unit
 from benchmarks.capacity.subject import Quantity, Subject
 from garnetrelay.config.deployment import load
-from garnetrelay.discovery.host_list import MOST_LINE, ListReader, ObjectSplitter, UnreadableListError
+from garnetrelay.discovery.host_list import MAX_VERSION_BYTES, ListReader, ObjectSplitter, UnreadableListError
 
 CHUNK = 65_536  # bytes that a watch reads at once
-WATCH_LINE = Budget("bytes of one version on a watch", float(MOST_LINE), Mark.COMPUTED)
+WATCH_LINE = Budget("bytes of one version on a watch", float(MAX_VERSION_BYTES), Mark.COMPUTED)
 
 
 class Sample(msgspec.Struct):
--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -14,7 +14,7 @@
 from garnetrelay.config.deployment import Address, Config
 from starlingwick import interface as io
 
-MOST_LINE = 4 << 20  # bytes of one version of the list
+MAX_VERSION_BYTES = 4 << 20  # bytes of one version of the list
 MOST_NAMED = 8  # hosts in a log line
 IN_QUOTES = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -124,7 +124,7 @@
                 found.append(None)
             elif bare:
                 self._take(line, found)
-        if self._size + len(self._begun) > MOST_LINE:
+        if self._size + len(self._begun) > MAX_VERSION_BYTES:
             raise UnreadableListError("a line without end")
         return found
 
--- a/tests/scale/test_files_scale.py
+++ b/tests/scale/test_files_scale.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity import journal, lists
 from benchmarks.capacity.files import configuration, listing
 from garnetrelay.config.deployment import load
-from garnetrelay.discovery.host_list import MOST_LINE, ListReader
+from garnetrelay.discovery.host_list import MAX_VERSION_BYTES, ListReader
 from garnetrelay.store.store import Store
 
 
@@ -26,7 +26,7 @@
 def test_a_watch_takes_a_list_of_up_to_its_bound_and_refuses_a_longer_one() -> None:
     """4 MB are some 13,000 destinations: a figure of the capacity page, so that it is noticed where it changes."""
     each = len(json.dumps(listing(100, "Ready"))) / 100
-    fits, too_many = int(MOST_LINE / each * 0.95), int(MOST_LINE / each * 1.05)
+    fits, too_many = int(MAX_VERSION_BYTES / each * 0.95), int(MAX_VERSION_BYTES / each * 1.05)
     assert not lists.refuses(json.dumps(listing(fits, "Ready")).encode() + b"\n")
     assert lists.refuses(json.dumps(listing(too_many, "Ready")).encode() + b"\n")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -114,7 +114,7 @@
     lines = ObjectSplitter()
     whole = listing(8).encode()
     assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
-    monkeypatch.setattr(host_list, "MOST_LINE", 100)
+    monkeypatch.setattr(host_list, "MAX_VERSION_BYTES", 100)
     with pytest.raises(UnreadableListError):
         lines.feed(b'{"index":9,"endpoints":[\n' + b" 1,\n" * 40)
 
