--- a/garnetrelay/membership/watches.py
+++ b/garnetrelay/discovery/watches.py
@@ -21,7 +21,7 @@
 FIRST_LINE = 1.25  # seconds from there to the whole list, where all was asked for
 LINE_TIME = 1.0  # seconds in which nothing comes of a line that has begun
 DOUBT_AFTER = 2.5  # seconds without a whole line, behind which another call is made
-SILENCE = 8.0  # seconds without a whole line, behind which the watch ends
+SILENCE_TIMEOUT_S = 8.0  # seconds without a whole line, behind which the watch ends
 MOST_CALLS = 6  # connections to discovery at a time
 
 
@@ -80,7 +80,7 @@
         return watch.generation == self.generation
 
     @property
-    def heard(self) -> bool:
+    def up_to_date(self) -> bool:
         """Whether a watch at the present address tells what is in force: the list is no old one."""
         return any(watch.state is State.OPEN and self.is_current(watch) for watch in self.out)
 
@@ -116,7 +116,7 @@
             return False
         self._drop([watch])
         later = watch.state is State.CALLING and any(other.number > watch.number for other in self.out)
-        return self.is_current(watch) and not watch.reported and not self.heard and not later
+        return self.is_current(watch) and not watch.reported and not self.up_to_date and not later
 
     def _drop(self, gone: list[Watch]) -> None:
         self.out = [watch for watch in self.out if watch not in gone]
@@ -144,7 +144,7 @@
     def line(self, now: float) -> None:
         """A whole line has come. A byte now and then renews nothing: what counts is a whole line."""
         self._heard_at = now
-        self.doubt_at, self.end_at = now + DOUBT_AFTER, now + SILENCE
+        self.doubt_at, self.end_at = now + DOUBT_AFTER, now + SILENCE_TIMEOUT_S
 
     def unfinished(self, now: float) -> None:
         """A piece of a line has come, and not its end."""
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -21,10 +21,12 @@
 
 MOST_COMMAND = MOST_BODY + 16 * 1024  # a command with all its framing
 MOST_OPEN = 64  # commands of one connection without an answer: usual clients have one
-COMMAND_TIME = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
-IDLE_TIME = 2.0  # seconds without an open request after which a connection may make room for another
-SILENT_TIME = 0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
-LINGER = 1.0  # seconds without a byte in which a client that is shut out may still read why
+COMMAND_TIMEOUT_S = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
+MIN_IDLE_S = 2.0  # seconds without an open request after which a connection may make room for another
+MIN_IDLE_WITHOUT_COMMAND_S = (
+    0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
+)
+LINGER_S = 1.0  # seconds without a byte in which a client that is shut out may still read why
 LONGEST_LINGER = 5.0  # for one that goes on sending what nobody reads
 ACCEPTED_AT_ONCE = 4  # connections taken up in a round of the loop: each is a descriptor already
 MOST_TOLD = 16  # connections kept beyond the room there is, until they have read that there is none
@@ -46,7 +48,7 @@
         self.data: bytes | None = None
 
     @property
-    def wanted(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether its client is still there to hear it."""
         return not self._connection.lost
 
@@ -76,7 +78,7 @@
     def __init__(self, server: Server, passed: tuple[bytes, bool] | None = None) -> None:
         self.server = server
         self.passed = passed  # from another process: what had come of a command, and whether it has ever asked
-        self.asked = passed is not None and passed[1]
+        self.has_sent_command = passed is not None and passed[1]
         self.reader = hiredis.Reader(protocolError=RejectedError, replyError=RejectedError)
         self.raw = bytearray()  # of a command that has not come whole
         self.replies: deque[Reply] = deque()
@@ -104,20 +106,20 @@
             # Not an error: the request that is on its way has failed for good behind one.
             self._shut(lambda reply: reply.busy(0), f"too many connections: {self.server.counts}")
         else:
-            self.server.silent[self] = None
+            self.server.without_command[self] = None
             self._expect_command()
 
     def _go_on(self, raw: bytes, asked: bool) -> None:
         """Where the other process left it: it was admitted there."""
         self.server.connections.add(self)
-        (self.server.idle if asked else self.server.silent)[self] = None
+        (self.server.idle if asked else self.server.without_command)[self] = None
         if raw or not asked:
             self._expect_command()
         if raw:
             self.data_received(raw)
 
     @property
-    def can_pass(self) -> bool:
+    def can_hand_over(self) -> bool:
         """Whether another process can read on from here: no answer is owed or on its way."""
         return (
             not self.closing
@@ -132,7 +134,7 @@
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
-    def let_go(self) -> None:
+    def close_after_handover(self) -> None:
         """Another process has the connection: close it here without a word."""
         self.closing = True
         self._stop_timer()
@@ -158,7 +160,7 @@
     def _expect_command(self) -> None:
         """A connection that says nothing, half of a command, or a byte now and then, is not kept: the time
         runs from its beginning."""
-        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIME, self._overdue)
+        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_S, self._overdue)
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
@@ -219,7 +221,7 @@
             raise RejectedError("a length is wrong")
         del self.raw[: len(written)]
         self._stop_timer()
-        self.asked = True
+        self.has_sent_command = True
         self.server.busy(self)
         reply = Reply(self)
         self.replies.append(reply)
@@ -291,14 +293,14 @@
             return
         if transport.can_write_eof():
             transport.write_eof()
-        self.timer = asyncio.get_running_loop().call_later(LINGER, self._lingered, self.server.now())
+        self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, self.server.now())
 
     def _lingered(self, since: float) -> None:
         """One that is still sending at full speed reads the error only once it has sent all."""
         self.timer = None
         now = self.server.now()
-        if now < min(self.heard_at + LINGER, since + LONGEST_LINGER):
-            self.timer = asyncio.get_running_loop().call_later(LINGER, self._lingered, since)
+        if now < min(self.heard_at + LINGER_S, since + LONGEST_LINGER):
+            self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, since)
         elif self.transport is not None:
             self.transport.abort()
 
@@ -341,7 +343,7 @@
         self.server.busy(self)
         transport.close()
         if transport.get_write_buffer_size():
-            self.timer = asyncio.get_running_loop().call_later(LINGER, transport.abort)
+            self.timer = asyncio.get_running_loop().call_later(LINGER_S, transport.abort)
 
     def _end_our_side(self, transport: asyncio.Transport) -> None:
         self.closing = True
@@ -362,16 +364,18 @@
 
 
 class Server:
-    """Listens for clients and bounds their connections: ``room`` says how many more there may be now, and
-    ``more_room`` frees a descriptor elsewhere, where one can be had."""
+    """Listens for clients and bounds their connections: ``remaining_capacity`` says how many more there may be now, and
+    ``free_descriptor`` frees a descriptor elsewhere, where one can be had."""
 
-    def __init__(self, handler: Handler, room: Callable[[], int], more_room: Callable[[], bool]) -> None:
+    def __init__(
+        self, handler: Handler, remaining_capacity: Callable[[], int], free_descriptor: Callable[[], bool]
+    ) -> None:
         self.handler = handler
-        self.room = room
-        self.more_room = more_room
+        self.remaining_capacity = remaining_capacity
+        self.free_descriptor = free_descriptor
         self.connections: set[Connection] = set()
         self.idle: dict[Connection, None] = {}  # without an open request, longest first
-        self.silent: dict[Connection, None] = {}  # the same, of those that have never asked
+        self.without_command: dict[Connection, None] = {}  # the same, of those that have never asked
         self.lingering: dict[Connection, None] = {}  # told that they are shut out, longest first
         self.draining = False
         self.ended = False  # nothing more is read
@@ -413,12 +417,12 @@
         assert self._server is not None
         asyncio.get_running_loop().remove_reader(self._server.sockets[0].fileno())
 
-    def passing(self) -> list[Connection]:
+    def connections_to_hand_over(self) -> list[Connection]:
         """Connections that can pass to another process. Others close once what is owed there is written."""
         for connection in list(self.connections):
-            if not connection.can_pass:
+            if not connection.can_hand_over:
                 connection.close_between_requests()
-        return [connection for connection in self.connections if connection.can_pass]
+        return [connection for connection in self.connections if connection.can_hand_over]
 
     async def adopt(self, found: socket.socket, raw: bytes, asked: bool) -> None:
         """A connection that passed from another process."""
@@ -494,12 +498,12 @@
 
     def admit(self) -> bool | None:
         """Whether there is room for one more connection. None: not even to tell it that there is none."""
-        if self.room() > 0 or self.close_longest_idle() or self.more_room():
+        if self.remaining_capacity() > 0 or self.close_longest_idle() or self.free_descriptor():
             return True
-        return False if self.room() > -MOST_TOLD else None
+        return False if self.remaining_capacity() > -MOST_TOLD else None
 
     @property
-    def turned_away(self) -> int:
+    def rejected_count(self) -> int:
         """Connections beyond the room: they hold the descriptors that are kept for them, and take nobody's part."""
         return min(len(self.lingering), MOST_TOLD)
 
@@ -507,11 +511,11 @@
         """Make room: by one that is shut out and has been told, by one that never asked, or by one that has
         had no request open for long. Its client opens another when it needs one."""
         for connection in self.lingering:
-            if connection.transport is not None and self.now() >= connection.heard_at + LINGER / 4:
+            if connection.transport is not None and self.now() >= connection.heard_at + LINGER_S / 4:
                 connection.transport.abort()
                 self.forget(connection)
                 return True
-        for waiting, time in ((self.silent, SILENT_TIME), (self.idle, IDLE_TIME)):
+        for waiting, time in ((self.without_command, MIN_IDLE_WITHOUT_COMMAND_S), (self.idle, MIN_IDLE_S)):
             for connection in waiting:
                 if self.now() < connection.heard_at + time:
                     break
@@ -524,14 +528,14 @@
     def counts(self) -> str:
         """Who holds the descriptors, for the log."""
         return (
-            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.silent)} have never "
+            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.without_command)} have never "
             f"asked, {len(self.lingering)} are shut out"
         )
 
     def busy(self, connection: Connection) -> None:
         """It does not make room for another."""
         self.idle.pop(connection, None)
-        self.silent.pop(connection, None)
+        self.without_command.pop(connection, None)
 
     def forget(self, connection: Connection) -> None:
         self.connections.discard(connection)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,12 +18,11 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import Outcome
+from garnetrelay.discovery import host_list, watches
+from garnetrelay.discovery.host_list import ObjectSplitter, UnreadableListError
 from garnetrelay.fronts.resp import server as clients
 from garnetrelay.handover.channel import Door
 from garnetrelay.handover.protocol import VERSION, Hello
-from garnetrelay.membership import listing as listing_module
-from garnetrelay.membership import watches
-from garnetrelay.membership.listing import Lines, UnreadableListError
 from garnetrelay.platform import notices
 from garnetrelay.rehearsal.http import Call
 from garnetrelay.rehearsal.scripted_peers import PATIENCE, ScriptedHost, ScriptedPlatform
@@ -48,7 +47,7 @@
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     watch.call.break_off()
     again = await field.platform.next_watch()
     again.line(listing(50, endpoint(field.host, status="Terminating")))
@@ -73,7 +72,7 @@
 
 async def test_bytes_that_make_no_line_do_not_keep_a_watch_alive(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """A trickle of bytes from a service that is stuck renewed its patience for ever."""
-    monkeypatch.setattr(watches, "SILENCE", 0.1)
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
     watch = await field.platform.next_watch()
 
@@ -106,16 +105,16 @@
         json.dumps(versions[2], indent=0),
         json.dumps(versions[3]),
     ]
-    data, lines = "".join(f"{text}\n" for text in texts).encode(), Lines()
+    data, lines = "".join(f"{text}\n" for text in texts).encode(), ObjectSplitter()
     found = [one for at in range(0, len(data), size) for one in lines.feed(data[at : at + size])]
     assert found.count(None) == 1 and [json.loads(one) for one in found if one is not None] == versions
 
 
 def test_an_object_without_an_end_takes_no_later_version_with_it_and_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = Lines()
+    lines = ObjectSplitter()
     whole = listing(8).encode()
     assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
-    monkeypatch.setattr(listing_module, "MOST_LINE", 100)
+    monkeypatch.setattr(host_list, "MAX_VERSION_BYTES", 100)
     with pytest.raises(UnreadableListError):
         lines.feed(b'{"index":9,"endpoints":[\n' + b" 1,\n" * 40)
 
@@ -171,7 +170,7 @@
     client = await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     assert str(await client.enqueue("m1", dest=4)).startswith("ERR unknown destination")
     watch.call.break_off()
     again = await field.platform.next_watch()  # opened, and nothing has come on it
@@ -319,7 +318,7 @@
     async def give() -> None:
         listener = await server.stop_listening()
         listener.close()
-        passing.set_result(server.passing())
+        passing.set_result(server.connections_to_hand_over())
 
     loop.call_at(loop.time(), lambda: giving.append(loop.create_task(give())))
     giving: list[asyncio.Task[None]] = []
@@ -566,7 +565,7 @@
     outcomes: list[Outcome] = []
     later: list[object] = []
     net.on_record = later.append
-    exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe(address, False), outcomes.append)
+    exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe_request(address, False), outcomes.append)
     net.begin(exchange)
     await until(lambda: bool(later))
     exchange.give_up(io.Status.CANCELLED)
@@ -699,7 +698,7 @@
     relay = field.relays[0]
     waits: list[float] = []
     monkeypatch.setattr(field.platform, "handler", lambda call: waits.append(relay.notices.patience))
-    relay.notices.tell("m1", "dead", 0)
+    relay.notices.add("m1", "dead", 0)
     relay.notices.send()
     await until(lambda: len(waits) == 3)
     assert waits == [notices.ANSWER_TIME, 2 * notices.ANSWER_TIME, 4 * notices.ANSWER_TIME]
@@ -720,7 +719,7 @@
 
     monkeypatch.setattr(field.platform, "handler", picky)
     for n in range(1, 4):
-        relay.notices.tell(f"m{n}", "dead", 0)
+        relay.notices.add(f"m{n}", "dead", 0)
     relay.notices.send()
     assert [(await field.platform.next_notice())["ref"] for _ in range(2)] == ["m1", "m3"]
     await until(lambda: not relay.notices.queue)
