--- a/garnetrelay/daemon.py
+++ b/garnetrelay/daemon.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from garnetrelay.handover.receiver import Inheritance
-    from garnetrelay.store.ahead import Ahead
+    from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger("garnetrelay")
 
@@ -31,7 +31,7 @@
         log.error("the old configuration stays: %s", error)
 
 
-def inherit(config: Config) -> tuple[Config, Inheritance | None, Ahead | None]:
+def inherit(config: Config) -> tuple[Config, Inheritance | None, Preloaded | None]:
     """What another process that serves from this folder hands to this one, where staff may upgrade a relay."""
     if config.operators is None:
         return config, None, None
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -15,7 +15,7 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.handover import protocol as p
 from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, Door
-from garnetrelay.store.ahead import Ahead, read_ahead
+from garnetrelay.store.preload import Preloaded, preload_folder
 from garnetrelay.store.reading import number_in
 from garnetrelay.store.storage import Folder
 
@@ -56,7 +56,7 @@
         self.channel.close()
 
 
-def read_folder(folder: Path) -> Ahead | None:
+def read_folder(folder: Path) -> Preloaded | None:
     """What the process that serves has on record by now; None where none does. This takes its time while it serves:
     behind the hand-over only what came since is left to read."""
     door = Folder(folder)
@@ -65,7 +65,7 @@
     collecting = gc.isenabled()
     gc.disable()  # all that is made stays
     try:
-        return read_ahead(door, number_in)
+        return preload_folder(door, number_in)
     finally:
         if collecting:
             gc.enable()
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -44,8 +44,8 @@
     from garnetrelay.operators.figures import Gauges
     from garnetrelay.operators.service import Operators
     from garnetrelay.ownership import Owners
-    from garnetrelay.store.ahead import Ahead
     from garnetrelay.store.durability import Syncing
+    from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Ahead | None = None) -> None:
+    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Preloaded | None = None) -> None:
         self.config = config
         self.inheritance = inheritance
         self.settings = config.settings
--- a/garnetrelay/store/ahead.py
+++ b/garnetrelay/store/preload.py
@@ -16,16 +16,16 @@
 
 
 @dataclass(slots=True)
-class Ahead:
+class Preloaded:
     """What has been read: the index of it, and up to where in each segment (bytes)."""
 
     index: Index = field(default_factory=Index)
     read: dict[int, int] = field(default_factory=dict)
 
 
-def read_ahead(storage: Storage, number_in: Callable[[str], int | None]) -> Ahead | None:
+def preload_folder(storage: Storage, number_in: Callable[[str], int | None]) -> Preloaded | None:
     """None where there is anything that only a start can judge: damage, a later version, a failing folder."""
-    found = Ahead()
+    found = Preloaded()
     try:
         names = {number: name for name in storage.names() if (number := number_in(name)) is not None}
         for number in sorted(names):
@@ -44,7 +44,7 @@
     return found
 
 
-def _take(found: Ahead, number: int, data: bytes, newest: bool) -> bool:
+def _take(found: Preloaded, number: int, data: bytes, newest: bool) -> bool:
     """One segment, up to its end or to where it is being written; whether it could be read so."""
     segment = found.index.segments[number] = Segment(number)
     end = fmt.HEADER.size
@@ -61,8 +61,8 @@
     return True
 
 
-def catch_up(ahead: Ahead, numbers: list[int]) -> None:
+def drop_removed_segments(preloaded: Preloaded, numbers: list[int]) -> None:
     """Leave out of account what is not there any more. ``numbers`` are the segments that are."""
-    for number in sorted(ahead.read.keys() - set(numbers)):
-        ahead.index.vanished(number)
-        del ahead.read[number]
+    for number in sorted(preloaded.read.keys() - set(numbers)):
+        preloaded.index.vanished(number)
+        del preloaded.read[number]
--- a/garnetrelay/store/recovery.py
+++ b/garnetrelay/store/recovery.py
@@ -12,10 +12,10 @@
 
 from garnetrelay.store import format as fmt
 from garnetrelay.store import legacy
-from garnetrelay.store.ahead import Ahead, catch_up
 from garnetrelay.store.compaction import CompactedLog
 from garnetrelay.store.format import LaterVersionError, Record
 from garnetrelay.store.index import Segment
+from garnetrelay.store.preload import Preloaded, drop_removed_segments
 from garnetrelay.store.reading import name_of, number_in
 from garnetrelay.store.segment_log import StoreError
 from garnetrelay.store.storage import blocks
@@ -26,19 +26,19 @@
 class RecoveredLog(CompactedLog):
     """A log that goes on from what earlier lives left. StoreError where that can't be read: nothing is changed then."""
 
-    def _load(self, ahead: Ahead | None) -> None:
+    def _load(self, preloaded: Preloaded | None) -> None:
         # All that a load makes stays: to look for what may go would take as long as the reading.
         collecting = gc.isenabled()
         gc.disable()
         try:
-            self._read_folder(ahead or Ahead())
+            self._read_folder(preloaded or Preloaded())
         finally:
             if collecting:
                 gc.enable()
 
-    def _read_folder(self, ahead: Ahead) -> None:
+    def _read_folder(self, preloaded: Preloaded) -> None:
         """Read the folder, and begin a segment of this life's own. Nothing is changed before all can be read."""
-        self.index = ahead.index
+        self.index = preloaded.index
         try:
             names = self.storage.names()
             numbers = sorted(number for name in names if (number := number_in(name)) is not None)
@@ -50,11 +50,11 @@
             whole = {number: fmt.number_of(data) == number for number, data in read.items()}
         except LaterVersionError as error:
             raise StoreError(f"the journal was written by a later version: {error}") from None
-        catch_up(ahead, numbers)
+        drop_removed_segments(preloaded, numbers)
         newest = numbers[-1] if numbers else 0
         torn: tuple[int, int, int] | None = None
         for number in numbers:
-            found = self._replay(number, read.pop(number), whole[number], number == newest, ahead.read.get(number))
+            found = self._replay(number, read.pop(number), whole[number], number == newest, preloaded.read.get(number))
             if found is not None:
                 torn = (number, *found)
         # Where no segment can be begun, what is noted counts in the newest until it can be put on record.
--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 
 from garnetrelay.store import format as fmt
-from garnetrelay.store.ahead import Ahead
 from garnetrelay.store.format import Entry
 from garnetrelay.store.index import TRIES, begin, settle
+from garnetrelay.store.preload import Preloaded
 from garnetrelay.store.recovery import RecoveredLog
 from garnetrelay.store.segment_log import StoreError as StoreError  # the one that a start has to expect
 from garnetrelay.store.storage import Folder, Storage
@@ -35,12 +35,12 @@
         storage: Storage,
         disk_bytes: int,
         machine: bool = False,
-        ahead: Ahead | None = None,
+        preloaded: Preloaded | None = None,
         tries: int = TRIES,
         epochs: bool = False,
     ) -> None:
         super().__init__(storage, disk_bytes, machine)
-        self._load(ahead)
+        self._load(preloaded)
         self.index.allow(tries, epochs)
 
     @classmethod
@@ -50,11 +50,11 @@
         disk_bytes: int,
         machine: bool = False,
         claim: int | None = None,
-        ahead: Ahead | None = None,
+        preloaded: Preloaded | None = None,
         tries: int = TRIES,
         epochs: bool = False,
     ) -> Store:
-        """The store of a folder, claimed for this process unless a claim was handed to it. ``ahead``: what was read
+        """The store of a folder, claimed for this process unless a claim was handed to it. ``preloaded``: what was read
         of it before; ``tries``: attempts that a message may have; ``epochs``: each may have an epoch on record."""
         door = Folder(folder)
         if claim is None:
@@ -62,7 +62,7 @@
         else:
             door.adopt(claim)
         try:
-            return cls(door, disk_bytes, machine, ahead, tries, epochs)
+            return cls(door, disk_bytes, machine, preloaded, tries, epochs)
         except BaseException:
             door.release()
             raise
--- a/tests/store/test_ahead.py
+++ b/tests/store/test_preload.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from garnetrelay.store import ahead as reading
+from garnetrelay.store import preload
 from garnetrelay.store.format import Entry
 from garnetrelay.store.reading import number_in
 from garnetrelay.store.storage import Folder
@@ -60,7 +60,7 @@
         step(store, draw, count)
     if draw.random() < 0.5:
         store.flush()
-    found = reading.read_ahead(Folder(live), number_in)
+    found = preload.preload_folder(Folder(live), number_in)
     assert found is not None
     for count in range(1000, 1000 + draw.choice((0, 3, 100, 1200))):
         step(store, draw, count)
@@ -73,7 +73,7 @@
         newest.write_bytes(newest.read_bytes() + draw.randbytes(draw.randrange(9)))
     shutil.copytree(live, copy)
     assert Folder(live).claimed() is False
-    whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, ahead=found)
+    whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
     assert meant(whole) == meant(caught_up)
     assert whole.used == caught_up.used
     whole.close()
@@ -89,4 +89,4 @@
     data = bytearray(first.read_bytes())
     data[len(data) // 2] ^= 1
     first.write_bytes(data)
-    assert reading.read_ahead(Folder(tmp_path), number_in) is None
+    assert preload.preload_folder(Folder(tmp_path), number_in) is None
