--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -1,7 +1,7 @@
 """Room on the disk: what counts in old segments is written anew behind, in small steps between turns, then they go.
 
 The second layer of a store (see segment_log.py). Owned here: the segment that is being cleaned, messages whose
-doubt no record says yet, and the way back from a failed write. ``cleaning.py`` decides when and which. Guards
+doubt no record says yet, and the way back from a failed write. ``compaction_policy.py`` decides when and which. Guards
 against a full disk: records of new messages leave some segments free for it.
 """
 
@@ -9,7 +9,7 @@
 
 import logging
 
-from garnetrelay.store import cleaning
+from garnetrelay.store import compaction_policy
 from garnetrelay.store import format as fmt
 from garnetrelay.store.reading import name_of
 from garnetrelay.store.segment_log import SegmentLog
@@ -51,13 +51,13 @@
             return
         appended, self._appended = self._appended, 0
         if self._doubted:
-            self._say_doubts(cleaning.STEP_MESSAGES)
+            self._say_doubts(compaction_policy.STEP_MESSAGES)
         if self._victim is None:
-            if not cleaning.wanted(self.sizes, self.used, self.index.live):
+            if not compaction_policy.wanted(self.sizes, self.used, self.index.live):
                 return
             self._victim = self._next_victim()
         if self._victim is not None:
-            self._clean(self._victim, cleaning.step_bytes(appended), cleaning.STEP_MESSAGES)
+            self._clean(self._victim, compaction_policy.step_bytes(appended), compaction_policy.STEP_MESSAGES)
 
     @property
     def busy(self) -> bool:
@@ -66,7 +66,7 @@
 
     def _next_victim(self) -> int | None:
         kept = self._tainted if self._doubted else set()
-        return cleaning.next_victim(
+        return compaction_policy.next_victim(
             (segment for number, segment in self.index.segments.items() if number not in kept), self._active.number
         )
 
@@ -85,7 +85,7 @@
 
     def _make_room(self) -> None:
         """The disk is nearly full: clean until there is room again. Bounded, as what is live is at most half."""
-        for _ in range(2 * cleaning.PARTS):
+        for _ in range(2 * compaction_policy.PARTS):
             if self.broken or self.used + self.sizes.segment < self.sizes.pressing:
                 return
             victim = self._victim
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from garnetrelay.store import cleaning
+from garnetrelay.store import compaction_policy
 from garnetrelay.store import format as fmt
 from garnetrelay.store.format import Entry
 from garnetrelay.store.index import Index, Segment
@@ -62,7 +62,7 @@
         self.wake: Callable[[], None] | None = None  # tells whoever syncs that something waits for it
         if disk_bytes < LEAST_DISK:
             raise StoreError(f"the journal needs {LEAST_DISK / 1e6:g} MB of disk, and may have {disk_bytes / 1e6:g}")
-        self.sizes = cleaning.Sizes(disk_bytes - RESERVE)
+        self.sizes = compaction_policy.Sizes(disk_bytes - RESERVE)
         self.index = Index()
         self.broken = False  # nothing can be put on record just now
         self.failed: set[str] = set()  # messages whose records are not what stands in the files
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -59,7 +59,7 @@
     "garnetrelay.operators.calls",
     "garnetrelay.operators.figures",
     "garnetrelay.rehearsal.checker",
-    "garnetrelay.store.cleaning",
+    "garnetrelay.store.compaction_policy",
     "garnetrelay.store.format",
     "garnetrelay.store.index",
     "garnetrelay.membership.listing",
