--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -30,8 +30,8 @@
     WriteRecords,
 )
 from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
-from garnetrelay.operators.front import Front
+from garnetrelay.operators.commands import CommandRefusedError
+from garnetrelay.operators.listener import OperatorListener
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
         self._writes: list[WriteRecords] = []  # that wait for the one that runs
         self._writing: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
-        self._front: Front | None = None
+        self._front: OperatorListener | None = None
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT. RecordsError or OSError where it can't start or go on."""
@@ -75,7 +75,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
         place = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = Front(Staff(self))
+            self._front = OperatorListener(Staff(self))
             await self._front.start(config.operators)
         if self.records.cut_bytes:
             log.warning("controller: a torn write of %d bytes was cut", self.records.cut_bytes)
@@ -204,7 +204,7 @@
         """Returns where it grants."""
         controller = self._process.controller
         if controller is None or not controller.ready:
-            raise CallRefusedError("it does not grant yet")
+            raise CommandRefusedError("it does not grant yet")
 
     def figures(self) -> str:
         """Its figures, a line each."""
@@ -214,8 +214,8 @@
 
     def fleet(self, words: list[str]) -> str:
         """Nothing: it has no view of the members."""
-        raise CallRefusedError("this is a controller: ask a relay")
+        raise CommandRefusedError("this is a controller: ask a relay")
 
     def exclude(self, host: str, out: bool) -> None:
         """Nothing: it calls no hosts."""
-        raise CallRefusedError("this is a controller: it calls no hosts")
+        raise CommandRefusedError("this is a controller: it calls no hosts")
--- a/garnetrelay/operators/calls.py
+++ b/garnetrelay/operators/commands.py
@@ -13,12 +13,12 @@
 DESTINATION = re.compile("[0-9]{1,18}")
 
 
-class CallRefusedError(Exception):
+class CommandRefusedError(Exception):
     """A call that is answered with ``-ERR`` and this text."""
 
 
-class Service(Protocol):
-    """What a relay does for staff. Each may raise CallRefusedError."""
+class CommandHandler(Protocol):
+    """What a relay does for staff. Each may raise CommandRefusedError."""
 
     def health(self) -> None:
         """Returns if this process can serve."""
@@ -37,15 +37,15 @@
         ...
 
 
-def answer(service: Service, line: bytes) -> bytes:
+def answer(service: CommandHandler, line: bytes) -> bytes:
     """What a call is answered with."""
     try:
         return _answer(service, line)
-    except CallRefusedError as refused:
+    except CommandRefusedError as refused:
         return b"-ERR " + " ".join(str(refused).split()).encode("ascii", "replace")[:200] + b"\n"
 
 
-def _answer(service: Service, line: bytes) -> bytes:
+def _answer(service: CommandHandler, line: bytes) -> bytes:
     words = line.decode("ascii", "replace").split()
     match words:
         case ["HEALTH"]:
@@ -57,14 +57,16 @@
             service.exclude(name, word == "OFFLINE")
             return b"+OK\n"
         case ["OFFLINE" | "ONLINE" as word, *_]:
-            raise CallRefusedError(f"{word} takes the name of one host")
+            raise CommandRefusedError(f"{word} takes the name of one host")
         case ["FLEET", *rest] if _fleet_call(rest):
             return b"+OK\n" + service.fleet(rest).encode("ascii", "replace") + b".\n"
         case ["FLEET", *_]:
-            raise CallRefusedError("FLEET takes MEMBERS, EXPLAIN NAME, LEAVE, OWNERS, OWNERS DESTINATION or CONTROLLERS")
+            raise CommandRefusedError(
+                "FLEET takes MEMBERS, EXPLAIN NAME, LEAVE, OWNERS, OWNERS DESTINATION or CONTROLLERS"
+            )
         case []:
-            raise CallRefusedError("an empty line")
-    raise CallRefusedError(f"unknown call '{words[0][:40]}'; there are HEALTH, DUMP, OFFLINE ID, ONLINE ID, FLEET")
+            raise CommandRefusedError("an empty line")
+    raise CommandRefusedError(f"unknown call '{words[0][:40]}'; there are HEALTH, DUMP, OFFLINE ID, ONLINE ID, FLEET")
 
 
 def _fleet_call(words: list[str]) -> bool:
--- a/garnetrelay/operators/exclusions.py
+++ b/garnetrelay/operators/exclusions.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.operators.commands import CommandRefusedError
 from garnetrelay.store.storage import Folder
 
 log = logging.getLogger(__name__)
@@ -62,16 +62,16 @@
             log.info("out by hand: %s", ", ".join(self.names))
 
     def put(self, host: str, out: bool) -> bool:
-        """Keep a change; whether it was one. CallRefusedError where it can't be kept: then nothing has changed."""
+        """Keep a change; whether it was one. CommandRefusedError where it can't be kept: then nothing has changed."""
         if (host in self.names) == out:
             return False
         names = [*self.names, host] if out else [name for name in self.names if name != host]
         data = encode(names)
         if len(data) > MOST_BYTES:
-            raise CallRefusedError(f"{len(self.names)} hosts are out by hand, and no more can be kept")
+            raise CommandRefusedError(f"{len(self.names)} hosts are out by hand, and no more can be kept")
         try:
             self._folder.replace(FILE, data, self._sync)
         except OSError as error:
-            raise CallRefusedError(f"it can't be kept: {error.strerror}") from None
+            raise CommandRefusedError(f"it can't be kept: {error.strerror}") from None
         self.names = dict.fromkeys(names)
         return True
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -7,10 +7,10 @@
 from garnetrelay.config.deployment import Address, Config
 from garnetrelay.counters import Counters
 from garnetrelay.operators import figures
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.operators.commands import CommandRefusedError
 from garnetrelay.operators.exclusions import Exclusions
 from garnetrelay.operators.figures import Gauges
-from garnetrelay.operators.front import Front
+from garnetrelay.operators.listener import OperatorListener
 from starlingwick import interface as io
 
 
@@ -91,13 +91,13 @@
     def __init__(self, relay: OperatedRelay) -> None:
         self.relay = relay
         self.exclusions = Exclusions(relay.config.state, relay.config.machine_durable)
-        self.front = Front(self)
+        self.listener = OperatorListener(self)
         self.port = 0
 
     async def start(self, address: Address) -> None:
         """Read what is kept, and listen: until the relay serves, HEALTH says no."""
         self.exclusions.read()
-        self.port = await self.front.start(address)
+        self.port = await self.listener.start(address)
 
     def excluded(self) -> list[io.Event]:
         """What the Pacer has to know before its first decision."""
@@ -105,16 +105,16 @@
 
     def close(self) -> None:
         """Stop listening."""
-        self.front.close()
+        self.listener.close()
 
     # ---- the calls
 
     def health(self) -> None:
-        """CallRefusedError while this process does not serve yet, or stops."""
+        """CommandRefusedError while this process does not serve yet, or stops."""
         if not self.relay.serving:  # a relay that has passed to a new process serves on there
-            raise CallRefusedError("it does not serve yet")
+            raise CommandRefusedError("it does not serve yet")
         if self.relay.draining():
-            raise CallRefusedError("it is stopping")
+            raise CommandRefusedError("it is stopping")
 
     def figures(self) -> str:
         """The relay's figures, and the fleet's where this process has a part in it."""
@@ -123,17 +123,17 @@
         return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.figures()
 
     def fleet(self, words: list[str]) -> str:
-        """Answer ``FLEET``: ``words``: MEMBERS, EXPLAIN and a name, or LEAVE. CallRefusedError without a fleet."""
+        """Answer ``FLEET``: ``words``: MEMBERS, EXPLAIN and a name, or LEAVE. CommandRefusedError without a fleet."""
         fleet = self.relay.fleet
         if fleet is None:
-            raise CallRefusedError("this relay knows no others: [fleet] is not switched on")
+            raise CommandRefusedError("this relay knows no others: [fleet] is not switched on")
         if fleet.closed:
-            raise CallRefusedError("this process has no part in the fleet any more")
+            raise CommandRefusedError("this process has no part in the fleet any more")
         match words:
             case ["EXPLAIN", name]:
                 lines = fleet.explain(name)
                 if lines is None:
-                    raise CallRefusedError(f"no relay {name} was ever heard of")
+                    raise CommandRefusedError(f"no relay {name} was ever heard of")
                 return "\n".join(lines) + "\n"
             case ["LEAVE"]:
                 fleet.leave()
@@ -144,21 +144,21 @@
         return fleet.listing()
 
     def exclude(self, host: str, out: bool) -> None:
-        """Keep the change, then put it in force, or pass it on to the new process; CallRefusedError with the reason."""
+        """Keep the change, then put it in force, or pass it on to the new process; CommandRefusedError says why."""
         relay = self.relay
         successor = relay.successor()
         if successor is not None:
             error = successor.exclude(host, out)
             if error:
-                raise CallRefusedError(error)
+                raise CommandRefusedError(error)
             return
         if not relay.knows_host(host) and host not in self.exclusions.names:
-            raise CallRefusedError(f"no host {host} was ever listed")
+            raise CommandRefusedError(f"no host {host} was ever listed")
         if self.exclusions.put(host, out):
             relay.exclude(host, out)
 
 
 def _leased(answer: str | None) -> str:
     if answer is None:
-        raise CallRefusedError("this relay holds no leases: [fleet.leases] is not switched on")
+        raise CommandRefusedError("this relay holds no leases: [fleet.leases] is not switched on")
     return answer
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -276,12 +276,12 @@
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
         """Staff called the process before; why it can't be done, or nothing."""
-        from garnetrelay.operators.calls import CallRefusedError
+        from garnetrelay.operators.commands import CommandRefusedError
 
         assert self.operators is not None
         try:
             self.operators.exclude(host, out)
-        except CallRefusedError as refused:
+        except CommandRefusedError as refused:
             return str(refused)
         return ""
 
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
 from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.operators.commands import CommandRefusedError
 from tests.sockets import until
 
 PATIENCE = 20.0
@@ -201,9 +201,9 @@
         assert answer.accepted
         staff = Staff(first)
         staff.health()
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             staff.fleet(["MEMBERS"])
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             staff.exclude("s-1", True)
 
 
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -8,9 +8,9 @@
 import pytest
 
 from garnetrelay.operators import exclusions
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.operators.commands import CommandRefusedError
 from garnetrelay.operators.exclusions import Exclusions
-from garnetrelay.operators.front import MOST_CALLERS
+from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from starlingwick import interface as io
 from starlingwick.control import Pacer
@@ -83,8 +83,8 @@
     await field.start()
     operators = field.relays[-1].operators
     assert operators is not None
-    silent = [await asyncio.open_connection("127.0.0.1", operators.port) for _ in range(MOST_CALLERS)]
-    await until(lambda: len(operators.front.callers) == MOST_CALLERS)
+    silent = [await asyncio.open_connection("127.0.0.1", operators.port) for _ in range(MAX_CONNECTIONS)]
+    await until(lambda: len(operators.listener.connections) == MAX_CONNECTIONS)
     assert await call(field, "HEALTH\n") == "+OK\n"
     assert (await silent[0][0].readline()).startswith(b"-ERR")
     for _, writer in silent:
@@ -125,7 +125,7 @@
     again = Exclusions(tmp_path, False)
     again.read()
     assert list(again.names) == ["s-1"] and again.put("s-2", True)
-    with pytest.raises(CallRefusedError):
+    with pytest.raises(CommandRefusedError):
         for n in range(1000):
             again.put(f"{n:0200}", True)
     assert path.stat().st_size <= exclusions.MOST_BYTES
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -56,7 +56,7 @@
     "garnetrelay.fleet.partitions",
     "garnetrelay.fleet.signing",
     "garnetrelay.loop_lag",
-    "garnetrelay.operators.calls",
+    "garnetrelay.operators.commands",
     "garnetrelay.operators.figures",
     "garnetrelay.rehearsal.checker",
     "garnetrelay.store.compaction_policy",
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.config.deployment import OPERATORS, RESERVED
 from garnetrelay.fronts.resp import server as clients
-from garnetrelay.operators.front import MOST_CALLERS
+from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from garnetrelay.relay import Relay
 from tests.sockets import Client, Field, endpoint, listing, until
@@ -139,12 +139,12 @@
     before = descriptors()
     await field.start()
     relay = field.relays[0]
-    assert relay.operators is not None and relay.operators.front._server is not None
+    assert relay.operators is not None and relay.operators.listener._server is not None
     idle = descriptors() - before - 1  # its first client is the test's own, too
-    burst = connect_at_once(relay.operators.front._server.sockets[0].getsockname()[1], 16)
+    burst = connect_at_once(relay.operators.listener._server.sockets[0].getsockname()[1], 16)
     others = before + len(burst) + 1
     most = 0
-    while len(relay.operators.front.callers) < MOST_CALLERS:
+    while len(relay.operators.listener.connections) < MAX_CONNECTIONS:
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
     for _ in range(100):
