--- a/garnetrelay/fleet/controller/figures.py
+++ b/garnetrelay/fleet/controller/figures.py
@@ -9,7 +9,7 @@
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.controller import Controller
 from garnetrelay.fleet.leases.messages import Answer, Message
-from garnetrelay.operators.figures import escaped
+from garnetrelay.operators.metrics import escaped
 
 
 @dataclass(slots=True)
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -206,7 +206,7 @@
         if controller is None or not controller.ready:
             raise CommandRefusedError("it does not grant yet")
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """Its figures, a line each."""
         return figures_text(
             self._process.figures, self._process.controller, self._process.datagrams, self._process.records
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from garnetrelay.fleet.lease_service import Leases
-from garnetrelay.operators.figures import escaped
+from garnetrelay.operators.metrics import escaped
 
 
 class OwnersState(msgspec.Struct, frozen=True):
--- a/garnetrelay/fleet/words.py
+++ b/garnetrelay/fleet/words.py
@@ -11,7 +11,7 @@
 from garnetrelay.fleet.members.condition import RELIES
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.table import Member, Path
-from garnetrelay.operators.figures import escaped
+from garnetrelay.operators.metrics import escaped
 
 
 class Line(msgspec.Struct, frozen=True):
--- a/garnetrelay/operators/commands.py
+++ b/garnetrelay/operators/commands.py
@@ -24,7 +24,7 @@
         """Returns if this process can serve."""
         ...
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures, a line each."""
         ...
 
@@ -52,7 +52,7 @@
             service.health()
             return b"+OK\n"
         case ["DUMP"]:
-            return b"+OK\n" + service.figures().encode("ascii") + b".\n"
+            return b"+OK\n" + service.metrics().encode("ascii") + b".\n"
         case [("OFFLINE" | "ONLINE") as word, name] if NAME.fullmatch(name):
             service.exclude(name, word == "OFFLINE")
             return b"+OK\n"
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -6,11 +6,11 @@
 
 from garnetrelay.config.deployment import Address, Config
 from garnetrelay.counters import Counters
-from garnetrelay.operators import figures
+from garnetrelay.operators import metrics
 from garnetrelay.operators.commands import CommandRefusedError
 from garnetrelay.operators.exclusions import Exclusions
-from garnetrelay.operators.figures import Gauges
 from garnetrelay.operators.listener import OperatorListener
+from garnetrelay.operators.metrics import Gauges
 from starlingwick import interface as io
 
 
@@ -19,7 +19,7 @@
 
     closed: bool  # this process has no part in the fleet any more
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures, a line each."""
         ...
 
@@ -116,11 +116,11 @@
         if self.relay.draining():
             raise CommandRefusedError("it is stopping")
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The relay's figures, and the fleet's where this process has a part in it."""
         relay = self.relay
-        text = figures.text(relay.counts, relay.gauges())
-        return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.figures()
+        text = metrics.text(relay.counts, relay.gauges())
+        return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.metrics()
 
     def fleet(self, words: list[str]) -> str:
         """Answer ``FLEET``: ``words``: MEMBERS, EXPLAIN and a name, or LEAVE. CommandRefusedError without a fleet."""
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -41,7 +41,7 @@
     from garnetrelay.fleet.service import Fleet
     from garnetrelay.handover.receiver import Inheritance, PredecessorLink
     from garnetrelay.handover.sender import HandoverSender
-    from garnetrelay.operators.figures import Gauges
+    from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
     from garnetrelay.ownership import Owners
     from garnetrelay.store.durability import Syncing
@@ -237,7 +237,7 @@
 
     def gauges(self) -> Gauges:
         """Its figures that go by no class, as they are now."""
-        from garnetrelay.operators.figures import Gauges  # only where staff may call
+        from garnetrelay.operators.metrics import Gauges  # only where staff may call
 
         return Gauges(
             attempts=self.hosts.calls_written,
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -143,7 +143,7 @@
         answer = await trio.asker.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("said")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "said"]
-        figures = Staff(first).figures()
+        figures = Staff(first).metrics()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
             assert f"controller_{line}\n" in figures
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
@@ -161,7 +161,7 @@
             answer = await trio.asker.acquire(first, Grant(3, 1))
             assert not answer.granted and [refusal.partition for refusal in answer.refused] == [3]
             assert any("records not written: No space left on device" in line for line in trio.log.lines)
-            assert "controller_writes_failed 1\n" in Staff(first).figures()
+            assert "controller_writes_failed 1\n" in Staff(first).metrics()
         assert (await trio.asker.acquire(first, Grant(3, 2))).granted == [Grant(3, 2)]
     assert on_disk(first) == [Record(3, 2, "r1", 77)]
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -57,7 +57,7 @@
     "garnetrelay.fleet.signing",
     "garnetrelay.loop_lag",
     "garnetrelay.operators.commands",
-    "garnetrelay.operators.figures",
+    "garnetrelay.operators.metrics",
     "garnetrelay.rehearsal.checker",
     "garnetrelay.store.compaction_policy",
     "garnetrelay.store.format",
