--- a/benchmarks/capacity/journal.py
+++ b/benchmarks/capacity/journal.py
@@ -47,7 +47,7 @@
 
     def note() -> None:
         for number in range(messages):
-            store.taken(entry(number, os.urandom(BODY), dests))
+            store.record_accepted(entry(number, os.urandom(BODY), dests))
             if number % BATCH == BATCH - 1:
                 store.flush()
                 store.tend()
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -122,12 +122,12 @@
         return Entry(ref, draw.choice(CLASSES), draw.randrange(DESTS), ref, later, body)
 
     def put(entry: Entry, ended: bool) -> None:
-        store.taken(entry)
+        store.record_accepted(entry)
         for _ in range(draw.randrange(6)):
-            store.trying(entry.ref, "north", later)
-            store.outcome(entry.ref, entry.klass == "safe")
+            store.record_attempt(entry.ref, "north", later)
+            store.record_outcome(entry.ref, entry.klass == "safe")
         if ended:
-            store.ended(entry.ref, None)
+            store.record_end(entry.ref, None)
         store.flush()
         if cleaned:
             store.tend()
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -59,6 +59,9 @@
 
     def __init__(self, path: Path, module: ModuleType) -> None:
         self.journal: Any = module.Journal(path, DISK)
+        # That version's names of the store's methods.
+        self.journal.record_accepted, self.journal.record_attempt = self.journal.taken, self.journal.trying
+        self.journal.record_end = self.journal.ended
         self.entry: Any = module.Entry
 
     def tend(self) -> None:
@@ -87,10 +90,10 @@
 def life(side: Any, ref: str, body: bytes) -> None:
     """A message that comes, goes out and is delivered: three records, with a flush for each turn."""
     journal = side.journal
-    journal.taken(side.entry(ref, "unsafe", 3, None, 1_900_000_000_000, body))
-    journal.trying(ref, "north", 1_800_000_000_000)
+    journal.record_accepted(side.entry(ref, "unsafe", 3, None, 1_900_000_000_000, body))
+    journal.record_attempt(ref, "north", 1_800_000_000_000)
     journal.flush()
-    journal.ended(ref, None)
+    journal.record_end(ref, None)
     journal.flush()
     side.tend()
 
@@ -108,7 +111,7 @@
             life(side, f"x{n:015d}", body)
         found["CPU a record, us"] = (time.process_time() - began) / 30_000 * 1e6
         for n in range(live):
-            side.journal.taken(side.entry(f"l{n:015d}", "unsafe", 3, None, 1_900_000_000_000, body))
+            side.journal.record_accepted(side.entry(f"l{n:015d}", "unsafe", 3, None, 1_900_000_000_000, body))
             if n % 50 == 49:
                 side.journal.flush()
                 side.tend()
@@ -122,8 +125,10 @@
             began, cpu = time.perf_counter(), time.thread_time()
             life(side, f"y{n:015d}", body)
             if n % 4 == 0:
-                side.journal.ended(f"l{n * 7919 % live:015d}", None)
-                side.journal.taken(side.entry(f"l{n * 7919 % live:015d}", "unsafe", 3, None, 1_900_000_000_000, body))
+                side.journal.record_end(f"l{n * 7919 % live:015d}", None)
+                side.journal.record_accepted(
+                    side.entry(f"l{n * 7919 % live:015d}", "unsafe", 3, None, 1_900_000_000_000, body)
+                )
                 side.journal.flush()
             turns.append((time.perf_counter() - began) * 1000)
             spent.append((time.thread_time() - cpu) * 1000)
--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -80,7 +80,7 @@
         name = zones[message.zone] if 0 <= message.zone < len(zones) else ""
         if self.relay.owners is not None:
             self.stamp(self.relay.owners)
-        self.written = self.relay.journal.trying(message.ref, name, time.time_ns() // MS, self.epoch)
+        self.written = self.relay.journal.record_attempt(message.ref, name, time.time_ns() // MS, self.epoch)
         if self.written and self.relay.recovery_stats.on_try(message.ref):
             log.info("%s", self.relay.recovery_stats)
         return net.call(address, message.ref, message.key, message.body, self.stop_at) if self.written else None
@@ -123,7 +123,7 @@
             # ahead of ours, the end is still owed. A notice for a message that is over does no harm.
             relay.finish(message, None, 0, tell="dead" if now >= message.ends_at - UNSURE else None)
         elif self.written:
-            relay.journal.outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
+            relay.journal.record_outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
         if message.over:
             relay.held.pop(message.ref, None)
         relay.post(
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -466,7 +466,9 @@
                 newcomer.reply.busy(0)
                 self.post(io.Withdrawn(ref))
                 continue
-            self.journal.taken(Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body))
+            self.journal.record_accepted(
+                Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
+            )
             self.held[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
             noted.append(newcomer)
         return noted
@@ -478,7 +480,7 @@
             newcomer.reply.ok()
             return
         self.held.pop(ref, None)
-        self.journal.ended(ref, None)
+        self.journal.record_end(ref, None)
         self.counts.refused[newcomer.request.klass] += 1
         newcomer.reply.busy(0)
         self.post(io.Withdrawn(ref))
@@ -565,7 +567,7 @@
 
     def _told(self, ref: str) -> None:
         """The platform has acknowledged a notice."""
-        self.journal.told(ref)
+        self.journal.record_notice_acknowledged(ref)
         self._flush_soon()
 
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
@@ -575,7 +577,7 @@
             if message.exchange is None:
                 del self.held[ref]
         elif ref in self.journal.entries:
-            self.journal.ended(ref, result, wait_ms)
+            self.journal.record_end(ref, result, wait_ms)
             self.ends.append((ref, result, wait_ms))
 
     def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
@@ -590,6 +592,6 @@
         )
         by_class[message.klass] += 1
         told = result or tell
-        self.journal.ended(message.ref, told, wait_ms)
+        self.journal.record_end(message.ref, told, wait_ms)
         if told is not None:
             self.ends.append((message.ref, told, wait_ms))
--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -86,13 +86,13 @@
         wanted = self.index.reserve(ref, key, body_length)
         return not self.broken and self.sizes.admits(self.index.reserved, wanted)
 
-    def taken(self, entry: Entry) -> None:
+    def record_accepted(self, entry: Entry) -> None:
         """Note a message; it must not be taken on before a ``flush`` has put it on record."""
         fresh = not (entry.attempts or entry.ended or entry.uncertain)
         size = self._note(fmt.taken(entry) if fresh else fmt.state(entry), entry.ref)
         self.index.base(entry, self._active.number, size)
 
-    def trying(self, ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
+    def record_attempt(self, ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
         """Note an attempt; its first byte must not go out before it is on record. False: the message is not known.
         ``epoch``: in which this relay owns the message's destination."""
         entry = self.entries.get(ref)
@@ -103,7 +103,7 @@
         self.index.more(entry, self._active.number, size)
         return True
 
-    def outcome(self, ref: str, may_have_run: bool) -> None:
+    def record_outcome(self, ref: str, may_have_run: bool) -> None:
         """Note that the last attempt has ended, and whether its effect may have happened."""
         entry = self.entries.get(ref)
         if entry is not None:
@@ -111,7 +111,7 @@
             settle(entry, may_have_run)
             self.index.more(entry, self._active.number, size)
 
-    def ended(self, ref: str, result: str | None, wait_ms: int = 0) -> None:
+    def record_end(self, ref: str, result: str | None, wait_ms: int = 0) -> None:
         """Over: with the result that a notice has to tell, or without one where nothing more is owed."""
         entry = self.entries.get(ref)
         if entry is None:
@@ -124,7 +124,7 @@
         self.index.empty_body(entry)
         self.index.more(entry, self._active.number, size)
 
-    def told(self, ref: str) -> None:
+    def record_notice_acknowledged(self, ref: str) -> None:
         """Its notice was acknowledged: nothing more is owed."""
         if ref in self.entries:
             self._gone(ref)
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -151,7 +151,7 @@
 
 def attempts_not_recorded() -> None:
     """The journal is not told of an attempt before it goes out."""
-    store.Store.trying = lambda self, ref, zone, now_ms, epoch=None: ref in self.entries  # type: ignore[method-assign]
+    store.Store.record_attempt = lambda self, ref, zone, now_ms, epoch=None: ref in self.entries  # type: ignore[method-assign]
 
 
 def failure_told_as_refusal() -> None:
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -140,7 +140,7 @@
             body = draw.randbytes(draw.choice((0, 30, 300, 1500 if self.big else 60)))
             if ref in store.entries or not store.has_room(ref, "k", len(body)):
                 return
-            store.taken(
+            store.record_accepted(
                 Entry(
                     ref,
                     draw.choice(("keyed", "unsafe")),
@@ -156,15 +156,15 @@
         ref = draw.choice(live)
         entry = store.entries[ref]
         if entry.ended is not None:
-            store.told(ref)
+            store.record_notice_acknowledged(ref)
         elif entry.trying_at is None and what < 0.6 and entry.attempts < 6:
-            store.trying(ref, draw.choice(("north", "south")), 1000 + draw.randrange(10**6))
+            store.record_attempt(ref, draw.choice(("north", "south")), 1000 + draw.randrange(10**6))
         elif entry.trying_at is not None and what < 0.8:
-            store.outcome(ref, draw.random() < 0.5)
+            store.record_outcome(ref, draw.random() < 0.5)
         elif draw.random() < 0.5:
-            store.ended(ref, draw.choice(("dead", "bounced")), draw.randrange(500))
+            store.record_end(ref, draw.choice(("dead", "bounced")), draw.randrange(500))
         else:
-            store.ended(ref, None)
+            store.record_end(ref, None)
         model.noted(store, ref)
 
     def _turn_ends(self, store: Store) -> None:
@@ -177,7 +177,7 @@
                 return
             for ref in new:  # its client is told that it was not taken on
                 if ref in store.entries:
-                    store.ended(ref, None)
+                    store.record_end(ref, None)
                     self.model.noted(store, ref)
 
         store.on_record(told)
@@ -272,8 +272,8 @@
     # Once all that was written then has been cleaned away, what was in doubt still is.
     doubted = {ref for ref, entry in after.entries.items() if entry.uncertain}
     for n in range(400):
-        after.taken(Entry(f"later{n}", "keyed", 1, None, n, bytes(300)))
-        after.ended(f"later{n}", None)
+        after.record_accepted(Entry(f"later{n}", "keyed", 1, None, n, bytes(300)))
+        after.record_end(f"later{n}", None)
         after.flush()
         after.tend()
     after.close()
--- a/tests/store/test_epochs.py
+++ b/tests/store/test_epochs.py
@@ -40,8 +40,8 @@
 
 def test_a_store_takes_up_attempts_with_epochs(tmp_path: Path) -> None:
     store = Store.open(tmp_path, 1_000_000, epochs=True)
-    store.taken(Entry("m-1", "safe", 4, None, 10**13, b"body"))
-    store.trying("m-1", "north", 1000, 17)
+    store.record_accepted(Entry("m-1", "safe", 4, None, 10**13, b"body"))
+    store.record_attempt("m-1", "north", 1000, 17)
     store.flush()
     store.close()
     again = Store.open(tmp_path, 1_000_000)
@@ -55,6 +55,6 @@
     for epochs, more in ((False, 0), (True, 8 * 6)):
         (tmp_path / str(epochs)).mkdir()
         store = Store.open(tmp_path / str(epochs), 1_000_000, tries=6, epochs=epochs)
-        store.taken(Entry("m-1", "safe", 4, None, 10**13, b"body"))
+        store.record_accepted(Entry("m-1", "safe", 4, None, 10**13, b"body"))
         assert store.index.reserved == index.reserve("m-1", None, 4, 6) + more
         store.close()
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -24,15 +24,15 @@
     if what < 0.45 or not refs:
         body = bytes(draw.randrange(400))
         if store.has_room(f"m{count}", None, len(body)):
-            store.taken(Entry(f"m{count}", "keyed", 3, None, 10**12 + count, body))
+            store.record_accepted(Entry(f"m{count}", "keyed", 3, None, 10**12 + count, body))
     elif what < 0.6:
-        store.trying(draw.choice(refs), "north", 10**12)
+        store.record_attempt(draw.choice(refs), "north", 10**12)
     elif what < 0.7:
-        store.outcome(draw.choice(refs), draw.random() < 0.5)
+        store.record_outcome(draw.choice(refs), draw.random() < 0.5)
     else:
-        store.ended(draw.choice(refs), draw.choice((None, None, "dead")))
+        store.record_end(draw.choice(refs), draw.choice((None, None, "dead")))
     for ref in [ref for ref, entry in store.entries.items() if entry.ended is not None and draw.random() < 0.2]:
-        store.told(ref)
+        store.record_notice_acknowledged(ref)
     if draw.random() < 0.5:
         store.flush()
         store.tend()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -40,16 +40,16 @@
     store = Store.open(tmp_path, DISK)
     body = bytes(range(256)) * 256 + b"\n\xa7\x01\n"  # 64 KiB of anything, also what marks a record
     for ref in ("held", "tried", "ran", "dead", "told", "delivered"):
-        store.taken(entry(ref, body))
+        store.record_accepted(entry(ref, body))
     for ref in ("tried", "ran", "delivered"):
-        assert store.trying(ref, "north", 1000)
-    store.outcome("ran", True)
-    store.trying("ran", "south", 2000)
-    store.outcome("ran", False)
-    store.ended("dead", "dead")
-    store.ended("told", "bounced", 500)
-    store.told("told")
-    store.ended("delivered", None)
+        assert store.record_attempt(ref, "north", 1000)
+    store.record_outcome("ran", True)
+    store.record_attempt("ran", "south", 2000)
+    store.record_outcome("ran", False)
+    store.record_end("dead", "dead")
+    store.record_end("told", "bounced", 500)
+    store.record_notice_acknowledged("told")
+    store.record_end("delivered", None)
     store.close()
     entries = again(tmp_path).entries
     assert sorted(entries) == ["dead", "held", "ran", "tried"]
@@ -63,12 +63,12 @@
 def test_attempt_that_a_kill_cut_off_is_not_forgotten_behind_the_next_ones_outcome(tmp_path: Path) -> None:
     """Two kills: what went out before the first may have run, also if what went out after it surely did not."""
     store = Store.open(tmp_path, DISK)
-    store.taken(entry("a"))
-    store.trying("a", "north", 1000)
+    store.record_accepted(entry("a"))
+    store.record_attempt("a", "north", 1000)
     store.close()
     store = Store.open(tmp_path, DISK)
-    store.trying("a", "south", 2000)
-    store.outcome("a", False)
+    store.record_attempt("a", "south", 2000)
+    store.record_outcome("a", False)
     store.close()
     found = again(tmp_path).entries["a"]
     assert (found.ran_at, found.ran_zone, found.trying_at, found.attempts) == (1000, "north", None, 2)
@@ -78,7 +78,7 @@
     first = Store.open(tmp_path, DISK)
     with pytest.raises(FolderTakenError, match="another relay works on this folder"):
         Store.open(tmp_path, DISK)
-    first.taken(entry("a"))
+    first.record_accepted(entry("a"))
     assert first.flush()
     first.close()
     assert list(again(tmp_path).entries) == ["a"]
@@ -122,7 +122,7 @@
     (tmp_path / "journal.new").write_bytes(old[:20])
     if at != "after":  # a stop within a take-over: some of it stands already in a segment
         store = Store(Disk(), DISK)
-        store.taken(entry("half" if at == "beside" else "held", b"x"))
+        store.record_accepted(entry("half" if at == "beside" else "held", b"x"))
         store.close()
         (tmp_path / name_of(1)).write_bytes(next(iter(store.storage.files.values())).data)  # type: ignore[attr-defined]
     entries = again(tmp_path).entries
@@ -134,10 +134,10 @@
 
 def test_damage_in_the_middle_makes_what_was_held_uncertain_for_good(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
-    store.taken(entry("a"))
-    store.taken(entry("b"))
-    store.trying("a", "north", 1000)
-    store.taken(entry("c"))
+    store.record_accepted(entry("a"))
+    store.record_accepted(entry("b"))
+    store.record_attempt("a", "north", 1000)
+    store.record_accepted(entry("c"))
     store.close()
     path = tmp_path / name_of(1)
     data = bytearray(path.read_bytes())
@@ -147,11 +147,11 @@
     store = Store.open(tmp_path, DISK)
     assert {ref: e.uncertain for ref, e in store.entries.items()} == {"a": True, "b": True, "c": False}
     assert CliRunner().invoke(command, ["journal", "verify", str(tmp_path)]).exit_code == 1
-    store.ended("c", None)
+    store.record_end("c", None)
     for n in range(200):  # the damaged segment is cleaned away meanwhile
         for m in range(20):
-            store.taken(entry(f"x{n}-{m}", bytes(600)))
-            store.ended(f"x{n}-{m}", None)
+            store.record_accepted(entry(f"x{n}-{m}", bytes(600)))
+            store.record_end(f"x{n}-{m}", None)
         store.flush()
         store.tend()
     assert not path.exists()
@@ -167,13 +167,13 @@
     draw = random.Random(1)
     for n in range(8000):
         if store.has_room(f"m{n}", "k", 300):
-            store.taken(entry(f"m{n}", bytes(300)))
+            store.record_accepted(entry(f"m{n}", bytes(300)))
             live.append(f"m{n}")
         for _ in range(draw.randrange(3)):
             if live:
                 ref = live.pop(draw.randrange(len(live)) if n % 3 else -1)
-                store.trying(ref, "north", n)
-                store.ended(ref, None)
+                store.record_attempt(ref, "north", n)
+                store.record_end(ref, None)
         assert store.flush()
         store.tend()
     assert store.index.live <= store.used <= max(1.5 * store.index.live + 3 * store.sizes.segment, 256 * 1024)
@@ -186,16 +186,16 @@
 def test_folder_that_takes_nothing_is_told_once_and_taken_up_again(caplog: pytest.LogCaptureFixture, number: int) -> None:
     disk = Disk()
     store = Store(disk, DISK)
-    store.taken(entry("old"))
-    store.trying("old", "north", 5)
+    store.record_accepted(entry("old"))
+    store.record_attempt("old", "north", 5)
     assert store.flush()
     disk.fails = {disk.operations + n: number for n in range(1, 30)}
     with caplog.at_level(logging.WARNING):
         for n in range(4):
-            store.taken(entry(f"new{n}"))
+            store.record_accepted(entry(f"new{n}"))
             assert not store.flush() and not store.has_room("m", None, 10)
-            store.ended(f"new{n}", None)  # its client is told that it was not taken on
-            store.outcome("old", True) if not n else None
+            store.record_end(f"new{n}", None)  # its client is told that it was not taken on
+            store.record_outcome("old", True) if not n else None
             store.tend()
         disk.fails = {}
         store.tend()
@@ -211,14 +211,14 @@
     disk = Disk(machine=True)
     store = Store(disk, DISK, machine=True)
     heard: list[bool] = []
-    store.taken(entry("a"))
+    store.record_accepted(entry("a"))
     store.on_record(heard.append)
     sync = store.begin_sync()
     assert sync is not None and not heard
     sync.run()
     store.end_sync(sync, None)
     assert heard == [True] and list(Store(disk.stopped(), DISK, True).entries) == ["a"]
-    store.trying("a", "north", 7)
+    store.record_attempt("a", "north", 7)
     store.on_record(heard.append)
     sync = store.begin_sync()
     assert sync is not None
@@ -239,10 +239,10 @@
 def test_command_shows_verifies_and_measures_beside_a_live_relay(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
     for n in range(500):
-        store.taken(entry(f"m{n}", bytes(900)))
+        store.record_accepted(entry(f"m{n}", bytes(900)))
         if n % 2:
-            store.ended(f"m{n}", None)
-    store.trying("m0", "north", 1000)
+            store.record_end(f"m{n}", None)
+    store.record_attempt("m0", "north", 1000)
     store.flush()
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     run = CliRunner()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -647,7 +647,7 @@
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
     for n in range(15):
-        journal.taken(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
+        journal.record_accepted(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
     journal.close()
     client = await field.start()
     for n in range(20):
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -115,10 +115,10 @@
     ref = "m" * 16
     before = store.used
     entry_ = Entry(ref, "fee", 1, "k", 9000, b"x" * 10)
-    store.taken(entry_)
+    store.record_accepted(entry_)
     for n in range(tries):
-        assert store.trying(ref, "archive-block", n)
-        store.outcome(ref, False)
+        assert store.record_attempt(ref, "archive-block", n)
+        store.record_outcome(ref, False)
     assert store.flush()
     assert store.used - before <= store.index.reserved + 512  # blocks are whole
     store.close()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -97,8 +97,8 @@
     late = Entry("late", "unsafe", 3, None, 1000, b"x")
     late_ran = Entry("late-ran", "keyed", 3, "k", 1000, b"x", attempts=1, trying_at=900, trying_zone="north")
     for entry in (late, late_ran, Entry("untold", "safe", 3, None, 1000, b"x")):
-        journal.taken(entry)
-    journal.ended("untold", "bounced", 700)
+        journal.record_accepted(entry)
+    journal.record_end("untold", "bounced", 700)
     journal.close()
     await process.start()
     notices = [await field.platform.next_notice() for _ in range(3)]
@@ -111,7 +111,7 @@
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
     for ref, zone, ago in (("here", "north", 100), ("elsewhere", "south", 100), ("stale", "north", 7000)):
-        journal.taken(Entry(ref, "keyed", 3, "k", now + 8000, b"x", 1, now - ago, zone))
+        journal.record_accepted(Entry(ref, "keyed", 3, "k", now + 8000, b"x", 1, now - ago, zone))
     journal.close()
     await process.start()
     call = await field.host.next_call()
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -55,7 +55,7 @@
     field.facts["classes"][1]["repeatWindow"] = WINDOW
     journal = Store.open(field.state, 3_000_000)
     for entry in entries:
-        journal.taken(entry)
+        journal.record_accepted(entry)
     journal.close()
 
 
@@ -112,14 +112,14 @@
     """The last look came ahead of the write, and a disk may take its time."""
     on_record(field, tried("k", 200))
     relay = await prepared(field)
-    trying = relay.journal.trying
+    trying = relay.journal.record_attempt
 
     def slow(ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
         noted = trying(ref, zone, now_ms, epoch)
         clock.advance(WINDOW)
         return noted
 
-    relay.journal.trying = slow  # type: ignore[method-assign]
+    relay.journal.record_attempt = slow  # type: ignore[method-assign]
     await relay.start()
     await one_end(field, "k")
     assert clock.passed
