--- a/benchmarks/capacity/journal.py
+++ b/benchmarks/capacity/journal.py
@@ -50,7 +50,7 @@
             store.record_accepted(entry(number, os.urandom(BODY), dests))
             if number % BATCH == BATCH - 1:
                 store.flush()
-                store.tend()
+                store.maintain()
         store.flush()
 
     seconds = spent(note)
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -130,7 +130,7 @@
             store.record_end(entry.ref, None)
         store.flush()
         if cleaned:
-            store.tend()
+            store.maintain()
 
     while not cleaned and store.used < NEARLY_FULL * disk_bytes:
         put(message(), True)
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -45,7 +45,7 @@
 
     def tend(self) -> None:
         """A step of compaction."""
-        self.journal.tend()
+        self.journal.maintain()
 
     def used(self, path: Path) -> int:
         """Bytes of all files, in whole blocks."""
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -136,7 +136,7 @@
         relay = self.relay
         if relay.stopping or not relay.serving or relay.recovering:
             return "it is starting or stopping"
-        if relay.journal.broken:
+        if relay.journal.write_failed:
             return "its folder takes no records"
         ours, theirs = resident(os.getpid()), resident(channel.peer[0])
         held = sum(len(message.body) + OVER_BODY for message in relay.held.values())
@@ -189,7 +189,7 @@
             self.relay.turn()
             if not self.relay.inbox:
                 break
-        return not self.relay.inbox and self.relay.journal.settle()
+        return not self.relay.inbox and self.relay.journal.flush_and_sync()
 
     def _resume(self) -> None:
         log.error("upgrade: not now, the folder takes no records")
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -110,7 +110,7 @@
             config.settings,
             self._host_room,
             lambda: self.server.close_longest_idle(),
-            self.journal.on_record,
+            self.journal.when_recorded,
             config.machine_durable,
         )
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
@@ -418,7 +418,7 @@
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
         self.unreleased += 1
-        self.journal.on_record(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
+        self.journal.when_recorded(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
         self._tend()
         if self.stopping:
             self._end_if_idle()
@@ -444,9 +444,9 @@
         """A small step of compaction, and another soon where there is more to do."""
         if self.closed:
             return
-        self.journal.tend()
-        if self.journal.busy and self.tending is None:
-            pause = BROKEN_PAUSE if self.journal.broken else TEND_PAUSE
+        self.journal.maintain()
+        if self.journal.needs_maintenance and self.tending is None:
+            pause = BROKEN_PAUSE if self.journal.write_failed else TEND_PAUSE
             self.tending = asyncio.get_running_loop().call_later(pause, self._tend_again)
 
     def _tend_again(self) -> None:
--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -19,7 +19,7 @@
 
 
 class CompactedLog(SegmentLog):
-    """A log that stays small: ``tend`` is its step between turns, ``busy`` whether another is wanted."""
+    """A log that stays small: ``maintain`` is its step between turns, ``needs_maintenance`` whether another is wanted."""
 
     def __init__(self, storage: Storage, disk_bytes: int, machine: bool) -> None:
         super().__init__(storage, disk_bytes, machine)
@@ -30,7 +30,7 @@
 
     def _note(self, data: bytes, ref: str) -> int:
         """Keep a record until the next flush, in the segment that has room for it; its size."""
-        if self.broken:
+        if self.write_failed:
             self._touched.append(ref)
             return len(data)
         active = self._active
@@ -44,9 +44,9 @@
         self._active.records += 1
         return len(data)
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """A small step, between turns: what could not be written first, then compaction."""
-        if self.broken:
+        if self.write_failed:
             self._revive()
             return
         appended, self._appended = self._appended, 0
@@ -60,9 +60,9 @@
             self._clean(self._victim, compaction_policy.step_bytes(appended), compaction_policy.STEP_MESSAGES)
 
     @property
-    def busy(self) -> bool:
-        """Whether ``tend`` has more to do."""
-        return self.broken or self._victim is not None or bool(self._doubted)
+    def needs_maintenance(self) -> bool:
+        """Whether ``maintain`` has more to do."""
+        return self.write_failed or self._victim is not None or bool(self._doubted)
 
     def _next_victim(self) -> int | None:
         kept = self._tainted if self._doubted else set()
@@ -73,7 +73,7 @@
     def _say_doubts(self, most: int) -> None:
         """Damage makes messages uncertain that have no record in the damaged segment. Once it is gone nothing would
         say so any more: write them anew first."""
-        while self._doubted and most > 0 and not self.broken:
+        while self._doubted and most > 0 and not self.write_failed:
             if self.used + self.sizes.segment > self.sizes.pressing:
                 return  # cleaning comes first; it writes them anew too
             ref = next(iter(self._doubted))
@@ -86,7 +86,7 @@
     def _make_room(self) -> None:
         """The disk is nearly full: clean until there is room again. Bounded, as what is live is at most half."""
         for _ in range(2 * compaction_policy.PARTS):
-            if self.broken or self.used + self.sizes.segment < self.sizes.pressing:
+            if self.write_failed or self.used + self.sizes.segment < self.sizes.pressing:
                 return
             victim = self._victim
             if victim is None:
@@ -100,7 +100,7 @@
         segment = self.index.segments[number]
         written = 0
         while segment.entries or segment.tombs:
-            if self.broken:
+            if self.write_failed:
                 self._victim = None
                 return
             if written >= most_bytes or most_messages <= 0:
@@ -113,7 +113,7 @@
                 written += self._copy_tomb(next(iter(segment.tombs)))
         self._victim = None
         # The old file may go only once what was copied out of it is on record.
-        self.on_record(lambda recorded: self._remove(number) if recorded else None)
+        self.when_recorded(lambda recorded: self._remove(number) if recorded else None)
 
     def _copy_entry(self, ref: str) -> int:
         entry = self.entries[ref]
@@ -169,9 +169,9 @@
     def _revive(self) -> None:
         """Something could not be put on record: try again with the messages that it was about, whole."""
         self._give_up_pending()
-        self.broken = False
+        self.write_failed = False
         if (self._handle is None or self._spoilt and not self._mended()) and not self._begin():
-            self.broken = True
+            self.write_failed = True
             return
         pieces: list[tuple[str, bytes]] = []
         for ref in self.failed:
--- a/garnetrelay/store/recovery.py
+++ b/garnetrelay/store/recovery.py
@@ -152,7 +152,7 @@
         if not self.flush():
             raise StoreError("the journal of an earlier version cannot be taken over: no room in the folder")
         self._sync_all()
-        if self.broken:
+        if self.write_failed:
             raise StoreError("the journal of an earlier version cannot be taken over: it can't be synced")
         for name in (legacy.SPARE, legacy.NAME):
             if name in self.storage.names():
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -64,7 +64,7 @@
             raise StoreError(f"the journal needs {LEAST_DISK / 1e6:g} MB of disk, and may have {disk_bytes / 1e6:g}")
         self.sizes = compaction_policy.Sizes(disk_bytes - RESERVE)
         self.index = Index()
-        self.broken = False  # nothing can be put on record just now
+        self.write_failed = False  # nothing can be put on record just now
         self.failed: set[str] = set()  # messages whose records are not what stands in the files
         self._pending = bytearray()
         self._touched: list[str] = []  # messages of the records that are pending
@@ -93,11 +93,11 @@
             return self._used
         return self._used - blocks(self._active.size) + blocks(self._active.size + len(self._pending))
 
-    def settle(self) -> bool:
+    def flush_and_sync(self) -> bool:
         """Put on record all that was noted, on disk too where that counts; whether that came about."""
         if self.flush():
             self._sync_all()
-        return not self.broken and not self.failed
+        return not self.write_failed and not self.failed
 
     def _end(self) -> None:
         if self.flush() and self._handle is not None:
@@ -112,7 +112,7 @@
     def flush(self) -> bool:
         """Write what was noted; whether it is all on record. What could not be written is written anew, by message,
         once the folder takes something again: no attempt goes out on it, and no client is told of it."""
-        if self.broken:
+        if self.write_failed:
             self._give_up_pending()
             return False
         if not self._pending:
@@ -126,7 +126,7 @@
         self.failed.update(touched)
         return False
 
-    def on_record(self, callback: OnRecord) -> None:
+    def when_recorded(self, callback: OnRecord) -> None:
         """Flush, and call back with whether it is all on record: at once, or when the next sync has covered it."""
         recorded = self.flush()
         if not recorded or not self.machine:
@@ -162,7 +162,7 @@
         return True
 
     def _fail(self, why: str) -> None:
-        self.broken = True
+        self.write_failed = True
         if not self._said:
             self._said = True
             log.error("journal: cannot write: %s; what is held goes on, newcomers are refused", why)
@@ -171,7 +171,7 @@
         """Seal the active segment and begin the next."""
         if self._pending and not self.flush():
             return False
-        if not self.broken and self._handle is not None and not self._append(fmt.seal(self._active.records)):
+        if not self.write_failed and self._handle is not None and not self._append(fmt.seal(self._active.records)):
             return False
         return self._begin()
 
--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -84,7 +84,7 @@
     def has_room(self, ref: str, key: str | None, body_length: int) -> bool:
         """Whether one more message fits, with all that may be written of it."""
         wanted = self.index.reserve(ref, key, body_length)
-        return not self.broken and self.sizes.admits(self.index.reserved, wanted)
+        return not self.write_failed and self.sizes.admits(self.index.reserved, wanted)
 
     def record_accepted(self, entry: Entry) -> None:
         """Note a message; it must not be taken on before a ``flush`` has put it on record."""
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -254,7 +254,7 @@
     """A new process could not put on record what it does either; the old one goes on with what it has."""
     field.operators = True
     await field.start()
-    field.relays[0].journal.broken = True
+    field.relays[0].journal.write_failed = True
     frame = await asyncio.to_thread(hello, field)
     assert isinstance(frame, p.Refused) and "no records" in frame.why
 
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -180,7 +180,7 @@
                     store.record_end(ref, None)
                     self.model.noted(store, ref)
 
-        store.on_record(told)
+        store.when_recorded(told)
         if store.machine and self.draw.random() < 0.7:
             sync = store.begin_sync()
             if sync is not None:
@@ -190,7 +190,7 @@
                 except OSError as failed:
                     error = failed
                 store.end_sync(sync, error)
-        store.tend()
+        store.maintain()
 
 
 def explore(seed: int, machine: bool, steps: int, stops: int, faults: bool) -> int:
@@ -275,7 +275,7 @@
         after.record_accepted(Entry(f"later{n}", "keyed", 1, None, n, bytes(300)))
         after.record_end(f"later{n}", None)
         after.flush()
-        after.tend()
+        after.maintain()
     after.close()
     last = Store(disk, DISK)
     if {ref for ref, entry in last.entries.items() if entry.uncertain} != doubted:
--- a/tests/store/mutations.py
+++ b/tests/store/mutations.py
@@ -160,7 +160,7 @@
         store.Store, "_give_up_pending", lambda _: lambda self: (self._pending.clear(), self._touched.clear())
     ),
     "torn tail sealed as whole": lambda: in_place(store.Store, "_seal_torn", goes_on_in_the_torn_segment),
-    "machine: promised before the sync": lambda: in_place(store.Store, "on_record", synced_at_once),
+    "machine: promised before the sync": lambda: in_place(store.Store, "when_recorded", synced_at_once),
     "machine: names not synced": lambda: in_place(segment_log.Sync, "run", names_not_synced),
     "machine: active segment not synced": lambda: in_place(segment_log.Sync, "run", active_not_synced),
     "machine: failed sync taken for good": lambda: in_place(store.Store, "end_sync", failed_sync_taken_for_good),
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -35,7 +35,7 @@
         store.record_notice_acknowledged(ref)
     if draw.random() < 0.5:
         store.flush()
-        store.tend()
+        store.maintain()
 
 
 def meant(store: Store) -> tuple[object, ...]:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -153,7 +153,7 @@
             store.record_accepted(entry(f"x{n}-{m}", bytes(600)))
             store.record_end(f"x{n}-{m}", None)
         store.flush()
-        store.tend()
+        store.maintain()
     assert not path.exists()
     store.close()
     assert {ref: e.uncertain for ref, e in again(tmp_path).entries.items()} == {"a": True, "b": True}
@@ -175,7 +175,7 @@
                 store.record_attempt(ref, "north", n)
                 store.record_end(ref, None)
         assert store.flush()
-        store.tend()
+        store.maintain()
     assert store.index.live <= store.used <= max(1.5 * store.index.live + 3 * store.sizes.segment, 256 * 1024)
     assert len(store.entries) > 50 and set(store.entries) == set(live)
     index, said = load(disk)
@@ -196,9 +196,9 @@
             assert not store.flush() and not store.has_room("m", None, 10)
             store.record_end(f"new{n}", None)  # its client is told that it was not taken on
             store.record_outcome("old", True) if not n else None
-            store.tend()
+            store.maintain()
         disk.fails = {}
-        store.tend()
+        store.maintain()
         assert store.has_room("m", None, 10) and store.flush()
     told = [r.getMessage() for r in caplog.records]
     assert len([t for t in told if "cannot write" in t]) == 1 and told[-1].endswith("takes records again")
@@ -212,22 +212,22 @@
     store = Store(disk, DISK, machine=True)
     heard: list[bool] = []
     store.record_accepted(entry("a"))
-    store.on_record(heard.append)
+    store.when_recorded(heard.append)
     sync = store.begin_sync()
     assert sync is not None and not heard
     sync.run()
     store.end_sync(sync, None)
     assert heard == [True] and list(Store(disk.stopped(), DISK, True).entries) == ["a"]
     store.record_attempt("a", "north", 7)
-    store.on_record(heard.append)
+    store.when_recorded(heard.append)
     sync = store.begin_sync()
     assert sync is not None
     store.end_sync(sync, OSError(errno.EIO, "I/O error"))
-    assert heard == [True, False] and store.broken
+    assert heard == [True, False] and store.write_failed
     segments = len(disk.files)
-    store.tend()
-    assert not store.broken and len(disk.files) == segments + 1
-    store.on_record(heard.append)
+    store.maintain()
+    assert not store.write_failed and len(disk.files) == segments + 1
+    store.when_recorded(heard.append)
     sync = store.begin_sync()
     assert sync is not None
     sync.run()
--- a/tests/store/test_store_in_relay.py
+++ b/tests/store/test_store_in_relay.py
@@ -39,7 +39,7 @@
         assert str(await client.enqueue("m3")).startswith("BUSY")
         assert str(await client.enqueue("m4")).startswith("BUSY")
         assert field.host.calls.empty()
-    await until(lambda: not field.relays[0].journal.broken)
+    await until(lambda: not field.relays[0].journal.write_failed)
     assert await client.enqueue("m5") == b"OK"
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -495,7 +495,7 @@
     client = await field.start()
     relay = field.relays[0]
     later: list[Any] = []
-    monkeypatch.setattr(relay.journal, "on_record", later.append)
+    monkeypatch.setattr(relay.journal, "when_recorded", later.append)
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(later))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
