--- a/garnetrelay/cli/journal.py
+++ b/garnetrelay/cli/journal.py
@@ -11,7 +11,7 @@
 from garnetrelay.store import format as fmt
 from garnetrelay.store import legacy
 from garnetrelay.store.format import Kind, LaterVersionError
-from garnetrelay.store.reading import load, number_in, seen
+from garnetrelay.store.reading import iter_records, load, segment_number
 from garnetrelay.store.storage import Folder, blocks
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
@@ -49,7 +49,7 @@
 
 def _last(line: str, newest: int) -> bool:
     """Of the newest segment, which a live relay may be writing to."""
-    return number_in(line.partition(":")[0]) == newest
+    return segment_number(line.partition(":")[0]) == newest
 
 
 @command.command()
@@ -60,7 +60,7 @@
     """What is live, a message a line, or every record."""
     try:
         if records:
-            for name, found in seen(Folder(folder)):
+            for name, found in iter_records(Folder(folder)):
                 line = _said(found)
                 if ref is None or ref in line.split():
                     click.echo(f"{name} {line}")
--- a/garnetrelay/fleet/controller/records_file.py
+++ b/garnetrelay/fleet/controller/records_file.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from garnetrelay.fleet.leases.messages import Record
-from garnetrelay.store.storage import Folder, FolderTakenError
+from garnetrelay.store.storage import Folder, FolderLockedError
 
 FILE = "grants"
 MAGIC = b"GRLEASES"
@@ -72,7 +72,7 @@
                 raise RecordsError(f"{self.path}: there is one already: it is initialized once, and never anew")
             self._create({})
         finally:
-            self._folder.release()
+            self._folder.unlock()
 
     def open(self) -> list[Record] | None:
         """Claim the folder and read the latest record of each partition; None where there is no file.
@@ -83,7 +83,7 @@
         try:
             return self._read()
         except BaseException:
-            self._folder.release()
+            self._folder.unlock()
             raise
 
     def append(self, records: Iterable[Record]) -> None:
@@ -104,13 +104,13 @@
 
     def close(self) -> None:
         """Let go of the folder."""
-        self._folder.release()
+        self._folder.unlock()
 
     def _claim(self) -> None:
         self._folder.path.mkdir(parents=True, exist_ok=True)
         try:
-            self._folder.claim()
-        except FolderTakenError:
+            self._folder.lock()
+        except FolderLockedError:
             raise RecordsError(f"{self._folder.path}: another controller works on this folder") from None
 
     def _read(self) -> list[Record] | None:
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -19,7 +19,7 @@
 from starlingwick.control import Pacer
 
 if TYPE_CHECKING:
-    from garnetrelay.store.durability import Syncing  # a thread: only where it is wanted
+    from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
 
 class PassingFleet(Protocol):
@@ -63,7 +63,7 @@
         ...
 
     @property
-    def syncing(self) -> Syncing | None:
+    def syncing(self) -> SyncWorker | None:
         """The journal's syncs, where the machine's power counts."""
         ...
 
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -16,7 +16,7 @@
 from garnetrelay.handover import protocol as p
 from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, Door
 from garnetrelay.store.preload import Preloaded, preload_folder
-from garnetrelay.store.reading import number_in
+from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
 
 log = logging.getLogger(__name__)
@@ -60,12 +60,12 @@
     """What the process that serves has on record by now; None where none does. This takes its time while it serves:
     behind the hand-over only what came since is left to read."""
     door = Folder(folder)
-    if not door.claimed():
+    if not door.is_locked():
         return None
     collecting = gc.isenabled()
     gc.disable()  # all that is made stays
     try:
-        return preload_folder(door, number_in)
+        return preload_folder(door, segment_number)
     finally:
         if collecting:
             gc.enable()
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -44,7 +44,7 @@
     from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
     from garnetrelay.ownership import Owners
-    from garnetrelay.store.durability import Syncing
+    from garnetrelay.store.durability import SyncWorker
     from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger(__name__)
@@ -100,7 +100,7 @@
         self.unreleased = 0  # turns whose records are on their way to the disk
         self.closed = False
         self.tending: asyncio.TimerHandle | None = None
-        self.syncing: Syncing | None = None
+        self.syncing: SyncWorker | None = None
         self.serving = False
         self.stopping = False
         self.time_is_up = False
@@ -136,9 +136,9 @@
         """Pick up what an earlier life left, then listen; the address that clients may use."""
         gc.freeze()  # what was read stays: no collection has to look at it again
         if self.config.machine_durable:
-            from garnetrelay.store.durability import Syncing  # a thread: only where it is wanted
+            from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
-            self.syncing = Syncing(self.journal)
+            self.syncing = SyncWorker(self.journal)
         if self.config.operators is not None:
             from garnetrelay.operators.service import Operators  # only where staff may call
 
--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -11,7 +11,7 @@
 
 from garnetrelay.store import compaction_policy
 from garnetrelay.store import format as fmt
-from garnetrelay.store.reading import name_of
+from garnetrelay.store.reading import segment_name
 from garnetrelay.store.segment_log import SegmentLog
 from garnetrelay.store.storage import Storage, blocks
 
@@ -141,7 +141,7 @@
         if segment is None or not segment.size or segment.entries or segment.tombs:
             return  # gone already, or something came to count in it again
         try:
-            self.storage.remove(name_of(number))
+            self.storage.remove(segment_name(number))
         except OSError as error:
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
             return
--- a/garnetrelay/store/durability.py
+++ b/garnetrelay/store/durability.py
@@ -16,7 +16,7 @@
 log = logging.getLogger(__name__)
 
 
-class Syncing:
+class SyncWorker:
     """Carries out a store's syncs."""
 
     def __init__(self, store: Store) -> None:
--- a/garnetrelay/store/format.py
+++ b/garnetrelay/store/format.py
@@ -206,7 +206,7 @@
 # ---- reading
 
 
-def number_of(data: bytes) -> int | None:
+def header_number(data: bytes) -> int | None:
     """A segment's own number; None where its header can't be read. LaterVersionError for one of a later format."""
     if len(data) < HEADER.size:
         return None
--- a/garnetrelay/store/preload.py
+++ b/garnetrelay/store/preload.py
@@ -23,17 +23,17 @@
     read: dict[int, int] = field(default_factory=dict)
 
 
-def preload_folder(storage: Storage, number_in: Callable[[str], int | None]) -> Preloaded | None:
+def preload_folder(storage: Storage, segment_number: Callable[[str], int | None]) -> Preloaded | None:
     """None where there is anything that only a start can judge: damage, a later version, a failing folder."""
     found = Preloaded()
     try:
-        names = {number: name for name in storage.names() if (number := number_in(name)) is not None}
+        names = {number: name for name in storage.names() if (number := segment_number(name)) is not None}
         for number in sorted(names):
             try:
                 data = storage.read(names[number])
             except FileNotFoundError:
                 continue  # cleaned meanwhile
-            if fmt.number_of(data) != number:
+            if fmt.header_number(data) != number:
                 if number == max(names):
                     break  # it is being begun
                 return None
--- a/garnetrelay/store/reading.py
+++ b/garnetrelay/store/reading.py
@@ -12,12 +12,12 @@
 SUFFIX = ".seg"
 
 
-def name_of(number: int) -> str:
+def segment_name(number: int) -> str:
     """The file of the segment with this number."""
     return f"{number:016x}{SUFFIX}"
 
 
-def number_in(name: str) -> int | None:
+def segment_number(name: str) -> int | None:
     """The number in a segment's name; None for other files."""
     stem = name.removesuffix(SUFFIX)
     if not name.endswith(SUFFIX) or len(stem) != 16 or not all(c in "0123456789abcdef" for c in stem):
@@ -29,14 +29,14 @@
     """What a folder holds, read without a claim and without a change: also a live relay's. What was wrong, in words."""
     index, said = Index(), list[str]()
     for name in sorted(storage.names()):
-        number = number_in(name)
+        number = segment_number(name)
         if number is None:
             continue
         try:
             data = storage.read(name)
         except FileNotFoundError:
             continue  # compacted away meanwhile
-        if fmt.number_of(data) != number:
+        if fmt.header_number(data) != number:
             said.append(f"{name}: no header that can be read")
         segment = index.segments[number] = Segment(number, len(data))
         for found in fmt.scan(data):
@@ -52,9 +52,9 @@
     return index, said
 
 
-def seen(storage: Storage) -> Iterable[tuple[str, Record | tuple[int, int]]]:
+def iter_records(storage: Storage) -> Iterable[tuple[str, Record | tuple[int, int]]]:
     """Every record of a folder in its order, with the segment's name."""
     for name in sorted(storage.names()):
-        if number_in(name) is not None:
+        if segment_number(name) is not None:
             for found in fmt.scan(storage.read(name)):
                 yield name, found
--- a/garnetrelay/store/recovery.py
+++ b/garnetrelay/store/recovery.py
@@ -16,7 +16,7 @@
 from garnetrelay.store.format import LaterVersionError, Record
 from garnetrelay.store.index import Segment
 from garnetrelay.store.preload import Preloaded, drop_removed_segments
-from garnetrelay.store.reading import name_of, number_in
+from garnetrelay.store.reading import segment_name, segment_number
 from garnetrelay.store.segment_log import StoreError
 from garnetrelay.store.storage import blocks
 
@@ -41,13 +41,13 @@
         self.index = preloaded.index
         try:
             names = self.storage.names()
-            numbers = sorted(number for name in names if (number := number_in(name)) is not None)
-            read = {number: self.storage.read(name_of(number)) for number in numbers}
+            numbers = sorted(number for name in names if (number := segment_number(name)) is not None)
+            read = {number: self.storage.read(segment_name(number)) for number in numbers}
             old = self.storage.read(legacy.NAME) if legacy.NAME in names else None
         except OSError as error:
             raise StoreError(f"the journal can't be read: {error.strerror}") from None
         try:
-            whole = {number: fmt.number_of(data) == number for number, data in read.items()}
+            whole = {number: fmt.header_number(data) == number for number, data in read.items()}
         except LaterVersionError as error:
             raise StoreError(f"the journal was written by a later version: {error}") from None
         drop_removed_segments(preloaded, numbers)
@@ -109,7 +109,7 @@
         self._used -= blocks(self.index.segments[number].size)
         self.index.removed(number)
         try:
-            self.storage.remove(name_of(number))
+            self.storage.remove(segment_name(number))
         except OSError as error:
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
 
@@ -133,7 +133,7 @@
         segment = self.index.segments[number]
         tail = fmt.seal(records)
         try:
-            self.storage.cut(name_of(number), end, tail)
+            self.storage.cut(segment_name(number), end, tail)
         except OSError as error:
             log.error("journal: segment %d cannot be sealed: %s", number, error.strerror)
             return
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -19,7 +19,7 @@
 from garnetrelay.store import format as fmt
 from garnetrelay.store.format import Entry
 from garnetrelay.store.index import Index, Segment
-from garnetrelay.store.reading import name_of
+from garnetrelay.store.reading import segment_name
 from garnetrelay.store.storage import Storage, blocks
 
 log = logging.getLogger(__name__)
@@ -179,7 +179,7 @@
         """A new segment, for all that comes from now on."""
         number = self._last = max(self._last, self._active.number) + 1
         try:
-            handle = self.storage.create(name_of(number))
+            handle = self.storage.create(segment_name(number))
         except OSError as error:
             self._fail(error.strerror or type(error).__name__)
             return False
@@ -205,7 +205,7 @@
         """Take back a file that could not be begun."""
         self._close(handle)
         try:
-            self.storage.remove(name_of(number))
+            self.storage.remove(segment_name(number))
         except OSError as error:
             # It stays, without a whole header: a start takes it away.
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
--- a/garnetrelay/store/storage.py
+++ b/garnetrelay/store/storage.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 BLOCK = 512  # a file counts in whole blocks
-LOCK_TIME = 1.0  # seconds in which an earlier process may still be on its way out
+LOCK_TIMEOUT_S = 1.0  # seconds in which an earlier process may still be on its way out
 LOCK = "lock"
 
 
@@ -18,7 +18,7 @@
     return -(-size // BLOCK) * BLOCK
 
 
-class FolderTakenError(OSError):
+class FolderLockedError(OSError):
     """Another process works on the folder."""
 
 
@@ -73,24 +73,26 @@
         self.path = path
         self._lock: int | None = None
 
-    def claim(self) -> None:
-        """Take the folder for this process; FolderTakenError if another has it. The claim is an open file's lock: it ends
-        with the process, and can be handed to another with the descriptor."""
+    def lock(self) -> None:
+        """Locks the folder for this process; FolderLockedError if another process holds the lock for LOCK_TIMEOUT_S.
+
+        The lock belongs to an open file description: it ends with the process, and passes to another with the descriptor.
+        """
         lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        end = time.monotonic() + LOCK_TIME
+        end = time.monotonic() + LOCK_TIMEOUT_S
         while True:
             try:
                 fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
                 if time.monotonic() > end:
                     os.close(lock)
-                    raise FolderTakenError(f"{self.path}: another relay works on this folder") from None
+                    raise FolderLockedError(f"{self.path}: another relay works on this folder") from None
                 time.sleep(0.02)
             else:
                 self._lock = lock
                 return
 
-    def claimed(self) -> bool:
+    def is_locked(self) -> bool:
         """Whether some process works on the folder just now."""
         try:
             lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CLOEXEC)
@@ -104,17 +106,17 @@
         finally:
             os.close(lock)
 
-    def adopt(self, claim: int) -> None:
+    def adopt_lock(self, lock: int) -> None:
         """Take the folder with a claim that another process has handed over."""
-        self._lock = claim
+        self._lock = lock
 
-    def surrender(self) -> int:
+    def detach_lock(self) -> int:
         """The claim, for another process: this one has none any more."""
         assert self._lock is not None
-        claim, self._lock = self._lock, None
-        return claim
+        lock, self._lock = self._lock, None
+        return lock
 
-    def release(self) -> None:
+    def unlock(self) -> None:
         """Give the claim on the folder up; nothing happens where there is none."""
         if self._lock is not None:
             os.close(self._lock)
--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -49,7 +49,7 @@
         folder: Path,
         disk_bytes: int,
         machine: bool = False,
-        claim: int | None = None,
+        lock: int | None = None,
         preloaded: Preloaded | None = None,
         tries: int = TRIES,
         epochs: bool = False,
@@ -57,27 +57,27 @@
         """The store of a folder, claimed for this process unless a claim was handed to it. ``preloaded``: what was read
         of it before; ``tries``: attempts that a message may have; ``epochs``: each may have an epoch on record."""
         door = Folder(folder)
-        if claim is None:
-            door.claim()
+        if lock is None:
+            door.lock()
         else:
-            door.adopt(claim)
+            door.adopt_lock(lock)
         try:
             return cls(door, disk_bytes, machine, preloaded, tries, epochs)
         except BaseException:
-            door.release()
+            door.unlock()
             raise
 
     def hand_over(self) -> int:
         """Settled before, it writes nothing any more: the claim on the folder, for another process."""
         self._end()
         assert isinstance(self.storage, Folder)
-        return self.storage.surrender()
+        return self.storage.detach_lock()
 
     def close(self) -> None:
         """Put on record what is pending, and let the folder go."""
         self._end()
         if isinstance(self.storage, Folder):
-            self.storage.release()
+            self.storage.unlock()
 
     # ---- what happens to a message
 
--- a/tests/fleet/leases/test_records_file.py
+++ b/tests/fleet/leases/test_records_file.py
@@ -112,7 +112,7 @@
 
 
 def test_a_folder_has_one_controller(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("garnetrelay.store.storage.LOCK_TIME", 0.0)
+    monkeypatch.setattr("garnetrelay.store.storage.LOCK_TIMEOUT_S", 0.0)
     file = opened(tmp_path)
     with pytest.raises(RecordsError, match="another controller works on this folder"):
         opened(tmp_path)
--- a/tests/store/mutations.py
+++ b/tests/store/mutations.py
@@ -47,7 +47,7 @@
 def removed_before_written(clean: Any) -> Any:
     def wrong(self: Any, number: int, *more: Any) -> None:
         segment = self.index.segments[number]
-        self.storage.remove(reading.name_of(number))
+        self.storage.remove(reading.segment_name(number))
         clean(self, number, *more)
         if number in self.index.segments and not segment.entries and not segment.tombs:
             self.index.removed(number)
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -10,7 +10,7 @@
 
 from garnetrelay.store import preload
 from garnetrelay.store.format import Entry
-from garnetrelay.store.reading import number_in
+from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
 from garnetrelay.store.store import Store
 
@@ -60,7 +60,7 @@
         step(store, draw, count)
     if draw.random() < 0.5:
         store.flush()
-    found = preload.preload_folder(Folder(live), number_in)
+    found = preload.preload_folder(Folder(live), segment_number)
     assert found is not None
     for count in range(1000, 1000 + draw.choice((0, 3, 100, 1200))):
         step(store, draw, count)
@@ -68,11 +68,11 @@
     if draw.random() < 0.5:
         store.close()
     else:  # killed, perhaps in the middle of a record
-        store.storage.release()  # type: ignore[attr-defined]
+        store.storage.unlock()  # type: ignore[attr-defined]
         newest = max(live.glob("*.seg"))
         newest.write_bytes(newest.read_bytes() + draw.randbytes(draw.randrange(9)))
     shutil.copytree(live, copy)
-    assert Folder(live).claimed() is False
+    assert Folder(live).is_locked() is False
     whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
     assert meant(whole) == meant(caught_up)
     assert whole.used == caught_up.used
@@ -89,4 +89,4 @@
     data = bytearray(first.read_bytes())
     data[len(data) // 2] ^= 1
     first.write_bytes(data)
-    assert preload.preload_folder(Folder(tmp_path), number_in) is None
+    assert preload.preload_folder(Folder(tmp_path), segment_number) is None
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,8 +17,8 @@
 from garnetrelay.cli.commands import command
 from garnetrelay.store import format as fmt
 from garnetrelay.store.format import Entry
-from garnetrelay.store.reading import load, name_of
-from garnetrelay.store.storage import FolderTakenError
+from garnetrelay.store.reading import load, segment_name
+from garnetrelay.store.storage import FolderLockedError
 from garnetrelay.store.store import Store, StoreError
 from tests.store import explore, mutations
 from tests.store.simulated import Disk, Stopped
@@ -76,7 +76,7 @@
 
 def test_second_process_on_a_folder_is_refused_and_the_first_goes_on(tmp_path: Path) -> None:
     first = Store.open(tmp_path, DISK)
-    with pytest.raises(FolderTakenError, match="another relay works on this folder"):
+    with pytest.raises(FolderLockedError, match="another relay works on this folder"):
         Store.open(tmp_path, DISK)
     first.record_accepted(entry("a"))
     assert first.flush()
@@ -89,7 +89,7 @@
     head = fmt.HEADER.pack(fmt.MAGIC, fmt.VERSION + 1, 9, 0)[:-4]
     import zlib
 
-    (tmp_path / name_of(9)).write_bytes(head + zlib.crc32(head).to_bytes(4, "big") + b"what it may be")
+    (tmp_path / segment_name(9)).write_bytes(head + zlib.crc32(head).to_bytes(4, "big") + b"what it may be")
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     with pytest.raises(StoreError, match="written by a later version: segment 9 has format 2"):
         Store.open(tmp_path, DISK)
@@ -124,7 +124,7 @@
         store = Store(Disk(), DISK)
         store.record_accepted(entry("half" if at == "beside" else "held", b"x"))
         store.close()
-        (tmp_path / name_of(1)).write_bytes(next(iter(store.storage.files.values())).data)  # type: ignore[attr-defined]
+        (tmp_path / segment_name(1)).write_bytes(next(iter(store.storage.files.values())).data)  # type: ignore[attr-defined]
     entries = again(tmp_path).entries
     assert sorted(entries) == sorted(["held", "out", "dead", *(["half"] if at == "beside" else [])])
     assert entries["out"].trying_at == 1000 and entries["dead"].ended == "dead" and entries["held"].body == b"x"
@@ -139,7 +139,7 @@
     store.record_attempt("a", "north", 1000)
     store.record_accepted(entry("c"))
     store.close()
-    path = tmp_path / name_of(1)
+    path = tmp_path / segment_name(1)
     data = bytearray(path.read_bytes())
     attempt = next(r for r in fmt.scan(bytes(data)) if isinstance(r, fmt.Record) and r.kind is fmt.Kind.TRY)
     data[attempt.at + 12] ^= 1
@@ -254,7 +254,7 @@
     assert [line.split()[2] for line in records.output.splitlines()] == ["TAKEN", "GONE"]
     assert "250 messages" in run.invoke(command, ["journal", "stats", str(tmp_path)]).output
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
-    os.truncate(tmp_path / name_of(2), 1000)
+    os.truncate(tmp_path / segment_name(2), 1000)
     assert run.invoke(command, ["journal", "verify", str(tmp_path)]).exit_code == 1
     store.close()
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -6,7 +6,7 @@
 
 from garnetrelay.ownership import Ownership
 from garnetrelay.store import format as fmt
-from garnetrelay.store.reading import seen
+from garnetrelay.store.reading import iter_records
 from garnetrelay.store.storage import Folder
 from tests.sockets import Field, until
 
@@ -36,7 +36,7 @@
 
 def epochs(field: Field) -> list[int | None]:
     """Of all attempts on record."""
-    records = [found for _, found in seen(Folder(field.state)) if isinstance(found, fmt.Record)]
+    records = [found for _, found in iter_records(Folder(field.state)) if isinstance(found, fmt.Record)]
     return [fmt.read_epoch(record) for record in records if record.kind is fmt.Kind.TRY]
 
 
