--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -49,7 +49,7 @@
 
         def read() -> None:
             config = load({"RELAY_NAME": "measured", **environment})
-            Reader(config).read(config.known)
+            Reader(config).read(config.known_hosts)
 
         seconds = spent(read)
         version = json.dumps(listing(destinations, "Ready")).encode() + b"\n"
--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -372,7 +372,7 @@
 
     def gather(self) -> HollowFleet:
         """The relays, which don't yet know of each other; their settings are what a real one has by default."""
-        places = self.controllers[0].config.places
+        places = self.controllers[0].config.addresses
         told = {
             "controllers": [str(place) for place in places],
             "partitions": self.terms.partitions,
--- a/garnetrelay/cli/controller.py
+++ b/garnetrelay/cli/controller.py
@@ -27,7 +27,7 @@
     try:
         config = read(options)
         if check:
-            click.echo(f"{options}: good: controller {config.number} of {len(config.places)}, at {config.listen}")
+            click.echo(f"{options}: good: controller {config.number} of {len(config.addresses)}, at {config.listen}")
         elif initialize:
             _initialize(config)
         else:
--- a/garnetrelay/config/controller.py
+++ b/garnetrelay/config/controller.py
@@ -32,7 +32,7 @@
 
     number: int
     listen: Place
-    places: tuple[Place, ...]
+    addresses: tuple[Place, ...]
     folder: Path
     secret_file: Path
     operators: Address | None
@@ -54,16 +54,16 @@
 
 
 def _check(table: ControllerTable, folder: Path) -> Controller:
-    places = check_controllers(table)
-    if table.number >= len(places):
-        raise ValueError(f"number: {table.number} of {len(places)} controllers: they are counted from 0")
+    addresses = check_controllers(table)
+    if table.number >= len(addresses):
+        raise ValueError(f"number: {table.number} of {len(addresses)} controllers: they are counted from 0")
     listen = place(table.listen, "listen", listens=True)
     if not listen.port:
         raise ValueError("listen: port 0: the others could not find it")
     found = Controller(
         number=table.number,
         listen=listen,
-        places=places,
+        addresses=addresses,
         folder=folder / table.folder,
         secret_file=folder / table.secret_file,
         operators=_operators(table.operators),
--- a/garnetrelay/config/deployment.py
+++ b/garnetrelay/config/deployment.py
@@ -21,10 +21,10 @@
 # Descriptors that are neither a client's nor a host's: standard streams, the loop's own, the journal old and
 # new, discovery and notices, old and new as they move (16); clients that are told that there is no room (16);
 # clients accepted ahead of a look at them, descriptors for three rounds of the loop, and what closes for them (16).
-RESERVED = 48
-FLEET = 16  # more where relays know each other: as ``config/fleet.py`` has them
-FLEET_FILE = 4096  # bytes of the folder for the life number, old and new
-OPERATORS = 10  # more where staff may call: a listener, their calls, and some that wait to be told no
+RESERVED_DESCRIPTORS = 48
+FLEET_DESCRIPTORS = 16  # more where relays know each other: as ``config/fleet.py`` has them
+FLEET_STATE_BYTES = 4096  # bytes of the folder for the life number, old and new
+OPERATOR_DESCRIPTORS = 10  # more where staff may call: a listener, their calls, and some that wait to be told no
 
 
 class ConfigError(ValueError):
@@ -66,7 +66,7 @@
     zone_names: tuple[str, ...]
     kind_names: tuple[str, ...]
     load_reports: bool
-    known: Any
+    known_hosts: Any
     settings: io.Settings
     operators: Address | None = None  # where staff call; None: nowhere
     machine_durable: bool = False  # what is promised outlasts the machine's power, not only the process
@@ -78,15 +78,15 @@
         return max(
             8,
             self.sockets
-            - RESERVED
-            - (OPERATORS if self.operators is not None else 0)
-            - (FLEET if self.fleet is not None else 0),
+            - RESERVED_DESCRIPTORS
+            - (OPERATOR_DESCRIPTORS if self.operators is not None else 0)
+            - (FLEET_DESCRIPTORS if self.fleet is not None else 0),
         )
 
     @property
     def journal_bytes(self) -> int:
         """What of the folder the store may use."""
-        return self.disk_bytes - (FLEET_FILE if self.fleet is not None else 0)
+        return self.disk_bytes - (FLEET_STATE_BYTES if self.fleet is not None else 0)
 
     @property
     def client_sockets(self) -> int:
@@ -159,7 +159,7 @@
         zone_names=tuple(str(zone) for zone in facts.get("azs", ())),
         kind_names=tuple(str(kind) for kind in facts.get("kinds", ())),
         load_reports=facts.get("loadReport", {}).get("via", "off") != "off",
-        known=raw.get("known"),
+        known_hosts=raw.get("known"),
         settings=dataclasses.replace(settings, kinds=kinds),
     )
     return _fitted(config)
--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -37,7 +37,7 @@
 class Leases(msgspec.Struct, frozen=True):
     """The table of a relay, checked."""
 
-    places: tuple[Place, ...]  # the controllers, by number
+    addresses: tuple[Place, ...]  # the controllers, by number
     settings: Settings
 
 
@@ -48,9 +48,9 @@
     except msgspec.ValidationError as error:
         raise ValueError(f"fleet.leases: {error}") from None
     try:
-        places = check_controllers(table)
+        addresses = check_controllers(table)
         renew_every = None if table.renew_every_ms is None else table.renew_every_ms * MS
-        return Leases(places, settings(table, renew_every, table.write_margin_ms * MS))
+        return Leases(addresses, settings(table, renew_every, table.write_margin_ms * MS))
     except ValueError as error:
         raise ValueError(f"fleet.leases.{error}") from None
 
@@ -60,10 +60,10 @@
     count = len(table.controllers)
     if not (LEAST_CONTROLLERS <= count <= MOST_CONTROLLERS and count % 2):
         raise ValueError(f"controllers: {count} addresses, and there are 3, 5, 7 or 9 (an even one more bears no more)")
-    places = tuple(place(text, "controllers") for text in table.controllers)
-    if len(set(places)) < len(places):
+    addresses = tuple(place(text, "controllers") for text in table.controllers)
+    if len(set(addresses)) < len(addresses):
         raise ValueError("controllers: one stands twice")
-    return places
+    return addresses
 
 
 def settings(table: TermsTable, renew_every: int | None = None, write_margin: int = 0) -> Settings:
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -88,7 +88,7 @@
             found is None,
             self.records.last_lease,
         )
-        log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
+        log.info("controller %d of %d hears at %s", config.number, len(config.addresses), place)
         self._tick()
 
     async def _end(self) -> None:
@@ -139,7 +139,7 @@
         for effect in effects:
             match effect:
                 case SendToController(number, message):
-                    self.datagrams.send(self.config.places[number], message)
+                    self.datagrams.send(self.config.addresses[number], message)
                 case SendToRelay(session, answer):
                     self.figures.answered(answer)
                     if (place := self._sources.get(session)) is not None:
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -78,7 +78,7 @@
 
     def start(self) -> None:
         """Greet the controllers; partitions are asked for when there is a view to go by."""
-        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
+        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.addresses))
         self._carry_out(self.holder.wish(clock.now(), ()))
         self.look()
 
@@ -178,7 +178,7 @@
             match effect:
                 case SendToController(number, message):
                     data = self.codec.encode(message)
-                    if self._send(self.config.places[number], data):
+                    if self._send(self.config.addresses[number], data):
                         self.datagrams_out += 1
                         self.bytes_out += len(data)
                 case LogLine(text, level):
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -84,7 +84,7 @@
 def controllers(leases: Leases, now: int) -> Iterator[ControllerLine]:
     """All controllers, by number."""
     reached = leases.holder.reached(now)
-    for link, place in zip(leases.holder.links, leases.config.places, strict=True):
+    for link, place in zip(leases.holder.links, leases.config.addresses, strict=True):
         yield ControllerLine(
             link.controller,
             str(place),
--- a/garnetrelay/fleet/life.py
+++ b/garnetrelay/fleet/life.py
@@ -21,7 +21,7 @@
 FILE = "fleet"
 VERSION = 1
 MOST_PLACES = 16
-MOST_BYTES = 2048  # of four blocks; old and new take FLEET_FILE of ``config/deployment.py``
+MOST_BYTES = 2048  # of four blocks; old and new take FLEET_STATE_BYTES of ``config/deployment.py``
 
 
 class Kept(msgspec.Struct, frozen=True):
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -79,7 +79,7 @@
 
     def _read_known(self) -> None:
         try:
-            news = self.reader.read(self.config.known)
+            news = self.reader.read(self.config.known_hosts)
         except ValueError as error:
             log.warning("the list in the configuration can't be read, starting without one: %s", error)
             return
--- a/tests/fleet/leases/test_controller_options.py
+++ b/tests/fleet/leases/test_controller_options.py
@@ -32,7 +32,7 @@
 
 def test_a_good_file_is_read(tmp_path: Path) -> None:
     found = controller.read(written(tmp_path, GOOD + "partitions = 64\nlease_ms = 3000\n"))
-    assert found.number == 1 and found.listen == Place("0.0.0.0", 7960) and len(found.places) == 3
+    assert found.number == 1 and found.listen == Place("0.0.0.0", 7960) and len(found.addresses) == 3
     assert found.folder == tmp_path / "state" and found.operators is None
     assert (found.settings.controllers, found.settings.partitions, found.settings.lease) == (3, 64, 3 * SECOND)
 
@@ -42,7 +42,7 @@
     found = controller.read(written(tmp_path, GOOD + figures))
     fleet = options.read(written(tmp_path, RELAY + figures + "renew_every_ms = 500\nwrite_margin_ms = 10\n"), "r1")[1]
     assert fleet is not None and fleet.leases is not None
-    assert fleet.leases.settings.terms == found.settings.terms and fleet.leases.places == found.places
+    assert fleet.leases.settings.terms == found.settings.terms and fleet.leases.addresses == found.addresses
     assert (fleet.leases.settings.renew_every, fleet.leases.settings.write_margin) == (500 * MS, 10 * MS)
 
 
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -77,7 +77,7 @@
     async def acquire(self, process: ControllerProcess, *grants: Grant) -> Answer:
         self.number += 1
         terms = process.config.settings.terms
-        place = process.config.places[process.config.number]
+        place = process.config.addresses[process.config.number]
         return await self.ask(place, Acquire(SESSION, self.number, 0, terms, list(grants)))
 
 
@@ -174,7 +174,7 @@
         first = trio.processes[0]
         monkeypatch.setattr("garnetrelay.store.storage.Folder.cut", fails)
         trio.asker.datagrams.send(
-            first.config.places[0], Acquire(SESSION, 1, 0, first.config.settings.terms, [Grant(3, 1)])
+            first.config.addresses[0], Acquire(SESSION, 1, 0, first.config.settings.terms, [Grant(3, 1)])
         )
         async with asyncio.timeout(PATIENCE):
             await asyncio.wait([trio.runs[0]])
@@ -186,7 +186,7 @@
 async def test_what_is_none_of_its_business_is_counted_and_changes_nothing(tmp_path: Path) -> None:
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.terms
+        place, terms = first.config.addresses[0], first.config.settings.terms
         trio.asker.datagrams.send(place, Answer(1, 2, 3, True, True, [], []))
         trio.asker.datagrams.codec = Codec([b"a secret of somebody else"])
         trio.asker.datagrams.send(place, Acquire(SESSION, 1, 0, terms, [Grant(3, 1)]))
@@ -220,7 +220,7 @@
     monkeypatch.setattr(RecordsFile, "append", held_up)
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.terms
+        place, terms = first.config.addresses[0], first.config.settings.terms
         for partition in range(8):
             message = Acquire(Session(f"r{partition}", 1), 1, 0, terms, [Grant(partition, 1)])
             trio.asker.datagrams.send(place, message)
--- a/tests/scale/test_files_scale.py
+++ b/tests/scale/test_files_scale.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("destinations", [26, 260])
 def test_a_configuration_file_is_read_with_all_its_hosts(tmp_path: Path, destinations: int) -> None:
     config = load({"RELAY_NAME": "n", **configuration(tmp_path, destinations)})
-    news = Reader(config).read(config.known)
+    news = Reader(config).read(config.known_hosts)
     assert len(news.entries) == 2 * destinations
     assert len(news.addresses) == 2 * destinations
     assert len({entry.dest for entry in news.entries}) == destinations
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,7 +16,7 @@
 import pytest
 import pytest_asyncio
 
-from garnetrelay.config.deployment import OPERATORS, RESERVED
+from garnetrelay.config.deployment import OPERATOR_DESCRIPTORS, RESERVED_DESCRIPTORS
 from garnetrelay.fronts.resp import server as clients
 from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
@@ -76,7 +76,7 @@
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
     assert relay._client_room() <= 0
-    assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED
+    assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED_DESCRIPTORS
     for one in burst:
         one.close()
 
@@ -150,7 +150,7 @@
     for _ in range(100):
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
-    assert most <= idle + OPERATORS - 1  # its listener is there
+    assert most <= idle + OPERATOR_DESCRIPTORS - 1  # its listener is there
     for one in burst:
         one.close()
 
