--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 
 from garnetrelay.store import format as fmt
-from garnetrelay.store.ahead import Ahead
 from garnetrelay.store.format import Entry
 from garnetrelay.store.index import TRIES, begin, settle
+from garnetrelay.store.preload import Preloaded
 from garnetrelay.store.recovery import RecoveredLog
 from garnetrelay.store.segment_log import StoreError as StoreError  # the one that a start has to expect
 from garnetrelay.store.storage import Folder, Storage
@@ -35,12 +35,12 @@
         storage: Storage,
         disk_bytes: int,
         machine: bool = False,
-        ahead: Ahead | None = None,
+        preloaded: Preloaded | None = None,
         tries: int = TRIES,
         epochs: bool = False,
     ) -> None:
         super().__init__(storage, disk_bytes, machine)
-        self._load(ahead)
+        self._load(preloaded)
         self.index.allow(tries, epochs)
 
     @classmethod
@@ -49,50 +49,50 @@
         folder: Path,
         disk_bytes: int,
         machine: bool = False,
-        claim: int | None = None,
-        ahead: Ahead | None = None,
+        lock: int | None = None,
+        preloaded: Preloaded | None = None,
         tries: int = TRIES,
         epochs: bool = False,
     ) -> Store:
-        """The store of a folder, claimed for this process unless a claim was handed to it. ``ahead``: what was read
+        """The store of a folder, claimed for this process unless a claim was handed to it. ``preloaded``: what was read
         of it before; ``tries``: attempts that a message may have; ``epochs``: each may have an epoch on record."""
         door = Folder(folder)
-        if claim is None:
-            door.claim()
+        if lock is None:
+            door.lock()
         else:
-            door.adopt(claim)
+            door.adopt_lock(lock)
         try:
-            return cls(door, disk_bytes, machine, ahead, tries, epochs)
+            return cls(door, disk_bytes, machine, preloaded, tries, epochs)
         except BaseException:
-            door.release()
+            door.unlock()
             raise
 
     def hand_over(self) -> int:
         """Settled before, it writes nothing any more: the claim on the folder, for another process."""
         self._end()
         assert isinstance(self.storage, Folder)
-        return self.storage.surrender()
+        return self.storage.detach_lock()
 
     def close(self) -> None:
         """Put on record what is pending, and let the folder go."""
         self._end()
         if isinstance(self.storage, Folder):
-            self.storage.release()
+            self.storage.unlock()
 
     # ---- what happens to a message
 
     def has_room(self, ref: str, key: str | None, body_length: int) -> bool:
         """Whether one more message fits, with all that may be written of it."""
         wanted = self.index.reserve(ref, key, body_length)
-        return not self.broken and self.sizes.admits(self.index.reserved, wanted)
+        return not self.write_failed and self.sizes.admits(self.index.reserved, wanted)
 
-    def taken(self, entry: Entry) -> None:
+    def record_accepted(self, entry: Entry) -> None:
         """Note a message; it must not be taken on before a ``flush`` has put it on record."""
         fresh = not (entry.attempts or entry.ended or entry.uncertain)
         size = self._note(fmt.taken(entry) if fresh else fmt.state(entry), entry.ref)
         self.index.base(entry, self._active.number, size)
 
-    def trying(self, ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
+    def record_attempt(self, ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
         """Note an attempt; its first byte must not go out before it is on record. False: the message is not known.
         ``epoch``: in which this relay owns the message's destination."""
         entry = self.entries.get(ref)
@@ -103,7 +103,7 @@
         self.index.more(entry, self._active.number, size)
         return True
 
-    def outcome(self, ref: str, may_have_run: bool) -> None:
+    def record_outcome(self, ref: str, may_have_run: bool) -> None:
         """Note that the last attempt has ended, and whether its effect may have happened."""
         entry = self.entries.get(ref)
         if entry is not None:
@@ -111,7 +111,7 @@
             settle(entry, may_have_run)
             self.index.more(entry, self._active.number, size)
 
-    def ended(self, ref: str, result: str | None, wait_ms: int = 0) -> None:
+    def record_end(self, ref: str, result: str | None, wait_ms: int = 0) -> None:
         """Over: with the result that a notice has to tell, or without one where nothing more is owed."""
         entry = self.entries.get(ref)
         if entry is None:
@@ -124,7 +124,7 @@
         self.index.empty_body(entry)
         self.index.more(entry, self._active.number, size)
 
-    def told(self, ref: str) -> None:
+    def record_notice_acknowledged(self, ref: str) -> None:
         """Its notice was acknowledged: nothing more is owed."""
         if ref in self.entries:
             self._gone(ref)
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
 from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.operators.commands import CommandRefusedError
 from tests.sockets import until
 
 PATIENCE = 20.0
@@ -77,7 +77,7 @@
     async def acquire(self, process: ControllerProcess, *grants: Grant) -> Answer:
         self.number += 1
         terms = process.config.settings.fingerprint
-        place = process.config.places[process.config.number]
+        place = process.config.addresses[process.config.number]
         return await self.ask(place, Acquire(SESSION, self.number, 0, terms, list(grants)))
 
 
@@ -143,7 +143,7 @@
         answer = await trio.asker.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("said")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "said"]
-        figures = OperatorCommands(first).figures()
+        figures = OperatorCommands(first).metrics()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
             assert f"controller_{line}\n" in figures
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
@@ -161,7 +161,7 @@
             answer = await trio.asker.acquire(first, Grant(3, 1))
             assert not answer.granted and [refusal.partition for refusal in answer.refused] == [3]
             assert any("records not written: No space left on device" in line for line in trio.log.lines)
-            assert "controller_writes_failed 1\n" in OperatorCommands(first).figures()
+            assert "controller_writes_failed 1\n" in OperatorCommands(first).metrics()
         assert (await trio.asker.acquire(first, Grant(3, 2))).granted == [Grant(3, 2)]
     assert on_disk(first) == [Record(3, 2, "r1", 77)]
 
@@ -174,7 +174,7 @@
         first = trio.processes[0]
         monkeypatch.setattr("garnetrelay.store.storage.Folder.cut", fails)
         trio.asker.datagrams.send(
-            first.config.places[0], Acquire(SESSION, 1, 0, first.config.settings.fingerprint, [Grant(3, 1)])
+            first.config.addresses[0], Acquire(SESSION, 1, 0, first.config.settings.fingerprint, [Grant(3, 1)])
         )
         async with asyncio.timeout(PATIENCE):
             await asyncio.wait([trio.runs[0]])
@@ -186,7 +186,7 @@
 async def test_what_is_none_of_its_business_is_counted_and_changes_nothing(tmp_path: Path) -> None:
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.fingerprint
+        place, terms = first.config.addresses[0], first.config.settings.fingerprint
         trio.asker.datagrams.send(place, Answer(1, 2, 3, True, True, [], []))
         trio.asker.datagrams.codec = Codec([b"a secret of somebody else"])
         trio.asker.datagrams.send(place, Acquire(SESSION, 1, 0, terms, [Grant(3, 1)]))
@@ -201,9 +201,9 @@
         assert answer.accepted
         commands = OperatorCommands(first)
         commands.health()
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             commands.fleet(["MEMBERS"])
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             commands.exclude("s-1", True)
 
 
@@ -220,7 +220,7 @@
     monkeypatch.setattr(RecordsFile, "append", held_up)
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.fingerprint
+        place, terms = first.config.addresses[0], first.config.settings.fingerprint
         for partition in range(8):
             message = Acquire(Session(f"r{partition}", 1), 1, 0, terms, [Grant(partition, 1)])
             trio.asker.datagrams.send(place, message)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -494,7 +494,7 @@
     client = await field.start()
     relay = field.relays[0]
     later: list[Any] = []
-    monkeypatch.setattr(relay.journal, "on_record", later.append)
+    monkeypatch.setattr(relay.journal, "when_recorded", later.append)
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(later))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
@@ -646,7 +646,7 @@
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
     for n in range(15):
-        journal.taken(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
+        journal.record_accepted(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
     journal.close()
     client = await field.start()
     for n in range(20):
