--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -24,7 +24,7 @@
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.service import Fleet
-from garnetrelay.fleet.words import State
+from garnetrelay.fleet.status import State
 from garnetrelay.rehearsal import staff
 
 HELPERS = 6  # processes that hold the other members
--- a/garnetrelay/cli/fleet.py
+++ b/garnetrelay/cli/fleet.py
@@ -10,7 +10,7 @@
 from garnetrelay.cli import controller
 from garnetrelay.cli.operators import ADDRESS, call
 from garnetrelay.config.deployment import Address
-from garnetrelay.fleet.words import Line, State
+from garnetrelay.fleet.status import Line, State
 
 
 @click.group()
--- a/garnetrelay/fleet/life.py
+++ b/garnetrelay/fleet/life_file.py
@@ -2,7 +2,7 @@
 
 One small file, replaced whole: a first line with version and checksum, then JSON. It is written before the first frame of
 a life, so that no life is used twice from one folder. One that can't be read counts as none: the others know the last
-life of this name, and the relay goes on behind it (`members/own.py`).
+life of this name, and the relay goes on behind it (`members/local_member.py`).
 """
 
 from __future__ import annotations
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -14,7 +14,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, Place, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
 
--- a/garnetrelay/fleet/members/holding.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 
 from garnetrelay.fleet.members.claims import Claim, Identity, Place, Status
+from garnetrelay.fleet.members.dissemination import Spreading
 from garnetrelay.fleet.members.effects import Effect, KeepLife, Note
-from garnetrelay.fleet.members.own import Answer, Own
+from garnetrelay.fleet.members.local_member import Answer, Own
 from garnetrelay.fleet.members.settings import Settings
-from garnetrelay.fleet.members.spreading import Spreading
 from garnetrelay.fleet.members.table import Change, Member, Suspicion, Table, mark
 
 
--- a/garnetrelay/fleet/members/worth.py
+++ b/garnetrelay/fleet/members/observations.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.rounds import Rounds
+from garnetrelay.fleet.members.probe_order import Rounds
 from garnetrelay.fleet.members.settings import MS
 from garnetrelay.fleet.members.table import Member, Table
 
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -8,7 +8,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, Place
 from garnetrelay.fleet.members.effects import Effect, Note, Tell
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.settings import Settings
 
 FIXED = 96  # bytes of a frame besides its sender's claim, its claims and its words, at most
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -1,6 +1,6 @@
 """SWIM's probe of one member at a time: asked by this relay, then through others, then suspected. No I/O.
 
-Whose turn it is says `rounds.py`. An answer in time, by whichever way, ends the probe well; the next one begins when
+Whose turn it is says `probe_order.py`. An answer in time, by whichever way, ends the probe well; the next one begins when
 its period is over all the same.
 """
 
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.asking import Question, Questions, Why
 from garnetrelay.fleet.members.claims import Identity
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
-from garnetrelay.fleet.members.rounds import Rounds
+from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
+from garnetrelay.fleet.members.probe_order import Rounds
 from garnetrelay.fleet.members.settings import MS, Settings
 from garnetrelay.fleet.members.table import Member
 
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -1,6 +1,6 @@
 """One relay's part in the fleet: what it makes of each frame and each moment, and what it answers. No I/O, no clock, no
 randomness of its own: frames and moments in, effects out; ``draw`` is given. Its probes are in `probing.py`, its full
-exchanges in `exchanges.py`, the words that it holds in `holding.py`.
+exchanges in `exchanges.py`, the words that it holds in `local_view.py`.
 
 What counts as heard. A frame is signed by the fleet, so its claims were said by a member at some time; as claims are
 ordered (`claims.py`), an old one changes nothing. That somebody is there *now* follows only from an answer to a
@@ -17,21 +17,21 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members import worth
-from garnetrelay.fleet.members.asking import Question, Questions, Why
+from garnetrelay.fleet.members import observations
 from garnetrelay.fleet.members.claims import Claim, Place, Status
-from garnetrelay.fleet.members.condition import RELIES, Condition, Doubt, Facts
 from garnetrelay.fleet.members.effects import Effect, KeepLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_member import Answer, Own
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
-from garnetrelay.fleet.members.own import Answer, Own
+from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
+from garnetrelay.fleet.members.probe_order import Rounds
 from garnetrelay.fleet.members.probing import Probing
-from garnetrelay.fleet.members.rounds import Rounds
 from garnetrelay.fleet.members.settings import MS, Settings
 from garnetrelay.fleet.members.table import Member, Path, Table
 from garnetrelay.fleet.members.view import FleetView
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts
 
 LEAVE_TOLD = 8  # members that hear of a leaving at first hand
 
@@ -130,7 +130,7 @@
     def sharing(self) -> tuple[int, int]:
         """How many others are known to hold this very view, and how many to hold another, by words that are no older than
         the view."""
-        return worth.sharing(self.table, self.view, self.view_changed_at)
+        return observations.sharing(self.table, self.view, self.view_changed_at)
 
     # ---- what happens
 
@@ -337,7 +337,7 @@
         kept = min(room // 3, len(self._rounds) * fr.WORD.size)  # words get through beside many claims
         claims = self.outgoing.news(room - kept, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
-        words = worth.told(self.table, self._rounds, now, min(room, self.settings.most_words * fr.WORD.size))
+        words = observations.told(self.table, self._rounds, now, min(room, self.settings.most_words * fr.WORD.size))
         self.outgoing.tell(
             source,
             fr.Ack(
@@ -388,7 +388,7 @@
         if member.path is not Path.WHOLE:
             self.outgoing.note(f"{member.claim.name} answers this relay again (was: {member.path.value})")
             member.path = Path.WHOLE
-        worth.hear(self.table, ack.words, question.at)
+        observations.hear(self.table, ack.words, question.at)
         if question.why is Why.PROBE:
             self._probing.answered(member.claim.name)
         elif question.why is Why.FOR_OTHER and question.origin is not None:
--- a/garnetrelay/fleet/members/view.py
+++ b/garnetrelay/fleet/members/view.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from garnetrelay.fleet.members.condition import RELIES, Condition, Relies
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Relies
 
 
 class FleetView(NamedTuple):
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from garnetrelay.config.fleet import Fleet as FleetConfig
-from garnetrelay.fleet import words
-from garnetrelay.fleet.life import MOST_PLACES, LifeFile
+from garnetrelay.fleet import status
+from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, Place, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
@@ -169,38 +169,36 @@
         """This relay and all others, a JSON object a line."""
         assert self.members is not None
         now = time.monotonic_ns()
-        return _json_lines((words.state(self.members, now), *words.lines(self.members, now)))
+        return _json_lines((status.state(self.members, now), *status.lines(self.members, now)))
 
     def explain(self, name: str) -> list[str] | None:
         """Why a member is held for what it is."""
         assert self.members is not None
-        return words.explain(self.members, name, time.monotonic_ns())
+        return status.explain(self.members, name, time.monotonic_ns())
 
     def owners(self, destination: int | None) -> str | None:
         """What this relay owns, a JSON object a line, or one destination; None where leases are not switched on."""
         if self.leases is None:
             return None
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
         if destination is None:
-            return _json_lines(status.owners(self.leases, clock.now()))
-        return _json_lines([status.destination(self.leases, destination, clock.now())])
+            return _json_lines(lease_status.owners(self.leases, clock.now()))
+        return _json_lines([lease_status.destination(self.leases, destination, clock.now())])
 
     def controllers(self) -> str | None:
         """Each controller as this relay sees it, a JSON object a line; None where leases are not switched on."""
         if self.leases is None:
             return None
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
-        return _json_lines(status.controllers(self.leases, clock.now()))
+        return _json_lines(lease_status.controllers(self.leases, clock.now()))
 
     def figures(self) -> str:
         """The fleet's part of the figures, a line each; with that of leases where they are on."""
         assert self.members is not None
         transport = self.transport
-        found = words.figures(
+        found = status.figures(
             self.members,
             transport.refused,
             transport.frames_out,
@@ -210,10 +208,9 @@
         )
         if self.leases is None:
             return found
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
-        return found + status.figures(self.leases, clock.now())
+        return found + lease_status.figures(self.leases, clock.now())
 
     # ---- what happens
 
--- a/garnetrelay/fleet/mail.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -96,7 +96,7 @@
     return dataclasses.replace(SETTINGS, probe_every=max(SETTINGS.probe_every, int(every * SECOND)))
 
 
-class Mail:
+class SimulatorMember:
     """One relay's part in the fleet of a simulated day."""
 
     def __init__(self, me: int, relays: int, seed: int, now: int, price: float = 0.0) -> None:
--- a/garnetrelay/fleet/words.py
+++ b/garnetrelay/fleet/status.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.condition import RELIES
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.table import Member, Path
+from garnetrelay.fleet.members.view_state import RELIES
 from garnetrelay.operators.figures import escaped
 
 
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -14,9 +14,9 @@
 from msgspec import Meta
 
 from garnetrelay.fleet.members.claims import Identity, Status
-from garnetrelay.fleet.members.condition import Condition
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
+from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.world import Node, Starved, World
 
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from garnetrelay.fleet.life import FILE as LIFE_FILE
-from garnetrelay.fleet.words import Line, State
+from garnetrelay.fleet.life_file import FILE as LIFE_FILE
+from garnetrelay.fleet.status import Line, State
 from garnetrelay.laboratory.links import Fate, Links, between
 from garnetrelay.rehearsal import staff
 from garnetrelay.rehearsal.links import script
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -15,7 +15,7 @@
 from starlingwick.settings import SettingsError, parse_settings
 
 if TYPE_CHECKING:
-    from garnetrelay.fleet.mail import Mail
+    from garnetrelay.fleet.simulator_member import SimulatorMember
 
 MS = 1_000_000
 MEMBERS = 1 << 40  # timers from this number on are the fleet's, not the module's
@@ -182,7 +182,7 @@
         self.line_no = 0
         self.pacers: dict[int, Pacer] = {}
         self.catalogs: dict[int, tuple[io.HostEntry, ...]] = {}
-        self.mails: dict[int, Mail] = {}  # where the settings let relays write to each other
+        self.mails: dict[int, SimulatorMember] = {}  # where the settings let relays write to each other
         self.notes: dict[int, list[str]] = {}  # what the fleet's part of this batch is
 
     def _line(self) -> str | None:
@@ -259,7 +259,7 @@
         pacer = self.pacers[instance]
         if not pacer.settings.limits.peers or pacer.settings.relays < 2:
             return
-        from garnetrelay.fleet.mail import Mail  # off costs nothing
+        from garnetrelay.fleet.simulator_member import SimulatorMember  # off costs nothing
 
         told = json.loads(facts)
         me, price = told.get("me"), told.get("prices", {}).get("peer", 0)
@@ -267,7 +267,7 @@
             raise WireError(f"facts: me: '{me}' is no number of a relay")
         if not isinstance(price, int | float) or not 0 <= price <= 1000:
             raise WireError(f"facts: prices.peer: '{price}' is no price")
-        self.mails[instance] = Mail(me, pacer.settings.relays, seed, now, price)
+        self.mails[instance] = SimulatorMember(me, pacer.settings.relays, seed, now, price)
         self._note(instance, self.mails[instance].begin(now))
 
     def _mail(self, instance: int, fields: dict[str, str], now: int) -> None:
@@ -280,7 +280,7 @@
             self._note(instance, self.mails[instance].mail(now, origin, data))
 
     def _note(self, instance: int, replies: list[Any]) -> None:
-        from garnetrelay.fleet.mail import Line, Post
+        from garnetrelay.fleet.simulator_member import Line, Post
 
         lines = self.notes.setdefault(instance, [])
         for reply in replies:
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -18,8 +18,8 @@
 
 from garnetrelay.fleet.members.claims import Claim, Identity, Status
 from garnetrelay.fleet.members.effects import Effect
-from garnetrelay.fleet.members.holding import Holding
-from garnetrelay.fleet.members.own import Own
+from garnetrelay.fleet.members.local_member import Own
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Suspicion, Table
 
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -19,8 +19,8 @@
 from garnetrelay.fleet.leases.messages import Answer, ReadRecords, Records, SendToController, SendToRelay, WriteRecords
 from garnetrelay.fleet.leases.settings import SECOND, Settings
 from garnetrelay.fleet.members.claims import Place
-from garnetrelay.fleet.members.condition import Condition
 from garnetrelay.fleet.members.view import FleetView
+from garnetrelay.fleet.members.view_state import Condition
 
 ROOT = Path(__file__).parents[3]
 SECRET = b"a secret of the tests"
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.words import Line, State
+from garnetrelay.fleet.status import Line, State
 from garnetrelay.laboratory.links import Fate, Links
 from garnetrelay.rehearsal.links.network import Network
 from tests.sockets import FACTS
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -8,7 +8,7 @@
 from garnetrelay.fleet.members.effects import Effect, Exchange
 from garnetrelay.fleet.members.exchanges import JOIN_GAPS, Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
 
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -11,9 +11,9 @@
 import pytest
 
 from benchmarks.simulator import changed
-from garnetrelay.fleet.mail import MOST, Mail, Post, Reply, Wake, number, place, settings_at
-from garnetrelay.fleet.members.condition import Condition
 from garnetrelay.fleet.members.settings import SECOND
+from garnetrelay.fleet.members.view_state import Condition
+from garnetrelay.fleet.simulator_member import MOST, Post, Reply, SimulatorMember, Wake, number, place, settings_at
 from starlingwick import wirehost
 from tests.test_library import FACTS
 
@@ -25,12 +25,12 @@
 
     def __init__(self, count: int) -> None:
         self.count, self.now, self.posts = count, 0, 0
-        self.mails: dict[int, Mail] = {}
+        self.mails: dict[int, SimulatorMember] = {}
         self.queue: list[tuple[int, int, int, Callable[..., list[Reply]]]] = []
         self.order = itertools.count()
 
     def up(self, relay: int) -> None:
-        self.mails[relay] = Mail(relay, self.count, relay + self.now, self.now)
+        self.mails[relay] = SimulatorMember(relay, self.count, relay + self.now, self.now)
         self.take(relay, self.mails[relay].begin(self.now))
 
     def take(self, relay: int, replies: list[Reply]) -> None:
@@ -119,7 +119,7 @@
 
 
 def test_a_note_that_cannot_be_used_changes_nothing() -> None:
-    mail = Mail(0, 3, 1, 0)
+    mail = SimulatorMember(0, 3, 1, 0)
     mail.begin(0)
     before = mail.members.own.claim, list(mail.members.table.claims())
     for data in (b"", b"noise", bytes(300), mail.codec.encode(mail.members.hello(0), 2)[:-1]):
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.condition import RELIES, Condition, Doubt, Facts, judge
+from garnetrelay.fleet.members.dissemination import Spreading
 from garnetrelay.fleet.members.effects import Tell
 from garnetrelay.fleet.members.frames import Ping
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.fleet.members.spreading import Spreading
 from garnetrelay.fleet.members.table import Table
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts, judge
 
 claims = st.builds(
     Claim,
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -15,12 +15,12 @@
 import pytest
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.condition import Condition
 from garnetrelay.fleet.members.effects import Note
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
+from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.schedules import KINDS, Schedule, drawn, play
 from garnetrelay.laboratory.world import World
