--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -281,7 +281,7 @@
     ]
     began = time.perf_counter_ns()
     for data in frames:
-        for effect in members.receive(world.now, world.codec.decode(data), other.own.claim.place):
+        for effect in members.receive(world.now, world.codec.decode(data), other.own.claim.address):
             if isinstance(effect, Tell):
                 world.codec.encode(effect.frame, effect.version)
     return (time.perf_counter_ns() - began) / 1000 / len(frames)
--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -21,7 +21,7 @@
 
 from benchmarks.peers import SETTINGS, cpu_ns
 from garnetrelay.config.fleet import Fleet as FleetConfig
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.service import Fleet
 from garnetrelay.fleet.status import State
@@ -38,8 +38,8 @@
 class Crowd(NamedTuple):
     """Some of the members, for one helper."""
 
-    places: list[Place]
-    seeds: tuple[Place, ...]
+    places: list[SocketAddress]
+    seeds: tuple[SocketAddress, ...]
     folder: Path
     begin: float  # by the machine's clock, as all of them begin together; a file `end` ends it
     size: int
@@ -52,11 +52,11 @@
     view: int
 
 
-def network(count: int) -> list[Place]:
+def network(count: int) -> list[SocketAddress]:
     """Addresses on loopback that nobody uses."""
     for _ in range(NETWORK_TRIES):
         octet, port = random.randint(16, 250), random.randint(20_000, 30_000)
-        made = [Place(f"127.{octet}.{number >> 7}.{1 + (number & 127)}", port) for number in range(count)]
+        made = [SocketAddress(f"127.{octet}.{number >> 7}.{1 + (number & 127)}", port) for number in range(count)]
         try:
             for each in made:
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
@@ -107,7 +107,9 @@
     return next(int(line.split()[1]) for line in lines if line.startswith("Pss:")) / 1000
 
 
-def relay(folder: Path, place: Place, seeds: tuple[Place, ...], on: bool) -> tuple[subprocess.Popen[bytes], int]:
+def relay(
+    folder: Path, place: SocketAddress, seeds: tuple[SocketAddress, ...], on: bool
+) -> tuple[subprocess.Popen[bytes], int]:
     """A relay with nothing to do, and the port where staff call it."""
     folder.mkdir()
     with socket.socket() as free:
--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -27,7 +27,7 @@
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, Message, SendToController, Session
 from garnetrelay.fleet.leases.settings import Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.partitions.assignment import Assignment
 
 ROOT = Path(__file__).parents[1]
@@ -211,14 +211,14 @@
 class HollowRelay:
     """A relay's leases alone: no members, no clients, no calls."""
 
-    def __init__(self, name: str, places: tuple[Place, ...], settings: Settings, fleet: HollowFleet) -> None:
+    def __init__(self, name: str, places: tuple[SocketAddress, ...], settings: Settings, fleet: HollowFleet) -> None:
         self.name = name
         draw = random.Random(name)
         self.holder = Holder(Session(name, draw.getrandbits(62)), settings, draw)
         self._places = places
         self._fleet = fleet
         self._datagrams = Datagrams(Codec([SECRET]), self._hear)
-        self._datagrams.start(Place(LOOPBACK, 0))
+        self._datagrams.start(SocketAddress(LOOPBACK, 0))
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._killed = False
@@ -246,7 +246,7 @@
         """What it may act for now, and in which epochs."""
         return {partition: found.epoch for partition, found in self.holder.owned(clock.now()).items()}
 
-    def _hear(self, message: Message, source: Place) -> None:
+    def _hear(self, message: Message, source: SocketAddress) -> None:
         if isinstance(message, Answer):
             self._carry_out(self.holder.receive(clock.now(), message))
 
@@ -270,7 +270,7 @@
 class HollowFleet:
     """Hollow relays, whose wishes follow a view given from outside."""
 
-    def __init__(self, terms: Terms, places: tuple[Place, ...], settings: Settings) -> None:
+    def __init__(self, terms: Terms, places: tuple[SocketAddress, ...], settings: Settings) -> None:
         self.terms = terms
         self._assignment = Assignment(terms.partitions)
         self._should: dict[str, frozenset[int]] = {}  # by the latest view, also before a relay has learned of it
@@ -428,13 +428,13 @@
     return found
 
 
-def _free(host: str, count: int, kind: socket.SocketKind) -> list[Place]:
+def _free(host: str, count: int, kind: socket.SocketKind) -> list[SocketAddress]:
     """Ports that the kernel picks, all different."""
     sockets = [socket.socket(socket.AF_INET, kind) for _ in range(count)]
     try:
         for each in sockets:
             each.bind((host, 0))
-        return [Place(*each.getsockname()) for each in sockets]
+        return [SocketAddress(*each.getsockname()) for each in sockets]
     finally:
         for each in sockets:
             each.close()
--- a/garnetrelay/config/addresses.py
+++ b/garnetrelay/config/addresses.py
@@ -4,10 +4,10 @@
 
 import ipaddress
 
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 
-def place(text: str, option: str, listens: bool = False) -> Place:
+def place(text: str, option: str, listens: bool = False) -> SocketAddress:
     """IP:port; names are not looked up. ``listens``: any address and any port of this machine may stand there.
 
     ValueError in one line that begins with the option's name.
@@ -21,4 +21,4 @@
         raise ValueError(f"{option}: '{text}' is not IP:port")
     if address.is_unspecified and not listens:
         raise ValueError(f"{option}: nobody can be reached at '{text}'")
-    return Place(str(address), int(port))
+    return SocketAddress(str(address), int(port))
--- a/garnetrelay/config/controller.py
+++ b/garnetrelay/config/controller.py
@@ -14,7 +14,7 @@
 from garnetrelay.config.fleet import read_secrets
 from garnetrelay.config.leases import TermsTable, check_controllers, settings
 from garnetrelay.fleet.leases.settings import Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 
 class ControllerTable(TermsTable, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -31,8 +31,8 @@
     """The same, checked."""
 
     number: int
-    listen: Place
-    places: tuple[Place, ...]
+    listen: SocketAddress
+    places: tuple[SocketAddress, ...]
     folder: Path
     secret_file: Path
     operators: Address | None
--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from garnetrelay.config.addresses import place
-from garnetrelay.fleet.members.claims import MOST_NAME, UNKNOWN_ZONE, Place, Zone
+from garnetrelay.fleet.members.claims import MOST_NAME, UNKNOWN_ZONE, SocketAddress, Zone
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.signing import LEAST_SECRET
 
@@ -41,9 +41,9 @@
 class Fleet(msgspec.Struct, frozen=True):
     """The same, checked."""
 
-    listen: Place  # port 0: any
-    advertise: Place | None
-    seeds: tuple[Place, ...]
+    listen: SocketAddress  # port 0: any
+    advertise: SocketAddress | None
+    seeds: tuple[SocketAddress, ...]
     secret_file: Path
     settings: Settings
     zone: int = UNKNOWN_ZONE
--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -11,7 +11,7 @@
 from garnetrelay.config.addresses import place
 from garnetrelay.fleet.leases.messages import MOST_CONTROLLERS
 from garnetrelay.fleet.leases.settings import LEAST_CONTROLLERS, MS, Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
 LEAST_LEASE_MS = 500  # below it the time that a busy process takes to answer eats the lease
@@ -37,7 +37,7 @@
 class Leases(msgspec.Struct, frozen=True):
     """The table of a relay, checked."""
 
-    places: tuple[Place, ...]  # the controllers, by number
+    places: tuple[SocketAddress, ...]  # the controllers, by number
     settings: Settings
 
 
@@ -55,7 +55,7 @@
         raise ValueError(f"fleet.leases.{error}") from None
 
 
-def check_controllers(table: TermsTable) -> tuple[Place, ...]:
+def check_controllers(table: TermsTable) -> tuple[SocketAddress, ...]:
     """The controllers' addresses; ValueError in one line that begins with the option's name."""
     count = len(table.controllers)
     if not (LEAST_CONTROLLERS <= count <= MOST_CONTROLLERS and count % 2):
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -29,7 +29,7 @@
     Session,
     WriteRecords,
 )
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.operators.calls import CallRefusedError
 from garnetrelay.operators.front import Front
 
@@ -51,7 +51,7 @@
         self._finished = asyncio.Event()
         self._broken: Exception | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._sources: dict[Session, Place] = {}  # the latest last
+        self._sources: dict[Session, SocketAddress] = {}  # the latest last
         self._writes: list[WriteRecords] = []  # that wait for the one that runs
         self._writing: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
@@ -114,7 +114,7 @@
 
     # ---- what happens
 
-    def _heard(self, message: Message, source: Place) -> None:
+    def _heard(self, message: Message, source: SocketAddress) -> None:
         if self.controller is None:
             return
         if isinstance(message, Answer):  # from another controller, to a relay that had this address before
@@ -125,7 +125,7 @@
             self._remember(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
 
-    def _remember(self, session: Session, source: Place) -> None:
+    def _remember(self, session: Session, source: SocketAddress) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
         if len(self._sources) > MOST_SESSIONS:
--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -10,7 +10,7 @@
 
 from garnetrelay.fleet.leases.codec import MOST_DATAGRAM, Codec
 from garnetrelay.fleet.leases.messages import Message
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.signing import FrameRefusedError
 
 log = logging.getLogger(__name__)
@@ -19,7 +19,7 @@
 MOST_A_SECOND = 10_000  # taken: 1,000 relays that ask five times for all that they hold, and some
 READ_BUFFER = 1 << 20  # bytes of the kernel's: 1,000 relays that ask at once
 
-Hears = Callable[[Message, Place], None]
+Hears = Callable[[Message, SocketAddress], None]
 
 
 class Datagrams:
@@ -35,7 +35,7 @@
         self._second = 0
         self._taken = 0
 
-    def start(self, listen: Place) -> Place:
+    def start(self, listen: SocketAddress) -> SocketAddress:
         """Take the address; the one that came of it. OSError where that can't be."""
         found = socket.socket(socket.AF_INET6 if ":" in listen.host else socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -47,7 +47,7 @@
         found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
         self._socket = found
         self._loop.add_reader(found, self._readable)
-        return Place(*found.getsockname()[:2])
+        return SocketAddress(*found.getsockname()[:2])
 
     def close(self) -> None:
         """Let go of the address, at once."""
@@ -56,7 +56,7 @@
             self._socket.close()
             self._socket = None
 
-    def send(self, place: Place, message: Message) -> None:
+    def send(self, place: SocketAddress, message: Message) -> None:
         """One that can't go now is lost, as others are on their way."""
         if self._socket is None:
             return
@@ -81,9 +81,9 @@
             except OSError as error:  # an earlier one did not arrive: that is told here
                 log.debug("leases: %s", error)
                 continue
-            self._take(data, Place(*source[:2]))
+            self._take(data, SocketAddress(*source[:2]))
 
-    def _take(self, data: bytes, source: Place) -> None:
+    def _take(self, data: bytes, source: SocketAddress) -> None:
         self.received += 1
         self.bytes_in += len(data)
         if self._over_the_rate():
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, SendToController, Session
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.partitions.assignment import NOBODY, Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
@@ -53,7 +53,7 @@
         name: str,
         shared_secrets: list[bytes],
         members: Membership,
-        send: Callable[[Place, bytes], bool],
+        send: Callable[[SocketAddress, bytes], bool],
     ) -> None:
         """``send`` takes a datagram; whether it went."""
         self.config = config
@@ -146,7 +146,7 @@
 
     # ---- what happens
 
-    def hear(self, data: bytes, source: Place) -> None:
+    def hear(self, data: bytes, source: SocketAddress) -> None:
         """A datagram of this protocol."""
         self.datagrams_in += 1
         self.bytes_in += len(data)
--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.members.claims import Life, Place
+from garnetrelay.fleet.members.claims import Life, SocketAddress
 from garnetrelay.store.storage import Folder
 
 log = logging.getLogger(__name__)
@@ -67,7 +67,7 @@
             log.error("fleet: the life number can't be read, the others will tell it: %s", error)
             return None
 
-    def keep(self, life: int, places: list[Place]) -> None:
+    def keep(self, life: int, places: list[SocketAddress]) -> None:
         """Put a life on record; OSError where it can't be."""
         kept = Kept(life, [(place.host, place.port) for place in places[:MOST_PLACES]])
         self._folder.replace(FILE, encode(kept), self._sync)
--- a/garnetrelay/fleet/members/claims.py
+++ b/garnetrelay/fleet/members/claims.py
@@ -45,7 +45,7 @@
     LEFT = 3
 
 
-class Place(NamedTuple):
+class SocketAddress(NamedTuple):
     """Where a member hears: an IP address and a port."""
 
     host: str
@@ -87,9 +87,9 @@
         return Identity(self.life, self.process)
 
     @property
-    def place(self) -> Place:
+    def address(self) -> SocketAddress:
         """Where the member hears, by this word."""
-        return Place(self.host, self.port)
+        return SocketAddress(self.host, self.port)
 
     @property
     def final(self) -> bool:
--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -5,7 +5,7 @@
 import logging
 from dataclasses import dataclass
 
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.frames import Frame
 
 
@@ -13,7 +13,7 @@
 class Tell:
     """A datagram."""
 
-    place: Place
+    place: SocketAddress
     frame: Frame
     version: int
 
@@ -22,7 +22,7 @@
 class Exchange:
     """A full exchange with whoever hears there."""
 
-    place: Place
+    place: SocketAddress
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -12,7 +12,7 @@
 
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place, Status
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
@@ -34,7 +34,7 @@
         effects: list[Effect],
         draw: random.Random,
         now: int,
-        seeds: Sequence[Place],
+        seeds: Sequence[SocketAddress],
     ) -> None:
         self.next_at = now + settings.exchange_gap(1)
         self.join_at = now
@@ -45,7 +45,7 @@
         self._draw = draw
         self._seeds = seeds
         self._join_tries = 0
-        self._first: Place | None = None  # who is to be asked in the next turn
+        self._first: SocketAddress | None = None  # who is to be asked in the next turn
         self._repair_at = now
 
     # ---- when, and with whom
@@ -75,7 +75,7 @@
         if place is not None and self._holding.own.named:
             self._effects.append(Exchange(place))
 
-    def repair(self, now: int, place: Place, changed_at: int) -> None:
+    def repair(self, now: int, place: SocketAddress, changed_at: int) -> None:
         """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
         when this relay's view last changed."""
         pause, bulk = self._settings.calm_after(self._holding.count), self._bulk()
@@ -90,7 +90,7 @@
         self._repair_at = now + pause
         self._effects.append(Exchange(place))
 
-    def after_new_life(self, now: int, told_by: Place | None) -> None:
+    def after_new_life(self, now: int, told_by: SocketAddress | None) -> None:
         """This relay goes on in a new life: an exchange with who said that the last had ended, or with anybody. At once
         where little has changed; else at a moment of its own, since many will want to at the same time."""
         place = told_by or self._anybody()
@@ -104,10 +104,10 @@
         self._repair_at = now + bulk
         self._first = place
 
-    def _anybody(self) -> Place | None:
+    def _anybody(self) -> SocketAddress | None:
         members = self._holding.table.members
         if members:
-            return members[self._draw.choice(list(members))].claim.place
+            return members[self._draw.choice(list(members))].claim.address
         return self._draw.choice(self._seeds) if self._seeds else None
 
     def _bulk(self) -> int:
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from garnetrelay.fleet.members.claims import Claim, Identity, Place, Status
+from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.dissemination import Spreading
 from garnetrelay.fleet.members.effects import Effect, KeepLife, Note
 from garnetrelay.fleet.members.local_member import Answer, Own
@@ -41,7 +41,7 @@
         self.spreading = Spreading()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
         self.figures = Figures()
-        self.told_by: Place | None = None  # who said that this life has ended
+        self.told_by: SocketAddress | None = None  # who said that this life has ended
         self._effects = effects
         self._enters = enters  # a member that was not in, or is in another life
 
@@ -75,7 +75,7 @@
 
     # ---- what happens
 
-    def hear(self, now: int, claim: Claim, source: Place | None = None) -> Answer:
+    def hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> Answer:
         """A word on anybody; on this relay itself, what follows."""
         if claim.name == self.name:
             return self._hear_of_self(claim, source)
@@ -170,7 +170,7 @@
     def _note(self, text: str, level: int = logging.INFO) -> None:
         self._effects.append(Note(text, level))
 
-    def _hear_of_self(self, claim: Claim, source: Place | None) -> Answer:
+    def _hear_of_self(self, claim: Claim, source: SocketAddress | None) -> Answer:
         answer = self.own.hear(claim)
         if answer is Answer.REFUTED:
             self.figures.refuted += 1
@@ -186,7 +186,7 @@
         elif answer is Answer.ASIDE:
             self.spreading.drop(claim.name)
             self._note(
-                f"another process at {claim.place} has this name: {claim.said()}; standing aside until that life "
+                f"another process at {claim.address} has this name: {claim.said()}; standing aside until that life "
                 "has ended",
                 logging.ERROR,
             )
@@ -195,8 +195,8 @@
     def _note_change(self, held: Claim | None, claim: Claim, change: Change) -> None:
         if change is Change.WORD and held is not None and not claim.final:
             # Whatever word brings a change of address or zone, it is told: no other word will differ in it.
-            moved = (claim.place, claim.zone) != (held.place, held.zone)
-            where = f", now at {claim.place}, zone {claim.zone or 'not known'}" if moved else ""
+            moved = (claim.address, claim.zone) != (held.address, held.zone)
+            where = f", now at {claim.address}, zone {claim.zone or 'not known'}" if moved else ""
             if claim.status is Status.SUSPECT and claim.by != self.name:
                 self._note(f"{claim.said()}{where}")
             elif held.status is Status.SUSPECT:
@@ -210,4 +210,4 @@
             same = "the same process is back" if claim.process == held.process else "a new process"
             self._note(f"{claim.said()}, {same} (was {held.said()})")
         else:
-            self._note(f"{claim.said()} at {claim.place} is new here")
+            self._note(f"{claim.said()} at {claim.address} is new here")
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place
+from garnetrelay.fleet.members.claims import Claim, SocketAddress
 from garnetrelay.fleet.members.effects import Effect, Note, Tell
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.settings import Settings
@@ -50,13 +50,13 @@
         """This relay's view, in short."""
         return fr.Summary(self._holding.view, self._holding.count)
 
-    def tell(self, place: Place, frame: fr.Frame, version: int) -> None:
+    def tell(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram."""
         self._effects.append(Tell(place, frame, version))
 
     def ping(
         self,
-        place: Place,
+        place: SocketAddress,
         version: int,
         number: int,
         claims: Sequence[Claim] = (),
--- a/garnetrelay/fleet/members/pending_requests.py
+++ b/garnetrelay/fleet/members/pending_requests.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Identity, Place
+from garnetrelay.fleet.members.claims import Identity, SocketAddress
 
 MOST_QUESTIONS = 512  # open at once
 MOST_STRANGERS = 128  # of them to those whose life is not known
@@ -36,7 +36,7 @@
     until: int
     name: str = ""
     identity: Identity = Identity(0, 0)
-    origin: Place | None = None  # who wants to know
+    origin: SocketAddress | None = None  # who wants to know
     origin_number: int = 0
     origin_version: int = 1
     nack_at: int | None = None  # the origin hears by then that nothing has come
@@ -48,7 +48,7 @@
     def __init__(self, draw: random.Random) -> None:
         self._draw = draw
         self._open: dict[int, Question] = {}
-        self._strangers: dict[Place, int] = {}
+        self._strangers: dict[SocketAddress, int] = {}
 
     def ask(self, question: Question) -> int | None:
         """A number to ask by; None where too many are open."""
@@ -58,7 +58,7 @@
         self._open[number] = question
         return number
 
-    def ask_stranger(self, question: Question, place: Place) -> int | None:
+    def ask_stranger(self, question: Question, place: SocketAddress) -> int | None:
         """The same of someone whose life is not known: one at a time to a place."""
         if place in self._strangers or len(self._strangers) >= MOST_STRANGERS:
             return None
@@ -67,7 +67,7 @@
             self._strangers[place] = number
         return number
 
-    def answered(self, frame: fr.AnyFrame, source: Place) -> Question | None:
+    def answered(self, frame: fr.AnyFrame, source: SocketAddress) -> Question | None:
         """The question that a frame answers, if it was asked of that sender."""
         question = self._open.get(frame.number)
         if question is None:
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -132,7 +132,9 @@
         claims = [claim] if member.suspicion is not None and self._settings.lifeguard else []
         room = self._outgoing.room() - sum(one.size() for one in claims)
         claims += self._outgoing.news(room, claim.name)
-        self._outgoing.ping(claim.place, self._outgoing.version(claim), number, claims, summary=self._outgoing.summary())
+        self._outgoing.ping(
+            claim.address, self._outgoing.version(claim), number, claims, summary=self._outgoing.summary()
+        )
 
     def _ask_others(self, probe: Probe) -> None:
         target = self._holding.table.members.get(probe.name)
@@ -150,7 +152,7 @@
         for name in chosen:
             member = self._holding.table.members[name]
             self._outgoing.tell(
-                member.claim.place,
+                member.claim.address,
                 fr.AskFor(
                     sender=self._outgoing.sender,
                     sequence=self._outgoing.next_sequence(),
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members import observations
-from garnetrelay.fleet.members.claims import Claim, Place, Status
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, KeepLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
@@ -54,7 +54,7 @@
         settings: Settings,
         draw: random.Random,
         now: int,
-        seeds: Sequence[Place] = (),
+        seeds: Sequence[SocketAddress] = (),
         sequence: int = 0,
     ) -> None:
         self.settings = settings
@@ -64,7 +64,7 @@
         self.outgoing = Outgoing(self.holding, settings, self._effects, sequence)
         self.doubt = Doubt(now)
         self.figures = Figures()
-        self.seeds = [seed for seed in seeds if seed != own.place]
+        self.seeds = [seed for seed in seeds if seed != own.address]
         self.joined = not self.seeds  # who knows no other has nobody to hear from
         self.view_changed_at = now
         self._draw = draw
@@ -143,7 +143,7 @@
         self._keep_contact(now)
         return self._end(now)
 
-    def receive(self, now: int, frame: fr.AnyFrame, source: Place) -> list[Effect]:
+    def receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> list[Effect]:
         """A datagram has come; its signature and form were good."""
         self._begin(now)
         self._receive(now, frame, source)
@@ -219,13 +219,13 @@
             last = self.own.leave()
             for name in self._rounds.sample(self.table.members, LEAVE_TOLD):
                 member = self.table.members[name]
-                self.outgoing.ping(member.claim.place, self.outgoing.version(member.claim), 0, [last])
+                self.outgoing.ping(member.claim.address, self.outgoing.version(member.claim), 0, [last])
         self.own.left, self.own.named = True, False
         return self._end(now)
 
     # ---- a frame
 
-    def _receive(self, now: int, frame: fr.AnyFrame, source: Place) -> None:
+    def _receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         sender, refused = frame.sender, self.figures.refused
         for claim in frame.claims:
             # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
@@ -283,7 +283,7 @@
                 self._answered(now, member, question.at, -1)
                 self._probing.present.nacks += 1
 
-    def _hear(self, now: int, claim: Claim, source: Place | None = None) -> None:
+    def _hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
         """A word on anybody."""
         if self.holding.hear(now, claim, source) is Answer.REFUTED:
             self.health.change(1)
@@ -293,7 +293,7 @@
             if claim.name != self.own.claim.name:
                 self._hear(now, claim)
 
-    def _correct(self, now: int, frame: fr.AnyFrame, source: Place, held: Claim) -> None:
+    def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
         """Tell a life that has ended, or been followed by another, what is held of it."""
         if not self.own.named:
             return
@@ -307,7 +307,7 @@
         elif isinstance(frame, fr.AskFor):
             self.outgoing.ping(source, self.outgoing.version(sender), 0, [held])
 
-    def _challenge(self, now: int, frame: fr.AnyFrame, source: Place) -> None:
+    def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         """A life that is not known: answer it, so that it knows us, and ask it."""
         self.figures.refused["unproven"] += 1
         if not self.own.named:
@@ -330,7 +330,7 @@
         if number is not None:
             self.outgoing.ping(source, 1, number)
 
-    def _ack(self, now: int, ping: fr.Ping, member: Member, source: Place) -> None:
+    def _ack(self, now: int, ping: fr.Ping, member: Member, source: SocketAddress) -> None:
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.heard_at is None else (now - origin.heard_at) // MS
         room = self.outgoing.room()
@@ -352,7 +352,7 @@
             self.outgoing.version(member.claim),
         )
 
-    def _ask_for(self, now: int, asked: fr.AskFor, member: Member, source: Place) -> None:
+    def _ask_for(self, now: int, asked: fr.AskFor, member: Member, source: SocketAddress) -> None:
         """Ask another for a third."""
         target = self.table.members.get(asked.target)
         number = self._questions.ask(
@@ -369,7 +369,7 @@
         )
         if number is None:
             return
-        place = Place(asked.host, asked.port) if target is None else target.claim.place
+        place = SocketAddress(asked.host, asked.port) if target is None else target.claim.address
         self.outgoing.tell(
             place,
             fr.Ping(
@@ -407,7 +407,7 @@
                 question.origin_version,
             )
         if view >= 0 and view != self.view:
-            self._exchanges.repair(now, member.claim.place, self.view_changed_at)
+            self._exchanges.repair(now, member.claim.address, self.view_changed_at)
 
     def _vouched(self, now: int, vouch: fr.Vouch, question: Question, by: Member) -> None:
         """Another has had an answer from the member that does not answer this relay."""
@@ -551,24 +551,24 @@
         Who is suspected is asked by this relay too, whoever began it: it may be there, in another life. A relay whose
         name is in doubt asks in this way how it stands. A seed that has left is tried too: seeds that come
         back together know each other alone."""
-        doors: list[tuple[Place, list[Claim], int]] = []
+        doors: list[tuple[SocketAddress, list[Claim], int]] = []
         if self.seeds:
             known = {
                 (member.claim.host, member.claim.port) for member in self.table if member.claim.status is not Status.LEFT
             }
             doors += [(seed, [], 1) for seed in self.seeds if seed not in known]
         doors += [
-            (member.claim.place, [member.claim], self.outgoing.version(member.claim))
+            (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in self.table.gone.values()
             if member.claim.status is Status.FAILED
         ]
         doors += [
-            (member.claim.place, [member.claim], self.outgoing.version(member.claim))
+            (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in map(self.table.members.__getitem__, self.holding.suspects)
         ]
         if not self.own.named or self._answered_at is None:
             doors += [
-                (member.claim.place, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
+                (member.claim.address, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
             ]
         if not doors:
             return
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet import status
 from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, Place, Status
+from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.view import FleetView
@@ -41,7 +41,7 @@
     claims: list[Claim]
 
 
-def _as_configured(own: Claim, place: Place, config: FleetConfig) -> Claim:
+def _as_configured(own: Claim, place: SocketAddress, config: FleetConfig) -> Claim:
     """A member's claim in the process that goes on as it. What the new options change takes the next incarnation, so that
     it holds everywhere over the claim of before."""
     now = msgspec.structs.replace(
@@ -70,14 +70,14 @@
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self) -> Place:
+    async def start(self) -> SocketAddress:
         """Take the address, keep the life number, and begin. OSError where either can't be."""
         found = await self.transport.start(self.config.listen, self._answer)
         place = self.config.advertise or found
         kept = self.file.read()
         seeds = list(self.config.seeds)
         if kept is not None:  # the seeds may all be down: others were there in an earlier life
-            seeds += [Place(*each) for each in kept.places if Place(*each) not in seeds]
+            seeds += [SocketAddress(*each) for each in kept.places if SocketAddress(*each) not in seeds]
         now = time.monotonic_ns()
         if self._passed is None:
             life = 1 if kept is None else kept.life + 1
@@ -214,7 +214,7 @@
 
     # ---- what happens
 
-    def _heard(self, frame: fr.AnyFrame, source: Place) -> None:
+    def _heard(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
         if self.members is not None and not self.closed:
             self._carry_out(self.members.receive(time.monotonic_ns(), frame, source))
 
@@ -252,7 +252,7 @@
     async def _keep(self, life: int) -> None:
         """On record first, then used."""
         assert self.members is not None
-        places = [member.claim.place for member in self.members.table.members.values()][:MOST_PLACES]
+        places = [member.claim.address for member in self.members.table.members.values()][:MOST_PLACES]
         try:
             await self._loop.run_in_executor(None, functools.partial(self.file.keep, life, places))
         except OSError as error:
@@ -262,7 +262,7 @@
         if not self.closed:
             self._carry_out(self.members.life_kept(time.monotonic_ns(), life))
 
-    async def _exchange(self, place: Place) -> None:
+    async def _exchange(self, place: SocketAddress) -> None:
         """Hello, Whole, Whole: this side begins."""
         assert self.members is not None
         stream: Stream | None = None
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place, Status
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.settings import SECOND, Settings
@@ -70,12 +70,12 @@
 Reply = Post | Wake | Line
 
 
-def place(relay: int) -> Place:
+def place(relay: int) -> SocketAddress:
     """The address that stands for a relay's number."""
-    return Place(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
+    return SocketAddress(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
 
 
-def number(at: Place) -> int:
+def number(at: SocketAddress) -> int:
     """The relay that an address stands for."""
     _, high, middle, low = (int(part) for part in at.host.split("."))
     return high << 16 | middle << 8 | low
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -88,7 +88,7 @@
         claim.life,
         claim.born,
         claim.status.name.lower(),
-        str(claim.place),
+        str(claim.address),
         None if member.word_at is None else round((now - member.word_at) / 1e9, 3),
         "unknown" if not fresh else "same" if member.word_view == members.view else "other",
         "" if member.path is Path.WHOLE else member.path.value,
@@ -106,7 +106,7 @@
     if member is None:
         return None
     claim, told = member.claim, line(members, member, now)
-    said = [f"{claim.said()}, for {told.since:.1f} s; at {claim.place}, reads frames up to version {claim.speaks}"]
+    said = [f"{claim.said()}, for {told.since:.1f} s; at {claim.address}, reads frames up to version {claim.speaks}"]
     if claim.born < claim.life:
         said.append(f"its process began in life {claim.born}, and went on in this one after others held it for failed")
     if claim.status is Status.SUSPECT and member.suspicion is not None:
@@ -146,7 +146,7 @@
         f"{told.members} in its view {told.view}: {told.same} others are known to hold it, {told.other} another one",
     ]
     if own.aside is not None:
-        said.append(f"it stands aside for {own.aside.said()} at {own.aside.place}, a process of the same name")
+        said.append(f"it stands aside for {own.aside.said()} at {own.aside.address}, a process of the same name")
     if own.wanted:
         said.append(f"it goes on in life {own.wanted} once that number is in its folder")
     if own.left:
--- a/garnetrelay/fleet/transport.py
+++ b/garnetrelay/fleet/transport.py
@@ -14,7 +14,7 @@
 from collections.abc import Awaitable, Callable
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 log = logging.getLogger(__name__)
 
@@ -28,8 +28,8 @@
 BIND_TRIES = 40  # an upgraded process has just let go of the address
 BIND_PAUSE = 0.05
 
-Hears = Callable[[fr.AnyFrame, Place], None]
-HearsBytes = Callable[[bytes, Place], None]
+Hears = Callable[[fr.AnyFrame, SocketAddress], None]
+HearsBytes = Callable[[bytes, SocketAddress], None]
 
 
 class Transport:
@@ -50,7 +50,7 @@
         self._second = 0
         self._taken = 0
 
-    async def start(self, listen: Place, answer: Callable[[Stream], Awaitable[None]]) -> Place:
+    async def start(self, listen: SocketAddress, answer: Callable[[Stream], Awaitable[None]]) -> SocketAddress:
         """Take the address; the one that came of it. ``answer`` is called for each exchange that another begins."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -76,7 +76,7 @@
             try:
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 listener.bind(listen)
-                found = Place(*listener.getsockname()[:2])
+                found = SocketAddress(*listener.getsockname()[:2])
                 datagrams.bind(found)
             except OSError:
                 listener.close()
@@ -103,14 +103,14 @@
             self._server.close()
             self._server = None
 
-    def send(self, place: Place, frame: fr.Frame, version: int) -> None:
+    def send(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram; one that can't go now is lost, as others are on their way."""
         data = self.codec.encode(frame, version)
         if self.send_bytes(place, data):
             self.frames_out += 1
             self.bytes_out += len(data)
 
-    def send_bytes(self, place: Place, data: bytes) -> bool:
+    def send_bytes(self, place: SocketAddress, data: bytes) -> bool:
         """The same for a datagram of any protocol; whether it went."""
         if self._datagrams is None:
             return False
@@ -133,9 +133,9 @@
             except OSError as error:  # an earlier one did not arrive: that is told here
                 log.debug("fleet: %s", error)
                 continue
-            self._take(data, Place(*source[:2]))
+            self._take(data, SocketAddress(*source[:2]))
 
-    def _take(self, data: bytes, source: Place) -> None:
+    def _take(self, data: bytes, source: SocketAddress) -> None:
         hears_bytes = self.protocols.get(data[:2])
         if hears_bytes is None:
             self.bytes_in += len(data)
@@ -159,7 +159,7 @@
         self._taken += 1
         return self._taken > MOST_A_SECOND
 
-    async def begin(self, place: Place) -> Stream | None:
+    async def begin(self, place: SocketAddress) -> Stream | None:
         """A connection for an exchange; None where as many as may be are open."""
         if self._begun >= MOST_BEGUN or self._server is None:
             return None
--- a/garnetrelay/laboratory/hostile.py
+++ b/garnetrelay/laboratory/hostile.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, MOST_ZONE, Claim, Place, Status
+from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, MOST_ZONE, Claim, SocketAddress, Status
 
-STRANGER = Place("10.9.9.9", 9)
+STRANGER = SocketAddress("10.9.9.9", 9)
 
 
 def frames(draw: random.Random, codec: fr.Codec, heard: list[bytes]) -> Iterator[tuple[str, bytes]]:
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, Place, Status
+from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
@@ -42,7 +42,7 @@
     """A name, its folder and its process."""
 
     name: str
-    place: Place
+    place: SocketAddress
     life: int = 0  # in the folder
     process: int = 0
     members: Members | None = None
@@ -85,7 +85,7 @@
         self.links = Links(base or Fate(), seed)
         self.codec, self.old_codec = fr.Codec([SECRET, OLD_SECRET]), fr.Codec([OLD_SECRET, SECRET])
         self.nodes = {
-            f"n{number}": Node(f"n{number}", Place(f"10.0.{number >> 8}.{number & 255}", PORT))
+            f"n{number}": Node(f"n{number}", SocketAddress(f"10.0.{number >> 8}.{number & 255}", PORT))
             for number in range(1, count + 1)
         }
         self.by_place = {node.place: node for node in self.nodes.values()}
@@ -262,7 +262,7 @@
         node.life = max(node.life, life)
         self._carry_out(node, node.members.life_kept(self.now + node.ahead, life))
 
-    def _send(self, node: Node, place: Place, frame: fr.Frame, version: int) -> None:
+    def _send(self, node: Node, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         data = (self.old_codec if node.old_secret else self.codec).encode(frame, version)
         if len(data) > self.settings.most_frame:
             raise AssertionError(f"a frame of {len(data)} bytes")
@@ -275,7 +275,7 @@
             at = self.now + int((delay + LEAST_PASS) * SECOND)
             self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.place))  # type: ignore[misc]
 
-    def _arrive(self, node: Node, data: bytes, source: Place) -> None:
+    def _arrive(self, node: Node, data: bytes, source: SocketAddress) -> None:
         def hears() -> None:
             assert node.members is not None
             if self.heard is not None:
@@ -301,7 +301,7 @@
                 return None
         return int(delay * SECOND)
 
-    def _exchange(self, node: Node, place: Place) -> None:
+    def _exchange(self, node: Node, place: SocketAddress) -> None:
         """Hello, Whole, Whole."""
         other = self.by_place.get(place)
         if other is None or other is node or node.members is None:
--- a/tests/fleet/leases/test_controller_options.py
+++ b/tests/fleet/leases/test_controller_options.py
@@ -10,7 +10,7 @@
 from garnetrelay.cli.controller import command
 from garnetrelay.config import controller, options
 from garnetrelay.fleet.leases.settings import MS, SECOND, Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 SECRET = "a secret of the tests\n"
 THREE = 'controllers = ["10.0.0.1:7960", "10.0.0.2:7960", "10.0.0.3:7960"]\n'
@@ -32,7 +32,7 @@
 
 def test_a_good_file_is_read(tmp_path: Path) -> None:
     found = controller.read(written(tmp_path, GOOD + "partitions = 64\nlease_ms = 3000\n"))
-    assert found.number == 1 and found.listen == Place("0.0.0.0", 7960) and len(found.places) == 3
+    assert found.number == 1 and found.listen == SocketAddress("0.0.0.0", 7960) and len(found.places) == 3
     assert found.folder == tmp_path / "state" and found.operators is None
     assert (found.settings.controllers, found.settings.partitions, found.settings.lease) == (3, 64, 3 * SECOND)
 
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.operators.calls import CallRefusedError
 from tests.sockets import until
 
@@ -28,12 +28,12 @@
 SESSION = Session("r1", 77)
 
 
-def free_places(count: int) -> list[Place]:
+def free_places(count: int) -> list[SocketAddress]:
     """Ports that the kernel picks."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
-    places = [Place(*each.getsockname()) for each in sockets]
+    places = [SocketAddress(*each.getsockname()) for each in sockets]
     for each in sockets:
         each.close()
     return places
@@ -64,10 +64,10 @@
     def __init__(self) -> None:
         self.answers: asyncio.Queue[Message] = asyncio.Queue()
         self.datagrams = Datagrams(Codec([SECRET]), lambda message, source: self.answers.put_nowait(message))
-        self.datagrams.start(Place("127.0.0.1", 0))
+        self.datagrams.start(SocketAddress("127.0.0.1", 0))
         self.number = 0
 
-    async def ask(self, place: Place, message: Message) -> Answer:
+    async def ask(self, place: SocketAddress, message: Message) -> Answer:
         self.datagrams.send(place, message)
         async with asyncio.timeout(PATIENCE):
             answer = await self.answers.get()
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -18,14 +18,14 @@
 from garnetrelay.fleet.leases.controller import Controller
 from garnetrelay.fleet.leases.messages import Answer, ReadRecords, Records, SendToController, SendToRelay, WriteRecords
 from garnetrelay.fleet.leases.settings import SECOND, Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.members.view_state import Condition
 
 ROOT = Path(__file__).parents[3]
 SECRET = b"a secret of the tests"
 SETTINGS = Settings(controllers=3, partitions=16)
-PLACES = tuple(Place("10.0.0.1", number) for number in (1, 2, 3))
+PLACES = tuple(SocketAddress("10.0.0.1", number) for number in (1, 2, 3))
 
 
 class StandInMembers:
@@ -62,10 +62,10 @@
                 controller.receive(self.now, found)
             assert controller.ready
         self.members = members
-        self.sent: list[tuple[Place, bytes]] = []
+        self.sent: list[tuple[SocketAddress, bytes]] = []
         self.leases = service.Leases(LeasesConfig(PLACES, SETTINGS), "r1", [SECRET], members, self._send)
 
-    def _send(self, place: Place, data: bytes) -> bool:
+    def _send(self, place: SocketAddress, data: bytes) -> bool:
         self.sent.append((place, data))
         return True
 
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from garnetrelay.fleet.members.claims import Claim, Place, Status
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange
 from garnetrelay.fleet.members.exchanges import JOIN_GAPS, Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
@@ -13,11 +13,11 @@
 from garnetrelay.fleet.members.settings import Settings
 
 SETTINGS = Settings()
-SEEDS = [Place("10.0.0.2", 1), Place("10.0.0.3", 1)]
+SEEDS = [SocketAddress("10.0.0.2", 1), SocketAddress("10.0.0.3", 1)]
 OWN = Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
 
 
-def made(seeds: list[Place]) -> tuple[Exchanges, list[Effect], Holding]:
+def made(seeds: list[SocketAddress]) -> tuple[Exchanges, list[Effect], Holding]:
     effects: list[Effect] = []
     holding = Holding(OWN, SETTINGS, effects)
     outgoing = Outgoing(holding, SETTINGS, effects, 0)
--- a/tests/fleet/test_life_and_options.py
+++ b/tests/fleet/test_life_and_options.py
@@ -9,7 +9,7 @@
 from garnetrelay.config import options
 from garnetrelay.fleet import life_file
 from garnetrelay.fleet.life_file import Kept, LifeFile
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 SECRET = "a secret of the tests\n"
 GOOD = 'listen = "127.0.0.1:0"\nsecret_file = "secret"\n'
@@ -25,7 +25,7 @@
 def test_a_life_is_kept_and_counted(tmp_path: Path) -> None:
     file = LifeFile(tmp_path, True)
     assert file.read() is None
-    file.keep(3, [Place("10.0.0.1", number) for number in range(1, 40)])
+    file.keep(3, [SocketAddress("10.0.0.1", number) for number in range(1, 40)])
     kept = LifeFile(tmp_path, False).read()
     assert kept is not None and kept.life == 3 and len(kept.places) == life_file.MOST_PLACES
     assert len((tmp_path / life_file.FILE).read_bytes()) <= life_file.MOST_BYTES
@@ -101,5 +101,5 @@
         f'[fleet]\n{GOOD}seeds = ["[::1]:7946", "10.0.0.2:7946"]\nframes = 1\nzone = 6\n'
     )
     found = options.read(tmp_path / "options.toml", "r1")[1]
-    assert found is not None and found.seeds == (Place("::1", 7946), Place("10.0.0.2", 7946))
+    assert found is not None and found.seeds == (SocketAddress("::1", 7946), SocketAddress("10.0.0.2", 7946))
     assert found.zone == 6 and found.settings.versions == 1 and found.secrets() == [SECRET.strip().encode()]
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -147,5 +147,5 @@
     told: list[Tell] = []
     while members.next_at <= settings.knock_every + settings.probe_every:
         told += [effect for effect in members.tick(members.next_at) if isinstance(effect, Tell)]
-    asked = [tell.frame for tell in told if tell.place == suspect.place and isinstance(tell.frame, Ping)]
+    asked = [tell.frame for tell in told if tell.place == suspect.address and isinstance(tell.frame, Ping)]
     assert asked and all(suspect in frame.claims and frame.number for frame in asked)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -11,7 +11,7 @@
 
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place, Status
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Exchange, Tell
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
 from garnetrelay.fleet.members.outgoing import FIXED
@@ -109,7 +109,7 @@
     members = relay()
     members.go_on_from(0, others(count, failed))
     began = now = members.next_at
-    members.holding.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), Place("10.0.0.1", count))
+    members.holding.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
     effects = members.life_kept(now, 2)
     while not any(isinstance(effect, Exchange) for effect in effects):
         now = members.next_at
@@ -129,7 +129,7 @@
     members.go_on_from(0, claims[:310])
     for claim in claims[310:]:
         members.holding.hear(0, claim)
-    by_place = {claim.place: claim for claim in claims}
+    by_place = {claim.address: claim for claim in claims}
     pause = pause_for(members, 309)
     begun: list[int] = []
     while members.next_at < pause:
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -60,7 +60,7 @@
     knock = Members._knock
 
     def planted(members: Members, now: int) -> None:
-        left = {member.claim.place for member in members.table if member.claim.status is Status.LEFT}
+        left = {member.claim.address for member in members.table if member.claim.status is Status.LEFT}
         seeds, members.seeds = members.seeds, [seed for seed in members.seeds if seed not in left]
         knock(members, now)
         members.seeds = seeds
@@ -197,7 +197,7 @@
     world.start("n4", folder=world.nodes["n3"].life, called="n3")
     assert world.run(world.now + 60 * SECOND, lambda: not first.own.named)
     held = members(world, "n1").table.members["n3"].claim
-    assert held.place == twin and held.life == 2 and first.own.aside is not None
+    assert held.address == twin and held.life == 2 and first.own.aside is not None
     assert first.condition is Condition.JOINING and not first.holding.suspect(0, "n1", held.identity, "")
 
 
