--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Status
 from garnetrelay.fleet.members.effects import Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory import hostile
 from garnetrelay.laboratory.links import Fate
@@ -209,7 +209,7 @@
     )
 
 
-def _listened(size: int, seed: int, most: int) -> tuple[World, Members, list[bytes]]:
+def _listened(size: int, seed: int, most: int) -> tuple[World, Membership, list[bytes]]:
     """A fleet, one member of it, and frames that it has taken."""
     heard: list[bytes] = []
 
@@ -263,7 +263,7 @@
         print(f"{kind:<26}{cost:>8.1f}{cost / taking:>9.2f}")
 
 
-def _taking(world: World, members: Members) -> float:
+def _taking(world: World, members: Membership) -> float:
     """What a question of a member costs that is taken and answered (microseconds)."""
     other = world.nodes["n2"].members
     assert other is not None
--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.meter import Kind, Meter, Span
@@ -130,7 +130,7 @@
     data = msgspec.msgpack.encode(claims)
     tracemalloc.start()
     decoded: list[Claim] = msgspec.msgpack.decode(data, type=list[Claim])
-    held = Members(decoded[0], Settings(), random.Random(1), 0)
+    held = Membership(decoded[0], Settings(), random.Random(1), 0)
     held.go_on_from(0, decoded[1:])
     del decoded
     size, _ = tracemalloc.get_traced_memory()
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -45,7 +45,7 @@
     slept: int = 0
 
 
-class Members:
+class Membership:
     """The decisions of one relay."""
 
     def __init__(
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
 
@@ -63,7 +63,7 @@
         self.file = LifeFile(state, sync)
         self.closed = False
         self.transport = Transport(fr.Codec(config.secrets()), self._heard)
-        self.members: Members | None = None
+        self.members: Membership | None = None
         self.leases: Leases | None = None  # None: not switched on
         self._passed = None if passed is None else msgspec.convert(passed, Passing)
         self._loop = asyncio.get_running_loop()
@@ -94,11 +94,11 @@
                 self.config.settings.versions,
                 zone=self.config.zone,
             )
-            self.members = Members(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
+            self.members = Membership(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
         else:
             passed = self._passed
             own = _as_configured(passed.own, place, self.config)
-            self.members = Members(
+            self.members = Membership(
                 own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + AHEAD
             )
             self._carry_out(self.members.go_on_from(now, passed.claims))
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -24,7 +24,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
 MOST = 256  # bytes of a note
@@ -104,7 +104,7 @@
         self.presumed = presumed(relays)
         others = dict(self.presumed)
         own = others.pop(f"r{me}")
-        self.members = Members(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
+        self.members = Membership(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
         self._first = self.members.presume(now, list(others.values()))
         self.refused = 0
         self._asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.table import Member, Path
 from garnetrelay.fleet.members.view_state import RELIES
 from garnetrelay.operators.figures import escaped
@@ -49,7 +49,7 @@
     zone: int = 0  # 0: not known
 
 
-def state(members: Members, now: int) -> State:
+def state(members: Membership, now: int) -> State:
     """What this relay's picture is worth."""
     same, other = members.sharing()
     ages = [members.age(name, now) for name in members.table.members]
@@ -73,13 +73,13 @@
     )
 
 
-def lines(members: Members, now: int) -> Iterator[Line]:
+def lines(members: Membership, now: int) -> Iterator[Line]:
     """All others, by name; those that have gone behind."""
     for member in sorted(members.table, key=lambda member: (member.claim.final, member.claim.name)):
         yield line(members, member, now)
 
 
-def line(members: Members, member: Member, now: int) -> Line:
+def line(members: Membership, member: Member, now: int) -> Line:
     """What is said of one member: ages in seconds, and whether it holds the view of ``members``."""
     claim = member.claim
     fresh = member.word_at is not None and member.word_at >= members.view_changed_at and member.word_view >= 0
@@ -98,7 +98,7 @@
     )
 
 
-def explain(members: Members, name: str, now: int) -> list[str] | None:
+def explain(members: Membership, name: str, now: int) -> list[str] | None:
     """Why a member is held for what it is, in sentences; None where the name is not known."""
     if name == members.own.claim.name:
         return _explain_self(members, now)
@@ -138,7 +138,7 @@
     return said
 
 
-def _explain_self(members: Members, now: int) -> list[str]:
+def _explain_self(members: Membership, now: int) -> list[str]:
     own, told = members.own, state(members, now)
     said = [
         f"this relay: {own.claim.said()}, {told.condition} for {told.since:.1f} s: {told.why}",
@@ -156,7 +156,7 @@
     return said
 
 
-def figures(members: Members, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
+def figures(members: Membership, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
     """The fleet's part of the figures, a line each."""
     told, count = state(members, now), Counter(member.claim.status.name.lower() for member in members.table)
     rows: list[tuple[str, float]] = [
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -14,7 +14,7 @@
 from msgspec import Meta
 
 from garnetrelay.fleet.members.claims import Identity, Status
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
@@ -175,7 +175,7 @@
     """Whether nobody that lives holds a life that is over for one that is there."""
     there = {node.name: node.members.own.claim.identity for node in world.live() if node.members is not None}
 
-    def knows(members: Members) -> bool:
+    def knows(members: Membership) -> bool:
         return all(
             there.get(name) == member.claim.identity and member.claim.status is not Status.SUSPECT
             for name, member in members.table.members.items()
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
 
@@ -45,7 +45,7 @@
     place: SocketAddress
     life: int = 0  # in the folder
     process: int = 0
-    members: Members | None = None
+    members: Membership | None = None
     started_at: int = 0
     stopped: bool = False
     starved: Starved | None = None
@@ -146,7 +146,7 @@
             zone=self.zones(int(name[1:])),
         )
         draw = random.Random(f"{self._seed}/{name}/{node.process}")
-        node.members = Members(claim, settings, draw, self.now, self.seeds)
+        node.members = Membership(claim, settings, draw, self.now, self.seeds)
         node.started_at, node.stopped, node.waiting, node.woken_for = self.now, False, [], -1
         self._wake(node)
 
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import Settings
 from tests.fleet.test_frames import cause
 
@@ -24,13 +24,13 @@
     return Claim(name, 1, 1, 1, incarnation, status, "10.0.0.1", 1, 2, by, zone)
 
 
-def relay(name: str, others: list[Claim], settings: Settings | None = None) -> Members:
-    members = Members(claim(name), settings or Settings(), random.Random(name), 0)
+def relay(name: str, others: list[Claim], settings: Settings | None = None) -> Membership:
+    members = Membership(claim(name), settings or Settings(), random.Random(name), 0)
     members.go_on_from(0, others)
     return members
 
 
-def held(members: Members) -> dict[str, tuple[object, ...]]:
+def held(members: Membership) -> dict[str, tuple[object, ...]]:
     return {each.name: (each.rank, each.zone) for each in [members.own.claim, *members.table.claims()]}
 
 
@@ -63,7 +63,7 @@
     return CODEC.decode(data, exchange=True)
 
 
-def exchange(one: Members, other: Members, old_one: bool = False, old_other: bool = False) -> tuple[int, int]:
+def exchange(one: Membership, other: Membership, old_one: bool = False, old_other: bool = False) -> tuple[int, int]:
     """Hello, Whole, Whole; how many claims each side sent."""
     hello = over(one.hello(1), HelloOfBefore if old_one or old_other else None)
     assert isinstance(hello, fr.Hello)
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -13,7 +13,7 @@
 from garnetrelay.fleet.members.dissemination import Spreading
 from garnetrelay.fleet.members.effects import Tell
 from garnetrelay.fleet.members.frames import Ping
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Table
 from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts, judge
@@ -142,7 +142,7 @@
     settings = Settings()
     others = [Claim(f"m{number}", 1, 1, 1, 0, Status.ALIVE, f"10.0.0.{number}", 1, 2) for number in range(2, 60)]
     suspect = others[7].judged(Status.SUSPECT, "m5")
-    members = Members(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
+    members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
     members.go_on_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
     told: list[Tell] = []
     while members.next_at <= settings.knock_every + settings.probe_every:
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -15,7 +15,7 @@
 from garnetrelay.fleet.members.effects import Exchange, Tell
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
 from garnetrelay.fleet.members.outgoing import FIXED
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.meter import Kind, Meter
@@ -95,11 +95,11 @@
     ]
 
 
-def relay() -> Members:
-    return Members(Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.2", 1, 2), SETTINGS, random.Random(1), 0)
+def relay() -> Membership:
+    return Membership(Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.2", 1, 2), SETTINGS, random.Random(1), 0)
 
 
-def pause_for(members: Members, words: int) -> int:
+def pause_for(members: Membership, words: int) -> int:
     return words * members.own.claim.size() * SETTINGS.probe_every // SETTINGS.most_frame
 
 
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -17,7 +17,7 @@
 from garnetrelay.fleet.members.claims import Status
 from garnetrelay.fleet.members.effects import Note
 from garnetrelay.fleet.members.local_view import Holding
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
 from garnetrelay.fleet.members.view_state import Condition
@@ -57,15 +57,15 @@
 
 
 def test_without_knocks_on_seeds_that_left_views_stay_apart(monkeypatch: pytest.MonkeyPatch) -> None:
-    knock = Members._knock
+    knock = Membership._knock
 
-    def planted(members: Members, now: int) -> None:
+    def planted(members: Membership, now: int) -> None:
         left = {member.claim.address for member in members.table if member.claim.status is Status.LEFT}
         seeds, members.seeds = members.seeds, [seed for seed in members.seeds if seed not in left]
         knock(members, now)
         members.seeds = seeds
 
-    monkeypatch.setattr(Members, "_knock", planted)
+    monkeypatch.setattr(Membership, "_knock", planted)
     assert play(kept("leaving-10-17")).one_view_ms is None
 
 
@@ -89,7 +89,7 @@
     return world
 
 
-def members(world: World, name: str) -> Members:
+def members(world: World, name: str) -> Membership:
     found = world.nodes[name].members
     assert found is not None
     return found
