--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.effects import Tell
+from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory import hostile
@@ -282,6 +282,6 @@
     began = time.perf_counter_ns()
     for data in frames:
         for effect in members.receive(world.now, world.codec.decode(data), other.own.claim.address):
-            if isinstance(effect, Tell):
+            if isinstance(effect, SendFrame):
                 world.codec.encode(effect.frame, effect.version)
     return (time.perf_counter_ns() - began) / 1000 / len(frames)
--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendFrame:
     """A datagram."""
 
     place: SocketAddress
@@ -40,4 +40,4 @@
     level: int = logging.INFO
 
 
-Effect = Tell | Exchange | KeepLife | Note
+Effect = SendFrame | Exchange | KeepLife | Note
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -7,7 +7,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress
-from garnetrelay.fleet.members.effects import Effect, Note, Tell
+from garnetrelay.fleet.members.effects import Effect, Note, SendFrame
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.settings import Settings
 
@@ -52,7 +52,7 @@
 
     def tell(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram."""
-        self._effects.append(Tell(place, frame, version))
+        self._effects.append(SendFrame(place, frame, version))
 
     def ping(
         self,
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -23,7 +23,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
+from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, SendFrame
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
@@ -179,7 +179,7 @@
         waiting = list(effects)
         while waiting:
             match waiting.pop(0):
-                case Tell(at, frame, version):
+                case SendFrame(at, frame, version):
                     made.append(Post(number(at), self.codec.encode(frame, version)))
                 case Exchange(at):
                     hello = self.members.hello(now)
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
+from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, SendFrame
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
@@ -234,7 +234,7 @@
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(place, frame, version):
+                case SendFrame(place, frame, version):
                     self._send(node, place, frame, version)
                 case Exchange(place):
                     self._exchange(node, place)
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -11,7 +11,7 @@
 
 from garnetrelay.fleet.members.claims import Claim, Status
 from garnetrelay.fleet.members.dissemination import Spreading
-from garnetrelay.fleet.members.effects import Tell
+from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.frames import Ping
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
@@ -144,8 +144,8 @@
     suspect = others[7].judged(Status.SUSPECT, "m5")
     members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
     members.go_on_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
-    told: list[Tell] = []
+    told: list[SendFrame] = []
     while members.next_at <= settings.knock_every + settings.probe_every:
-        told += [effect for effect in members.tick(members.next_at) if isinstance(effect, Tell)]
+        told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
     asked = [tell.frame for tell in told if tell.place == suspect.address and isinstance(tell.frame, Ping)]
     assert asked and all(suspect in frame.claims and frame.number for frame in asked)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Exchange, Tell
+from garnetrelay.fleet.members.effects import Exchange, SendFrame
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
 from garnetrelay.fleet.members.outgoing import FIXED
 from garnetrelay.fleet.members.protocol import Membership
@@ -135,7 +135,7 @@
     while members.next_at < pause:
         now = members.next_at
         effects = members.tick(now)
-        for tell in [effect for effect in effects if isinstance(effect, Tell) and isinstance(effect.frame, fr.Ping)]:
+        for tell in [effect for effect in effects if isinstance(effect, SendFrame) and isinstance(effect.frame, fr.Ping)]:
             summary = fr.Summary(members.view ^ 1, 620)
             ack = fr.Ack(sender=by_place[tell.place], sequence=now, number=tell.frame.number, summary=summary)
             effects += members.receive(now, ack, tell.place)
