--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class StartExchange:
     """A full exchange with whoever hears there."""
 
     place: SocketAddress
@@ -40,4 +40,4 @@
     level: int = logging.INFO
 
 
-Effect = SendFrame | Exchange | KeepLife | Note
+Effect = SendFrame | StartExchange | KeepLife | Note
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -13,7 +13,7 @@
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange
+from garnetrelay.fleet.members.effects import Effect, StartExchange
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
@@ -62,7 +62,7 @@
         self._join_tries += 1
         gap = self._settings.probe_every // 5 << min(JOIN_GAPS, self._join_tries // len(self._seeds))
         self.join_at = now + gap // 2 + self._draw.randrange(gap)
-        self._effects.append(Exchange(place))
+        self._effects.append(StartExchange(place))
 
     def take_turn(self, now: int) -> None:
         """Begin the one that is due, if it is time."""
@@ -73,7 +73,7 @@
         place = self._first or self._anybody()
         self._first = None
         if place is not None and self._holding.own.named:
-            self._effects.append(Exchange(place))
+            self._effects.append(StartExchange(place))
 
     def repair(self, now: int, place: SocketAddress, changed_at: int) -> None:
         """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
@@ -88,7 +88,7 @@
         if now < self._repair_at:
             return
         self._repair_at = now + pause
-        self._effects.append(Exchange(place))
+        self._effects.append(StartExchange(place))
 
     def after_new_life(self, now: int, told_by: SocketAddress | None) -> None:
         """This relay goes on in a new life: an exchange with who said that the last had ended, or with anybody. At once
@@ -98,7 +98,7 @@
             return
         bulk = self._bulk()
         if bulk <= BULK_PERIODS * self._settings.probe_every:
-            self._effects.append(Exchange(place))
+            self._effects.append(StartExchange(place))
             return
         self.next_at = now + self._draw.randrange(bulk)
         self._repair_at = now + bulk
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -23,7 +23,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, SendFrame
+from garnetrelay.fleet.members.effects import Effect, KeepLife, Note, SendFrame, StartExchange
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
@@ -181,7 +181,7 @@
             match waiting.pop(0):
                 case SendFrame(at, frame, version):
                     made.append(Post(number(at), self.codec.encode(frame, version)))
-                case Exchange(at):
+                case StartExchange(at):
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
                     made.append(Post(number(at), self.codec.encode(hello, 1)))
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, SendFrame
+from garnetrelay.fleet.members.effects import Effect, KeepLife, Note, SendFrame, StartExchange
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
@@ -236,7 +236,7 @@
             match effect:
                 case SendFrame(place, frame, version):
                     self._send(node, place, frame, version)
-                case Exchange(place):
+                case StartExchange(place):
                     self._exchange(node, place)
                 case KeepLife(life):
                     self.at(self.now + MS, functools.partial(self._keep, node, node.process, life))
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -5,7 +5,7 @@
 import pytest
 
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange
+from garnetrelay.fleet.members.effects import Effect, StartExchange
 from garnetrelay.fleet.members.exchanges import JOIN_GAPS, Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
 from garnetrelay.fleet.members.local_view import Holding
@@ -32,7 +32,7 @@
         gap = SETTINGS.probe_every // 5 << min(JOIN_GAPS, tried // len(SEEDS))
         assert gap // 2 <= exchanges.join_at - now < gap // 2 + gap
         exchanges.join(exchanges.join_at - 1)  # too early: nothing
-        assert effects == [Exchange(SEEDS[each % len(SEEDS)]) for each in range(tried)]
+        assert effects == [StartExchange(SEEDS[each % len(SEEDS)]) for each in range(tried)]
 
 
 def test_a_turn_without_members_goes_to_a_seed_and_without_a_name_to_nobody() -> None:
@@ -40,11 +40,11 @@
     exchanges.take_turn(exchanges.next_at - 1)
     assert not effects
     exchanges.take_turn(exchanges.next_at)
-    assert effects == [Exchange(SEEDS[0])]
+    assert effects == [StartExchange(SEEDS[0])]
     holding.own.named = False
     before = exchanges.next_at
     exchanges.take_turn(before)
-    assert effects == [Exchange(SEEDS[0])] and exchanges.next_at > before
+    assert effects == [StartExchange(SEEDS[0])] and exchanges.next_at > before
 
 
 def test_another_view_is_asked_for_once_words_have_had_their_time_and_once_in_it() -> None:
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Exchange, SendFrame
+from garnetrelay.fleet.members.effects import SendFrame, StartExchange
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
 from garnetrelay.fleet.members.outgoing import FIXED
 from garnetrelay.fleet.members.protocol import Membership
@@ -111,7 +111,7 @@
     began = now = members.next_at
     members.holding.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
     effects = members.life_kept(now, 2)
-    while not any(isinstance(effect, Exchange) for effect in effects):
+    while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
         effects = members.tick(now)
     return now - began, pause_for(members, failed + 1)
@@ -139,7 +139,7 @@
             summary = fr.Summary(members.view ^ 1, 620)
             ack = fr.Ack(sender=by_place[tell.place], sequence=now, number=tell.frame.number, summary=summary)
             effects += members.receive(now, ack, tell.place)
-        begun += [now for effect in effects if isinstance(effect, Exchange)]
+        begun += [now for effect in effects if isinstance(effect, StartExchange)]
     assert 1 <= len(begun) <= 2
 
 
