--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepLife:
+class StoreLife:
     """Put a life on record; then say that it is kept."""
 
     life: int
@@ -40,4 +40,4 @@
     level: int = logging.INFO
 
 
-Effect = SendFrame | StartExchange | KeepLife | Note
+Effect = SendFrame | StartExchange | StoreLife | Note
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -13,7 +13,7 @@
 
 from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.dissemination import Spreading
-from garnetrelay.fleet.members.effects import Effect, KeepLife, Note
+from garnetrelay.fleet.members.effects import Effect, Note, StoreLife
 from garnetrelay.fleet.members.local_member import Answer, Own
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Change, Member, Suspicion, Table, mark
@@ -182,7 +182,7 @@
             self.spreading.drop(claim.name)
             self.told_by = source
             self._note(f"is {claim.said()}: goes on in life {self.own.wanted} once that is kept", logging.WARNING)
-            self._effects.append(KeepLife(self.own.wanted))
+            self._effects.append(StoreLife(self.own.wanted))
         elif answer is Answer.ASIDE:
             self.spreading.drop(claim.name)
             self._note(
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members import observations
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, KeepLife
+from garnetrelay.fleet.members.effects import Effect, StoreLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
 from garnetrelay.fleet.members.local_member import Answer, Own
@@ -540,7 +540,7 @@
             self._exchanges.join(now)
         if self._retry_life_at is not None and now >= self._retry_life_at:
             self._retry_life_at = None
-            self._effects.append(KeepLife(self.own.wanted))
+            self._effects.append(StoreLife(self.own.wanted))
         self._exchanges.take_turn(now)
         if now >= self._knock_at:
             self._knock_at = now + self.settings.knock_every
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, KeepLife, Note, SendFrame, StartExchange
+from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
@@ -230,7 +230,7 @@
                     self.transport.send(place, frame, version)
                 case StartExchange(place):
                     self._spawn(self._exchange(place))
-                case KeepLife(life):
+                case StoreLife(life):
                     self._spawn(self._keep(life))
                 case Note(text, level):
                     log.log(level, "fleet: %s", text)
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -23,7 +23,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, KeepLife, Note, SendFrame, StartExchange
+from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
@@ -185,7 +185,7 @@
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
                     made.append(Post(number(at), self.codec.encode(hello, 1)))
-                case KeepLife(life):  # there is no folder: kept at once
+                case StoreLife(life):  # there is no folder: kept at once
                     waiting += self.members.life_kept(now, life)
                 case Note(text, _):
                     made.append(Line(f"fleet: {text}"))
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, KeepLife, Note, SendFrame, StartExchange
+from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
@@ -238,7 +238,7 @@
                     self._send(node, place, frame, version)
                 case StartExchange(place):
                     self._exchange(node, place)
-                case KeepLife(life):
+                case StoreLife(life):
                     self.at(self.now + MS, functools.partial(self._keep, node, node.process, life))
                 case Note(text, _):
                     self._note(node, text)
