--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -33,11 +33,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """A line for the log."""
 
     text: str
     level: int = logging.INFO
 
 
-Effect = SendFrame | StartExchange | StoreLife | Note
+Effect = SendFrame | StartExchange | StoreLife | LogLine
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -13,7 +13,7 @@
 
 from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.dissemination import Spreading
-from garnetrelay.fleet.members.effects import Effect, Note, StoreLife
+from garnetrelay.fleet.members.effects import Effect, LogLine, StoreLife
 from garnetrelay.fleet.members.local_member import Answer, Own
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Change, Member, Suspicion, Table, mark
@@ -168,7 +168,7 @@
     # ---- what follows
 
     def _note(self, text: str, level: int = logging.INFO) -> None:
-        self._effects.append(Note(text, level))
+        self._effects.append(LogLine(text, level))
 
     def _hear_of_self(self, claim: Claim, source: SocketAddress | None) -> Answer:
         answer = self.own.hear(claim)
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -7,7 +7,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress
-from garnetrelay.fleet.members.effects import Effect, Note, SendFrame
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.settings import Settings
 
@@ -76,4 +76,4 @@
 
     def note(self, text: str, level: int = logging.INFO) -> None:
         """A line for the log."""
-        self._effects.append(Note(text, level))
+        self._effects.append(LogLine(text, level))
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
@@ -232,7 +232,7 @@
                     self._spawn(self._exchange(place))
                 case StoreLife(life):
                     self._spawn(self._keep(life))
-                case Note(text, level):
+                case LogLine(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
             self.leases.look()
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -23,7 +23,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
@@ -187,7 +187,7 @@
                     made.append(Post(number(at), self.codec.encode(hello, 1)))
                 case StoreLife(life):  # there is no folder: kept at once
                     waiting += self.members.life_kept(now, life)
-                case Note(text, _):
+                case LogLine(text, _):
                     made.append(Line(f"fleet: {text}"))
         self._token += 1
         made.append(Wake(max(1, self.members.next_at - now), self._token))
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
-from garnetrelay.fleet.members.effects import Effect, Note, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
@@ -240,7 +240,7 @@
                     self._exchange(node, place)
                 case StoreLife(life):
                     self.at(self.now + MS, functools.partial(self._keep, node, node.process, life))
-                case Note(text, _):
+                case LogLine(text, _):
                     self._note(node, text)
         if self.after_effects is not None:
             self.after_effects(node)
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -15,7 +15,7 @@
 import pytest
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.effects import Note
+from garnetrelay.fleet.members.effects import LogLine
 from garnetrelay.fleet.members.local_view import Holding
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
@@ -110,7 +110,7 @@
     }
     for word in words[suspected]:
         member.holding.hear(world.now, word)
-    notes = [effect.text for effect in member._effects if isinstance(effect, Note)]
+    notes = [effect.text for effect in member._effects if isinstance(effect, LogLine)]
     assert sum("zone 3" in note for note in notes) == 1
 
 
