--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -14,7 +14,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, StartExchange
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        holding: Holding,
+        local_view: LocalView,
         outgoing: Outgoing,
         settings: Settings,
         effects: list[Effect],
@@ -38,7 +38,7 @@
     ) -> None:
         self.next_at = now + settings.exchange_gap(1)
         self.join_at = now
-        self._holding = holding
+        self._local_view = local_view
         self._outgoing = outgoing
         self._settings = settings
         self._effects = effects
@@ -68,17 +68,17 @@
         """Begin the one that is due, if it is time."""
         if now < self.next_at:
             return
-        gap = self._settings.exchange_gap(self._holding.count)
+        gap = self._settings.exchange_gap(self._local_view.count)
         self.next_at = now + gap // 2 + self._draw.randrange(gap)
         place = self._first or self._anybody()
         self._first = None
-        if place is not None and self._holding.own.named:
+        if place is not None and self._local_view.own.named:
             self._effects.append(StartExchange(place))
 
     def repair(self, now: int, place: SocketAddress, changed_at: int) -> None:
         """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
         when this relay's view last changed."""
-        pause, bulk = self._settings.calm_after(self._holding.count), self._bulk()
+        pause, bulk = self._settings.calm_after(self._local_view.count), self._bulk()
         if bulk > BULK_PERIODS * self._settings.probe_every:
             pause = bulk
             if now - self._repair_at > bulk:  # it has just begun, and many see it at the same time
@@ -105,7 +105,7 @@
         self._first = place
 
     def _anybody(self) -> SocketAddress | None:
-        members = self._holding.table.members
+        members = self._local_view.table.members
         if members:
             return members[self._draw.choice(list(members))].claim.address
         return self._draw.choice(self._seeds) if self._seeds else None
@@ -114,9 +114,9 @@
         """For how long full exchanges have to pause so that they take no more than frames may: two full ones a period,
         since for each exchange that a relay begins it answers one. The words that are probably news to another are those
         on their way, and those on members that failed. With few changes, or few members, it is less than a period."""
-        holding = self._holding
-        failed = sum(member.claim.status is Status.FAILED for member in holding.table.gone.values())
-        size = (len(holding.spreading) + failed) * self._outgoing.sender.size()
+        local_view = self._local_view
+        failed = sum(member.claim.status is Status.FAILED for member in local_view.table.gone.values())
+        size = (len(local_view.spreading) + failed) * self._outgoing.sender.size()
         return size * self._settings.probe_every // self._settings.most_frame
 
     # ---- what is told
@@ -127,19 +127,19 @@
             sender=self._outgoing.sender,
             sequence=self._outgoing.next_sequence(),
             number=self._draw.getrandbits(62),
-            digests=self._digests(digests.buckets_for(self._holding.count)) if self._settings.digests else b"",
+            digests=self._digests(digests.buckets_for(self._local_view.count)) if self._settings.digests else b"",
         )
 
     def answer_hello(self, hello: fr.Hello) -> fr.Whole:
         """What this relay holds and the other does not, with a question of its own."""
-        claims, ours = list(self._holding.table.claims()), self.digests_like(hello.digests)
+        claims, ours = list(self._local_view.table.claims()), self.digests_like(hello.digests)
         if ours:
             claims = digests.unlike(claims, ours, hello.digests)
         return self._whole(hello.number, self._draw.getrandbits(62), claims, ours)
 
     def answer_whole(self, whole: fr.Whole, ours: bytes) -> fr.Whole:
         """What the other still lacks. ``ours``: this relay's digests before it heard what the other holds."""
-        lacks = digests.missing(self._holding.table.claims(), [whole.sender, *whole.claims], ours, whole.digests)
+        lacks = digests.missing(self._local_view.table.claims(), [whole.sender, *whole.claims], ours, whole.digests)
         return self._whole(whole.ask, 0, lacks)
 
     def digests_like(self, theirs: bytes) -> bytes:
@@ -148,7 +148,7 @@
 
     def _digests(self, buckets: int) -> bytes:
         """Of the words on all, this relay's on itself among them."""
-        return digests.digests_of([self._outgoing.sender, *self._holding.table.claims()], buckets)
+        return digests.digests_of([self._outgoing.sender, *self._local_view.table.claims()], buckets)
 
     def _whole(self, number: int, ask: int, claims: list[Claim], ours: bytes = b"") -> fr.Whole:
         return fr.Whole(
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -29,7 +29,7 @@
     no_room: int = 0  # members that were not taken
 
 
-class Holding:
+class LocalView:
     """The words that hold, at one relay."""
 
     def __init__(
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -8,7 +8,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, SocketAddress
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.settings import Settings
 
 FIXED = 96  # bytes of a frame besides its sender's claim, its claims and its words, at most
@@ -17,16 +17,16 @@
 class Outgoing:
     """Puts datagrams and log lines behind the other effects. ``sequence`` is the number of the last frame."""
 
-    def __init__(self, holding: Holding, settings: Settings, effects: list[Effect], sequence: int) -> None:
+    def __init__(self, local_view: LocalView, settings: Settings, effects: list[Effect], sequence: int) -> None:
         self.sequence = sequence
-        self._holding = holding
+        self._local_view = local_view
         self._settings = settings
         self._effects = effects
 
     @property
     def sender(self) -> Claim:
         """The claim that stands on each frame: this relay's on itself."""
-        return self._holding.own.claim
+        return self._local_view.own.claim
 
     def next_sequence(self) -> int:
         """The number of the next frame of this process."""
@@ -43,12 +43,12 @@
 
     def news(self, room: int, to: str) -> list[Claim]:
         """The claims that are spread with the next frame to a member, in so much room (bytes)."""
-        limit = self._settings.repeats * self._settings.scale(self._holding.count)
-        return self._holding.spreading.take(room, limit, to)
+        limit = self._settings.repeats * self._settings.scale(self._local_view.count)
+        return self._local_view.spreading.take(room, limit, to)
 
     def summary(self) -> fr.Summary:
         """This relay's view, in short."""
-        return fr.Summary(self._holding.view, self._holding.count)
+        return fr.Summary(self._local_view.view, self._local_view.count)
 
     def tell(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram."""
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Identity
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
 from garnetrelay.fleet.members.probe_order import Rounds
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        holding: Holding,
+        local_view: LocalView,
         outgoing: Outgoing,
         rounds: Rounds,
         questions: Questions,
@@ -53,7 +53,7 @@
     ) -> None:
         self.present: Probe | None = None
         self.begin_at = now + draw.randrange(settings.probe_every)
-        self._holding = holding
+        self._local_view = local_view
         self._outgoing = outgoing
         self._rounds = rounds
         self._questions = questions
@@ -90,9 +90,9 @@
 
     def begin(self, now: int) -> bool:
         """Probe the next member of the round; whether there is one, and this relay has a name to ask by."""
-        members = self._holding.table.members
+        members = self._local_view.table.members
         name = self._rounds.choose(members)
-        if name is None or not self._holding.own.named:
+        if name is None or not self._local_view.own.named:
             self.begin_at = now + self._settings.probe_every
             return False
         self._begin(now, members[name])
@@ -108,7 +108,7 @@
         probe = self.present
         if probe is None or probe.number != vouch.number or probe.name != vouch.target:
             return None
-        member = self._holding.table.members.get(vouch.target)
+        member = self._local_view.table.members.get(vouch.target)
         if member is None or member.claim.identity != (vouch.life, vouch.process):
             return None
         self._done(probe)
@@ -137,20 +137,20 @@
         )
 
     def _ask_others(self, probe: Probe) -> None:
-        target = self._holding.table.members.get(probe.name)
+        target = self._local_view.table.members.get(probe.name)
         if target is None or target.claim.identity != probe.identity:
             probe.done = True  # it has gone, or lives on in another life
             return
         others = [
             name
-            for name, member in self._holding.table.members.items()
+            for name, member in self._local_view.table.members.items()
             if name != probe.name and member.suspicion is None
         ]
         chosen = self._rounds.sample(others, self._settings.asked)
         probe.asked = True
         probe.expected_nacks = len(chosen)
         for name in chosen:
-            member = self._holding.table.members[name]
+            member = self._local_view.table.members[name]
             self._outgoing.tell(
                 member.claim.address,
                 fr.AskFor(
@@ -170,7 +170,7 @@
             self._health.change(0 if probe.nacks else 1)
         else:
             self._health.change(1)
-        self._holding.suspect(
+        self._local_view.suspect(
             now,
             probe.name,
             probe.identity,
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -23,7 +23,7 @@
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
 from garnetrelay.fleet.members.local_member import Answer, Own
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
 from garnetrelay.fleet.members.probe_order import Rounds
@@ -60,8 +60,8 @@
         self.settings = settings
         self._effects: list[Effect] = []
         self._rounds = Rounds(draw)
-        self.holding = Holding(own, settings, self._effects, self._rounds.enter)
-        self.outgoing = Outgoing(self.holding, settings, self._effects, sequence)
+        self.local_view = LocalView(own, settings, self._effects, self._rounds.enter)
+        self.outgoing = Outgoing(self.local_view, settings, self._effects, sequence)
         self.doubt = Doubt(now)
         self.figures = Figures()
         self.seeds = [seed for seed in seeds if seed != own.address]
@@ -71,11 +71,11 @@
         self._questions = Questions(draw)
         self.health = LocalHealth(settings)
         self._probing = Probing(
-            self.holding, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
+            self.local_view, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
         )
         self._knock_at = now + settings.knock_every
         self._knocked = 0
-        self._exchanges = Exchanges(self.holding, self.outgoing, settings, self._effects, draw, now, self.seeds)
+        self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
         self._answered_at: int | None = None
         self._looked_at = 0  # the view's print at the last look
         self._facts = (0, 0, 0)  # suspects' and views' counts of the last full look
@@ -87,22 +87,22 @@
     @property
     def own(self) -> Own:
         """This relay's word on itself."""
-        return self.holding.own
+        return self.local_view.own
 
     @property
     def table(self) -> Table:
         """The other members, and those that have gone."""
-        return self.holding.table
+        return self.local_view.table
 
     @property
     def view(self) -> int:
         """32 bits that stand for who is in this relay's view."""
-        return self.holding.view
+        return self.local_view.view
 
     @property
     def count(self) -> int:
         """Members in the view, this relay among them."""
-        return self.holding.count
+        return self.local_view.count
 
     @property
     def slow(self) -> int:
@@ -138,7 +138,7 @@
         """Time has passed. To be called at ``next_at``."""
         self._begin(now)
         self._expire(now)
-        self.holding.judge(now, self._answered_at if RELIES[self.condition].speak else None)
+        self.local_view.judge(now, self._answered_at if RELIES[self.condition].speak else None)
         self._go_on_probing(now)
         self._keep_contact(now)
         return self._end(now)
@@ -186,23 +186,23 @@
         answer. For relays without seeds."""
         self._begin(now)
         self.joined = False
-        self.holding.take_over(now, claims)
+        self.local_view.take_over(now, claims)
         return self._end(now)
 
     def go_on_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Another process of this relay has handed over: the same member goes on, in the same life."""
         self._begin(now)
         self.joined = True
-        self.holding.take_over(now, claims)
+        self.local_view.take_over(now, claims)
         return self._end(now)
 
     def life_kept(self, now: int, life: int) -> list[Effect]:
         """The folder has the life that was wanted."""
         self._begin(now)
-        if self.holding.kept(life):
+        if self.local_view.kept(life):
             self._retry_life_at = None
             self.view_changed_at = now
-            self._exchanges.after_new_life(now, self.holding.told_by)
+            self._exchanges.after_new_life(now, self.local_view.told_by)
         return self._end(now)
 
     def life_not_kept(self, now: int, why: str) -> list[Effect]:
@@ -285,7 +285,7 @@
 
     def _hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
         """A word on anybody."""
-        if self.holding.hear(now, claim, source) is Answer.REFUTED:
+        if self.local_view.hear(now, claim, source) is Answer.REFUTED:
             self.health.change(1)
 
     def _hear_all(self, now: int, frame: fr.AnyFrame) -> None:
@@ -444,7 +444,7 @@
         self.figures.slept += 1
         self.health.change(1)
         self.outgoing.note(f"slept for {late / 1e9:.1f} s: no judgement follows from that time", logging.WARNING)
-        self.holding.stretch(late)
+        self.local_view.stretch(late)
         self._probing.give_up(now)
         self.next_at = now
 
@@ -470,7 +470,7 @@
             others=len(self.table),
             alone_after=self._patience(),
             answered_ago=None if self._answered_at is None else now - self._answered_at,
-            suspects=len(self.holding.suspects),
+            suspects=len(self.local_view.suspects),
             failed_lately=failed,
             changed=changed,
             agreeing=same,
@@ -499,7 +499,7 @@
         if self._retry_life_at is not None:
             moments.append(self._retry_life_at)
         maybe = (
-            self.holding.next_judgement(),
+            self.local_view.next_judgement(),
             self._questions.next_at(),
             self.doubt.out_at(self.settings.calm_after(self.count)),
         )
@@ -564,7 +564,7 @@
         ]
         doors += [
             (member.claim.address, [member.claim], self.outgoing.version(member.claim))
-            for member in map(self.table.members.__getitem__, self.holding.suspects)
+            for member in map(self.table.members.__getitem__, self.local_view.suspects)
         ]
         if not self.own.named or self._answered_at is None:
             doors += [
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -110,7 +110,7 @@
     if claim.born < claim.life:
         said.append(f"its process began in life {claim.born}, and went on in this one after others held it for failed")
     if claim.status is Status.SUSPECT and member.suspicion is not None:
-        left = (members.holding.suspicion_ends(member) - now) / 1e9
+        left = (members.local_view.suspicion_ends(member) - now) / 1e9
         also = ", ".join(sorted(member.suspicion.by)) or "nobody else"
         said.append(f"suspected by {claim.by}, also by {also}; failed in {left:.1f} s unless it speaks up")
     if claim.status is Status.FAILED:
@@ -166,9 +166,9 @@
         ("views_same", told.same),
         ("views_other", told.other),
         ("slow", told.slow),
-        ("suspicions", members.holding.figures.suspected),
-        ("judged_failed", members.holding.figures.failed),
-        ("refuted", members.holding.figures.refuted),
+        ("suspicions", members.local_view.figures.suspected),
+        ("judged_failed", members.local_view.figures.failed),
+        ("refuted", members.local_view.figures.refuted),
         ("slept", members.figures.slept),
         ("frames_out", frames_out),
         ("bytes_in", bytes_in),
@@ -185,6 +185,6 @@
         (f'frames_refused{{cause="{escaped(cause)}"}}', number)
         for cause, number in sorted((members.figures.refused + refused).items())
     ]
-    if members.holding.figures.no_room:
-        rows.append(("no_room", members.holding.figures.no_room))
+    if members.local_view.figures.no_room:
+        rows.append(("no_room", members.local_view.figures.no_room))
     return "".join(f"relay_fleet_{name} {value:g}\n" for name, value in rows)
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -114,13 +114,13 @@
                 if held is not None and held.claim.identity <= identity:
                     self._say(node, f"{name} life {identity.life} is back in its view")
         if members.condition is Condition.SETTLED and (
-            members.holding.suspects or not members.joined or not members.own.named
+            members.local_view.suspects or not members.joined or not members.own.named
         ):
             self._say(node, "it is settled, and has reason to doubt")
 
         if members.condition is not Condition.ALONE:
             self._alone.pop(key, None)
-        elif members.holding.figures.failed > self._alone.setdefault(key, members.holding.figures.failed):
+        elif members.local_view.figures.failed > self._alone.setdefault(key, members.local_view.figures.failed):
             self._say(node, "it is alone, and judges others")
 
     def _say(self, node: Node, text: str) -> None:
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.members.claims import Claim, Identity, Status
 from garnetrelay.fleet.members.effects import Effect
 from garnetrelay.fleet.members.local_member import Own
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Suspicion, Table
 
@@ -49,7 +49,7 @@
 
     folder: int
     starts: int
-    holding: int
+    local_view: int
 
 
 class World(NamedTuple):
@@ -60,22 +60,22 @@
     bounds: Bounds  # what is left of them
 
 
-Kinds = tuple[type[Holding], type[Own], type[Table]]
-PLAIN: Kinds = (Holding, Own, Table)
+Kinds = tuple[type[LocalView], type[Own], type[Table]]
+PLAIN: Kinds = (LocalView, Own, Table)
 
 
 def _short(claim: Claim) -> tuple[Any, ...]:
     return claim.name, *claim.rank, claim.by
 
 
-def _key(holding: Holding) -> tuple[Any, ...]:
-    own = holding.own
+def _key(local_view: LocalView) -> tuple[Any, ...]:
+    own = local_view.own
     others = sorted(
         (
             _short(member.claim),
             member.suspicion and (member.suspicion.began, member.suspicion.members, tuple(sorted(member.suspicion.by))),
         )
-        for member in holding.table
+        for member in local_view.table
     )
     return (
         _short(own.claim),
@@ -85,21 +85,21 @@
         own.wanted,
         own.aside and _short(own.aside),
         tuple(others),
-        frozenset(holding.suspects),
+        frozenset(local_view.suspects),
     )
 
 
-def clone(holding: Holding, kinds: Kinds, older: int = 0) -> Holding:
+def clone(local_view: LocalView, kinds: Kinds, older: int = 0) -> LocalView:
     """A copy; ``older``: so many steps have passed (times are kept relative to now, which is 0)."""
     effects: list[Effect] = []
-    made = kinds[0](holding.own.claim, SETTINGS, effects)
+    made = kinds[0](local_view.own.claim, SETTINGS, effects)
     made.own = kinds[1].__new__(kinds[1])
-    made.own.__dict__.update(holding.own.__dict__)
+    made.own.__dict__.update(local_view.own.__dict__)
     made.table = kinds[2](SETTINGS.most_members)
-    made.table.print = holding.table.print
-    made.table.members = {name: dataclasses.replace(member) for name, member in holding.table.members.items()}
-    made.table.gone = {name: dataclasses.replace(member) for name, member in holding.table.gone.items()}
-    made.suspects = dict(holding.suspects)
+    made.table.print = local_view.table.print
+    made.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
+    made.table.gone = {name: dataclasses.replace(member) for name, member in local_view.table.gone.items()}
+    made.suspects = dict(local_view.suspects)
     for member in made.table:
         if member.suspicion is not None:
             member.suspicion = Suspicion(
@@ -132,7 +132,7 @@
         self.kinds = kinds
         self.keep = keep  # the folder's life from what it was and what is to be kept
         self.first_life = first_life
-        self.met: list[Holding] = []
+        self.met: list[LocalView] = []
         self._numbers: dict[Any, int] = {}
         self._texts: list[tuple[Claim, ...]] = []  # what is said
         self._text_numbers: dict[Any, int] = {}
@@ -175,21 +175,21 @@
 
     # ---- holdings
 
-    def number(self, holding: Holding) -> int:
+    def number(self, local_view: LocalView) -> int:
         """Its number: the same for all that are alike."""
-        key = _key(holding)
+        key = _key(local_view)
         number = self._numbers.get(key)
         if number is None:
             number = self._numbers[key] = len(self.met)
-            self.met.append(holding)
+            self.met.append(local_view)
         return number
 
-    def after(self, holding: int, what: tuple[Any, ...], change: Callable[[Holding], object], older: int = 0) -> int:
+    def after(self, local_view: int, what: tuple[Any, ...], change: Callable[[LocalView], object], older: int = 0) -> int:
         """What becomes of a holding."""
-        key = holding, *what
+        key = local_view, *what
         number = self._made.get(key)
         if number is None:
-            made = clone(self.met[holding], self.kinds, older)
+            made = clone(self.met[local_view], self.kinds, older)
             change(made)
             number = self._made[key] = self.number(made)
         return number
@@ -207,28 +207,28 @@
         """What a frame of it tells: its own word, and all that it holds."""
         text = self._words.get(number)
         if text is None:
-            holding = self.met[number]
-            text = self._words[number] = self.text((holding.own.claim, *sorted(holding.table.claims(), key=_short)))
+            local_view = self.met[number]
+            text = self._words[number] = self.text((local_view.own.claim, *sorted(local_view.table.claims(), key=_short)))
         return text
 
-    def hears(self, holding: int, text: int) -> int:
+    def hears(self, local_view: int, text: int) -> int:
         """A frame came."""
 
-        def hear(made: Holding) -> None:
+        def hear(made: LocalView) -> None:
             for claim in self._texts[text]:
                 made.hear(0, claim)
 
-        return self.after(holding, ("hears", text), hear)
+        return self.after(local_view, ("hears", text), hear)
 
-    def suspects(self, holding: int, name: str) -> int:
+    def suspects(self, local_view: int, name: str) -> int:
         """A probe came to nothing."""
-        identity = self.met[holding].table.members[name].claim.identity
-        return self.after(holding, ("suspects", name), lambda made: made.suspect(0, name, identity, ""))
+        identity = self.met[local_view].table.members[name].claim.identity
+        return self.after(local_view, ("suspects", name), lambda made: made.suspect(0, name, identity, ""))
 
-    def older(self, holding: int) -> int:
+    def older(self, local_view: int) -> int:
         """A step has passed."""
 
-        def judge(made: Holding) -> None:
+        def judge(made: LocalView) -> None:
             before = {name: (member.claim, member.suspicion) for name, member in made.table.members.items()}
             made.judge(0, 0)
             for name, (claim, suspicion) in before.items():
@@ -241,11 +241,11 @@
                 if -suspicion.began < SETTINGS.suspicion_time(suspicion.members, len(others)):
                     raise Broken("a member is failed without its time to speak up", "a step passes")
 
-        return self.after(holding, ("older",), judge, 1)
+        return self.after(local_view, ("older",), judge, 1)
 
-    def keeps(self, holding: int) -> int:
+    def keeps(self, local_view: int) -> int:
         """The next life is in the folder."""
-        return self.after(holding, ("keeps",), lambda made: made.kept(made.own.wanted))
+        return self.after(local_view, ("keeps",), lambda made: made.kept(made.own.wanted))
 
     # ---- what may happen
 
@@ -254,7 +254,7 @@
         left, sites, flying = world.bounds, world.sites, world.flying
         for number, site in enumerate(sites):
             name = NAMES[number]
-            if site.holding < 0:
+            if site.local_view < 0:
                 if site.starts < left.starts:
                     yield f"{name} starts", self.with_site(world, number, self.begun(number, site, False))
                     if left.lost_folders:
@@ -265,39 +265,39 @@
                             ),
                         )
                 continue
-            holding = self.met[site.holding]
+            local_view = self.met[site.local_view]
             if left.kills:
                 yield (
                     f"{name} is killed",
-                    self.with_site(world, number, site._replace(holding=-1))._replace(
+                    self.with_site(world, number, site._replace(local_view=-1))._replace(
                         bounds=left._replace(kills=left.kills - 1)
                     ),
                 )
-            if holding.own.wanted and not holding.own.left:
+            if local_view.own.wanted and not local_view.own.left:
                 yield (
-                    f"{name} keeps life {holding.own.wanted}",
+                    f"{name} keeps life {local_view.own.wanted}",
                     self.with_site(
                         world,
                         number,
                         site._replace(
-                            folder=self.keep(site.folder, holding.own.wanted), holding=self.keeps(site.holding)
+                            folder=self.keep(site.folder, local_view.own.wanted), local_view=self.keeps(site.local_view)
                         ),
                     ),
                 )
-            if not holding.own.named:
+            if not local_view.own.named:
                 continue
             if len(flying) < left.messages:
-                said = self.words(site.holding)
+                said = self.words(site.local_view)
                 for to in range(len(NAMES)):
                     if to != number:
                         yield f"{name} tells {NAMES[to]}", world._replace(flying=tuple(sorted((*flying, (to, said)))))
             if left.suspicions:
-                for other in holding.table.members:
+                for other in local_view.table.members:
                     yield (
                         f"{name} suspects {other}",
-                        self.with_site(world, number, site._replace(holding=self.suspects(site.holding, other)))._replace(
-                            bounds=left._replace(suspicions=left.suspicions - 1)
-                        ),
+                        self.with_site(
+                            world, number, site._replace(local_view=self.suspects(site.local_view, other))
+                        )._replace(bounds=left._replace(suspicions=left.suspicions - 1)),
                     )
             if left.leaves:
                 yield f"{name} leaves", self.leaves(world, number, site)
@@ -307,12 +307,13 @@
             yield f"arrives: {what}", once._replace(flying=(*flying[:place], *flying[place + 1 :]))
             if left.doubles:
                 yield f"arrives, and will again: {what}", once._replace(bounds=left._replace(doubles=left.doubles - 1))
-        if any(site.holding >= 0 and self.met[site.holding].suspects for site in sites):
+        if any(site.local_view >= 0 and self.met[site.local_view].suspects for site in sites):
             yield (
                 "a step passes",
                 world._replace(
                     sites=tuple(
-                        site if site.holding < 0 else site._replace(holding=self.older(site.holding)) for site in sites
+                        site if site.local_view < 0 else site._replace(local_view=self.older(site.local_view))
+                        for site in sites
                     )
                 ),
             )
@@ -325,47 +326,47 @@
         """A new process."""
         life = self.first_life(0 if lost else site.folder)
         claim = Claim(NAMES[number], life, 10 * number + site.starts, life, 0, Status.ALIVE, "10.0.0.1", 1, 2)
-        holding = self.kinds[0](claim, SETTINGS, [])
-        holding.own, holding.table = self.kinds[1](claim), self.kinds[2](SETTINGS.most_members)
-        return Site(life, site.starts + 1, self.number(holding))
+        local_view = self.kinds[0](claim, SETTINGS, [])
+        local_view.own, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.most_members)
+        return Site(life, site.starts + 1, self.number(local_view))
 
     def leaves(self, world: World, number: int, site: Site) -> World:
         """It says so to one other; then its process ends."""
-        claim = clone(self.met[site.holding], self.kinds).own.leave()
+        claim = clone(self.met[site.local_view], self.kinds).own.leave()
         flying = world.flying
         if len(flying) < world.bounds.messages:
             flying = tuple(sorted((*flying, ((number + 1) % len(NAMES), self.text((claim,))))))
-        return self.with_site(world, number, site._replace(holding=-1))._replace(
+        return self.with_site(world, number, site._replace(local_view=-1))._replace(
             flying=flying, bounds=world.bounds._replace(leaves=world.bounds.leaves - 1)
         )
 
     def arrives(self, world: World, to: int, text: int) -> World:
         """A frame reaches whoever is there now."""
         site = world.sites[to]
-        if site.holding < 0:
+        if site.local_view < 0:
             return world
-        return self.with_site(world, to, site._replace(holding=self.hears(site.holding, text)))
+        return self.with_site(world, to, site._replace(local_view=self.hears(site.local_view, text)))
 
     # ---- what has to hold
 
     def compare(self, before: World, after: World) -> None:
         """Properties of a step."""
         for old, new in zip(before.sites, after.sites, strict=True):
-            if new.holding < 0 or new == old:
+            if new.local_view < 0 or new == old:
                 continue
-            own = self.met[new.holding].own
+            own = self.met[new.local_view].own
             if own.claim.life > new.folder:
                 raise Broken("a life is used before it is in the folder")
-            if old.holding < 0:
+            if old.local_view < 0:
                 if new.folder <= old.folder and before.bounds.lost_folders == after.bounds.lost_folders:
                     raise Broken("a life is used twice")
                 continue
-            pair = old.holding, new.holding
+            pair = old.local_view, new.local_view
             if pair not in self._compared:
-                self.compare_site(self.met[old.holding], self.met[new.holding])
+                self.compare_site(self.met[old.local_view], self.met[new.local_view])
                 self._compared.add(pair)
 
-    def compare_site(self, old: Holding, new: Holding) -> None:
+    def compare_site(self, old: LocalView, new: LocalView) -> None:
         """Properties of what becomes of a holding."""
         if new.own.claim.identity < old.own.claim.identity:
             raise Broken("a relay goes back to an earlier life")
@@ -411,7 +412,7 @@
 
     def heal(self, world: World) -> None:
         """Links whole from here on, and nothing else happens: each keeps its life, tells all, and probes."""
-        live = [site.holding for site in world.sites if site.holding >= 0]
+        live = [site.local_view for site in world.sites if site.local_view >= 0]
         passed: list[tuple[int, ...]] = []
         for _ in range(HEAL_ROUNDS):
             if tuple(live) in self._healed:
@@ -448,13 +449,15 @@
     def see_one_view(self, live: list[int]) -> None:
         """All that live hold just each other."""
         held = [self.met[number] for number in live]
-        for holding in held:
-            if not holding.own.named:
+        for local_view in held:
+            if not local_view.own.named:
                 raise Broken("links are whole, and a relay never gets its name", "links are whole")
             inside = {
-                (name, member.claim.identity, member.claim.status) for name, member in holding.table.members.items()
+                (name, member.claim.identity, member.claim.status) for name, member in local_view.table.members.items()
             }
-            if inside != {(other.name, other.own.claim.identity, Status.ALIVE) for other in held if other is not holding}:
+            if inside != {
+                (other.name, other.own.claim.identity, Status.ALIVE) for other in held if other is not local_view
+            }:
                 raise Broken("links are whole, and views do not meet again", "links are whole")
 
 
@@ -562,14 +565,14 @@
         return answer
 
 
-class Rash(Holding):
+class Rash(LocalView):
     """Judges at once."""
 
     def judge(self, now: int, answered_at: int | None) -> None:
         super().judge(now + 1, answered_at)
 
 
-class Shrinking(Holding):
+class Shrinking(LocalView):
     """Reckons a suspicion's time by the members of the moment."""
 
     def suspicion_ends(self, member: Any) -> int:
@@ -577,14 +580,14 @@
         return int(suspicion.began + self.settings.suspicion_time(self.count, len(suspicion.by)))
 
 
-class Silent(Holding):
+class Silent(LocalView):
     """Never judges."""
 
     def judge(self, now: int, answered_at: int | None) -> None:
         pass
 
 
-class Anew(Holding):
+class Anew(LocalView):
     """A word that comes twice begins the suspicion anew, without an end."""
 
     def hear(self, now: int, claim: Claim, source: Any = None) -> Any:
@@ -609,40 +612,40 @@
 
 FAULTS: dict[str, Fault] = {
     "a final word that is not final": Fault(
-        _bounds(suspicions=1), "a life that failed or left comes back", {"kinds": (Holding, Own, NoFinal)}
+        _bounds(suspicions=1), "a life that failed or left comes back", {"kinds": (LocalView, Own, NoFinal)}
     ),
     "an earlier life taken for news": Fault(
-        _bounds(starts=2, kills=1), "an earlier life takes the place of a later one", {"kinds": (Holding, Own, AnyLife)}
+        _bounds(starts=2, kills=1), "an earlier life takes the place of a later one", {"kinds": (LocalView, Own, AnyLife)}
     ),
     "two processes of one life not told apart": Fault(
         _bounds(starts=2, kills=1, lost_folders=1),
         "links are whole, and views do not meet again",
-        {"kinds": (Holding, Own, NoProcess)},
+        {"kinds": (LocalView, Own, NoProcess)},
     ),
     "one voice counted twice": Fault(
-        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (Holding, Own, OneVoice)}
+        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (LocalView, Own, OneVoice)}
     ),
     "a suspected relay that does not speak up": Fault(
-        _bounds(suspicions=1), "links are whole, and a relay that answers is failed", {"kinds": (Holding, Mute, Table)}
+        _bounds(suspicions=1), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Mute, Table)}
     ),
     "a relay that speaks on after its life has ended": Fault(
         _bounds(suspicions=1),
         "a relay speaks on in a life that it knows has ended",
-        {"kinds": (Holding, SpeaksOn, Table)},
+        {"kinds": (LocalView, SpeaksOn, Table)},
     ),
     "a life used before it is kept": Fault(
-        _bounds(suspicions=1), "a life is used before it is in the folder", {"kinds": (Holding, Hasty, Table)}
+        _bounds(suspicions=1), "a life is used before it is in the folder", {"kinds": (LocalView, Hasty, Table)}
     ),
     "a relay that takes no final word on itself": Fault(
-        _bounds(suspicions=1), "links are whole, and views do not meet again", {"kinds": (Holding, Stubborn, Table)}
+        _bounds(suspicions=1), "links are whole, and views do not meet again", {"kinds": (LocalView, Stubborn, Table)}
     ),
     "a relay that does not stand aside": Fault(
         _bounds(starts=3, kills=2, lost_folders=1),
         "a relay speaks beside the process for which it stood aside",
-        {"kinds": (Holding, Pushy, Table)},
+        {"kinds": (LocalView, Pushy, Table)},
     ),
     "an incarnation that begins anew": Fault(
-        _bounds(suspicions=2), "links are whole, and a relay that answers is failed", {"kinds": (Holding, Back, Table)}
+        _bounds(suspicions=2), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Back, Table)}
     ),
     "a judgement before its time": Fault(
         _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (Rash, Own, Table)}
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -99,7 +99,7 @@
     one, other = relay("one", [*names, claim("other")]), relay("other", [*names, claim("one")])
     assert exchange(one, other) == (0, 0)
     judged = names[77].judged(Status.FAILED, "n1")
-    one.holding.hear(4, judged)
+    one.local_view.hear(4, judged)
     told, back = exchange(one, other)
     # Of some sixteen names; what the answering side has told is not told back.
     assert 1 <= told <= 3 * digests.BUCKET and back == 1
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -8,7 +8,7 @@
 from garnetrelay.fleet.members.effects import Effect, StartExchange
 from garnetrelay.fleet.members.exchanges import JOIN_GAPS, Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
 
@@ -17,11 +17,11 @@
 OWN = Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
 
 
-def made(seeds: list[SocketAddress]) -> tuple[Exchanges, list[Effect], Holding]:
+def made(seeds: list[SocketAddress]) -> tuple[Exchanges, list[Effect], LocalView]:
     effects: list[Effect] = []
-    holding = Holding(OWN, SETTINGS, effects)
-    outgoing = Outgoing(holding, SETTINGS, effects, 0)
-    return Exchanges(holding, outgoing, SETTINGS, effects, random.Random(1), 0, seeds), effects, holding
+    local_view = LocalView(OWN, SETTINGS, effects)
+    outgoing = Outgoing(local_view, SETTINGS, effects, 0)
+    return Exchanges(local_view, outgoing, SETTINGS, effects, random.Random(1), 0, seeds), effects, local_view
 
 
 def test_seeds_are_tried_in_turn_and_the_gap_doubles_up_to_its_bound() -> None:
@@ -36,20 +36,20 @@
 
 
 def test_a_turn_without_members_goes_to_a_seed_and_without_a_name_to_nobody() -> None:
-    exchanges, effects, holding = made(SEEDS[:1])
+    exchanges, effects, local_view = made(SEEDS[:1])
     exchanges.take_turn(exchanges.next_at - 1)
     assert not effects
     exchanges.take_turn(exchanges.next_at)
     assert effects == [StartExchange(SEEDS[0])]
-    holding.own.named = False
+    local_view.own.named = False
     before = exchanges.next_at
     exchanges.take_turn(before)
     assert effects == [StartExchange(SEEDS[0])] and exchanges.next_at > before
 
 
 def test_another_view_is_asked_for_once_words_have_had_their_time_and_once_in_it() -> None:
-    exchanges, effects, holding = made([])
-    pause = SETTINGS.calm_after(holding.count)
+    exchanges, effects, local_view = made([])
+    pause = SETTINGS.calm_after(local_view.count)
     for now, begun in ((pause - 1, 0), (pause, 1), (2 * pause - 1, 1), (2 * pause, 2)):
         exchanges.repair(now, SEEDS[0], changed_at=0)
         assert len(effects) == begun
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -38,7 +38,7 @@
     assert world.run(60 * SECOND, world.one_view)
     assert world.run(
         world.now + 120 * SECOND,
-        lambda: not any(node.members is not None and len(node.members.holding.spreading) for node in world.live()),
+        lambda: not any(node.members is not None and len(node.members.local_view.spreading) for node in world.live()),
     )
     return world, meter
 
@@ -109,7 +109,7 @@
     members = relay()
     members.go_on_from(0, others(count, failed))
     began = now = members.next_at
-    members.holding.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
+    members.local_view.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
     effects = members.life_kept(now, 2)
     while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
@@ -128,7 +128,7 @@
     members, claims = relay(), others(619)
     members.go_on_from(0, claims[:310])
     for claim in claims[310:]:
-        members.holding.hear(0, claim)
+        members.local_view.hear(0, claim)
     by_place = {claim.address: claim for claim in claims}
     pause = pause_for(members, 309)
     begun: list[int] = []
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -16,7 +16,7 @@
 
 from garnetrelay.fleet.members.claims import Status
 from garnetrelay.fleet.members.effects import LogLine
-from garnetrelay.fleet.members.local_view import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
@@ -70,8 +70,8 @@
 
 
 def test_who_judges_while_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    judge = Holding.judge
-    monkeypatch.setattr(Holding, "judge", lambda holding, now, answered_at: judge(holding, now, now))
+    judge = LocalView.judge
+    monkeypatch.setattr(LocalView, "judge", lambda local_view, now, answered_at: judge(local_view, now, now))
     assert any("alone, and judges" in problem for problem in play(drawn("one alone", 2, 7)).problems)
 
 
@@ -109,7 +109,7 @@
         "in the new word": [moved.judged(Status.SUSPECT, "n3"), again],
     }
     for word in words[suspected]:
-        member.holding.hear(world.now, word)
+        member.local_view.hear(world.now, word)
     notes = [effect.text for effect in member._effects if isinstance(effect, LogLine)]
     assert sum("zone 3" in note for note in notes) == 1
 
@@ -154,7 +154,7 @@
     one = members(world, "n1")
     assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_every
     world.run(cut_at + 60 * SECOND)
-    assert one.holding.figures.failed == 0 and len(one.table.members) == 4
+    assert one.local_view.figures.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
     world.links.drop("cut")
     assert world.run(world.now + 60 * SECOND, world.one_view)
@@ -198,7 +198,7 @@
     assert world.run(world.now + 60 * SECOND, lambda: not first.own.named)
     held = members(world, "n1").table.members["n3"].claim
     assert held.address == twin and held.life == 2 and first.own.aside is not None
-    assert first.condition is Condition.JOINING and not first.holding.suspect(0, "n1", held.identity, "")
+    assert first.condition is Condition.JOINING and not first.local_view.suspect(0, "n1", held.identity, "")
 
 
 def test_a_play_is_the_same_in_any_process() -> None:
