--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -230,7 +230,7 @@
     world, members, heard = _listened(50, 1, 200)
 
     def state() -> tuple[object, ...]:
-        return tuple(members.table.claims()), members.own.claim, members.view, members.condition, members.joined
+        return tuple(members.table.claims()), members.local.claim, members.view, members.condition, members.joined
 
     before = state()
     took, causes, counts = Counter[str](), Counter[str](), Counter[str]()
@@ -270,7 +270,7 @@
     frames = [
         world.codec.encode(
             fr.Ping(
-                sender=other.own.claim,
+                sender=other.local.claim,
                 sequence=other.outgoing.sequence + 1000 + number,
                 number=number,
                 summary=fr.Summary(other.view, other.count),
@@ -281,7 +281,7 @@
     ]
     began = time.perf_counter_ns()
     for data in frames:
-        for effect in members.receive(world.now, world.codec.decode(data), other.own.claim.address):
+        for effect in members.receive(world.now, world.codec.decode(data), other.local.claim.address):
             if isinstance(effect, SendFrame):
                 world.codec.encode(effect.frame, effect.version)
     return (time.perf_counter_ns() - began) / 1000 / len(frames)
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -29,7 +29,7 @@
     ASIDE = auto()  # another process has the name
 
 
-class Own:
+class LocalMember:
     """One process's word on itself."""
 
     def __init__(self, claim: Claim) -> None:
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -14,7 +14,7 @@
 from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
 from garnetrelay.fleet.members.dissemination import Spreading
 from garnetrelay.fleet.members.effects import Effect, LogLine, StoreLife
-from garnetrelay.fleet.members.local_member import Answer, Own
+from garnetrelay.fleet.members.local_member import Answer, LocalMember
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Change, Member, Suspicion, Table, mark
 
@@ -36,7 +36,7 @@
         self, own: Claim, settings: Settings, effects: list[Effect], enters: Callable[[str], None] = lambda name: None
     ) -> None:
         self.settings = settings
-        self.own = Own(own)
+        self.local = LocalMember(own)
         self.table = Table(settings.most_members)
         self.spreading = Spreading()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
@@ -48,7 +48,7 @@
     @property
     def name(self) -> str:
         """This relay's own name."""
-        return self.own.claim.name
+        return self.local.claim.name
 
     @property
     def count(self) -> int:
@@ -58,7 +58,7 @@
     @property
     def view(self) -> int:
         """32 bits that stand for who is in the view."""
-        own = mark(self.name, self.own.claim.identity) if self.own.named else 0
+        own = mark(self.name, self.local.claim.identity) if self.local.named else 0
         return (self.table.print ^ own) >> 32
 
     def suspicion_ends(self, member: Member) -> int:
@@ -69,7 +69,7 @@
 
     def next_judgement(self) -> int | None:
         """When the next suspicion ends; None where there is none, or this relay has no word."""
-        if not self.own.named or not self.suspects:
+        if not self.local.named or not self.suspects:
             return None
         return min(self.suspicion_ends(self.table.members[name]) for name in self.suspects)
 
@@ -117,7 +117,7 @@
     def suspect(self, now: int, name: str, identity: Identity, why: str) -> bool:
         """A probe of a member came to nothing; whether it is still in that life."""
         member = self.table.members.get(name)
-        if member is None or member.claim.identity != identity or not self.own.named:
+        if member is None or member.claim.identity != identity or not self.local.named:
             return False
         self.figures.suspected += 1
         if member.suspicion is None:
@@ -129,7 +129,7 @@
         """Suspicions whose time is over. ``answered_at``: when this relay last had an answer from anybody; None where its
         word counts for nothing. Where none has come since the suspicion began, the fault may be its own, and the
         suspicion begins anew."""
-        if not self.own.named:
+        if not self.local.named:
             return
         for name in list(self.suspects):
             member = self.table.members[name]
@@ -159,10 +159,10 @@
 
     def kept(self, life: int) -> bool:
         """The folder has the life that was wanted: whether this relay goes on in it."""
-        if not self.own.kept(life):
+        if not self.local.kept(life):
             return False
-        self.spreading.tell(self.own.claim)
-        self._note(f"goes on as {self.own.claim.said()}", logging.WARNING)
+        self.spreading.tell(self.local.claim)
+        self._note(f"goes on as {self.local.claim.said()}", logging.WARNING)
         return True
 
     # ---- what follows
@@ -171,18 +171,18 @@
         self._effects.append(LogLine(text, level))
 
     def _hear_of_self(self, claim: Claim, source: SocketAddress | None) -> Answer:
-        answer = self.own.hear(claim)
+        answer = self.local.hear(claim)
         if answer is Answer.REFUTED:
             self.figures.refuted += 1
-            self.spreading.tell(self.own.claim)
-            self._note(f"was {claim.said()}: speaks up as {self.own.claim.said()}")
+            self.spreading.tell(self.local.claim)
+            self._note(f"was {claim.said()}: speaks up as {self.local.claim.said()}")
         elif answer is Answer.OLD:
-            self.spreading.tell(self.own.claim)
+            self.spreading.tell(self.local.claim)
         elif answer is Answer.WANTED:
             self.spreading.drop(claim.name)
             self.told_by = source
-            self._note(f"is {claim.said()}: goes on in life {self.own.wanted} once that is kept", logging.WARNING)
-            self._effects.append(StoreLife(self.own.wanted))
+            self._note(f"is {claim.said()}: goes on in life {self.local.wanted} once that is kept", logging.WARNING)
+            self._effects.append(StoreLife(self.local.wanted))
         elif answer is Answer.ASIDE:
             self.spreading.drop(claim.name)
             self._note(
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -26,7 +26,7 @@
     @property
     def sender(self) -> Claim:
         """The claim that stands on each frame: this relay's on itself."""
-        return self._local_view.own.claim
+        return self._local_view.local.claim
 
     def next_sequence(self) -> int:
         """The number of the next frame of this process."""
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -22,7 +22,7 @@
 from garnetrelay.fleet.members.effects import Effect, StoreLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.local_member import Answer, Own
+from garnetrelay.fleet.members.local_member import Answer, LocalMember
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
@@ -85,9 +85,9 @@
     # ---- what others may ask
 
     @property
-    def own(self) -> Own:
+    def local(self) -> LocalMember:
         """This relay's word on itself."""
-        return self.local_view.own
+        return self.local_view.local
 
     @property
     def table(self) -> Table:
@@ -118,8 +118,8 @@
         """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
         ``view`` or ``condition`` has changed, or once a period."""
         zones = {name: member.claim.zone for name, member in self.table.members.items()}
-        if self.own.named:
-            zones[self.own.claim.name] = self.own.claim.zone
+        if self.local.named:
+            zones[self.local.claim.name] = self.local.claim.zone
         return FleetView(zones, self.condition, self.view)
 
     def age(self, name: str, now: int) -> int | None:
@@ -166,7 +166,7 @@
         self._begin(now)
         ours = self._exchanges.digests_like(whole.digests)
         sender = whole.sender
-        if sender.name == self.own.claim.name:
+        if sender.name == self.local.claim.name:
             self._hear(now, sender)
         else:
             self._hear(now, sender)
@@ -174,7 +174,7 @@
             if member is not None and member.claim.identity == sender.identity:
                 self._answered(now, member, asked_at, -1 if whole.summary is None else whole.summary.view)
                 member.window.take(whole.sequence)
-            if sender.process != self.own.claim.process:
+            if sender.process != self.local.claim.process:
                 self.joined = True
         for claim in whole.claims:
             self._hear(now, claim)
@@ -208,19 +208,19 @@
     def life_not_kept(self, now: int, why: str) -> list[Effect]:
         """The folder does not take it: the relay stays out, and tries again."""
         self._begin(now)
-        self.outgoing.note(f"life {self.own.wanted} can't be kept, staying out: {why}", logging.ERROR)
+        self.outgoing.note(f"life {self.local.wanted} can't be kept, staying out: {why}", logging.ERROR)
         self._retry_life_at = now + 5 * self.settings.probe_every
         return self._end(now)
 
     def leave(self, now: int) -> list[Effect]:
         """The last words of this life."""
         self._begin(now)
-        if self.own.named:
-            last = self.own.leave()
+        if self.local.named:
+            last = self.local.leave()
             for name in self._rounds.sample(self.table.members, LEAVE_TOLD):
                 member = self.table.members[name]
                 self.outgoing.ping(member.claim.address, self.outgoing.version(member.claim), 0, [last])
-        self.own.left, self.own.named = True, False
+        self.local.left, self.local.named = True, False
         return self._end(now)
 
     # ---- a frame
@@ -229,14 +229,14 @@
         sender, refused = frame.sender, self.figures.refused
         for claim in frame.claims:
             # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
-            if claim.name == self.own.claim.name:
+            if claim.name == self.local.claim.name:
                 self._hear(now, claim, source)
-        if sender.name == self.own.claim.name:
+        if sender.name == self.local.claim.name:
             refused["own name"] += 1
-            if sender.process != self.own.claim.process:
+            if sender.process != self.local.claim.process:
                 self._hear(now, sender, source)
             return
-        if self.own.left:
+        if self.local.left:
             return
         question = self._questions.answered(frame, source)
         member = self.table.get(sender.name)
@@ -267,7 +267,7 @@
         self._hear(now, sender)
         self._hear_all(now, frame)
         member = self.table.members.get(sender.name)
-        if member is None or not self.own.named and question is None:
+        if member is None or not self.local.named and question is None:
             return  # it has said of itself that it left; or this relay has no name to answer by
         match frame:
             case fr.Ping():
@@ -290,18 +290,20 @@
 
     def _hear_all(self, now: int, frame: fr.AnyFrame) -> None:
         for claim in frame.claims:
-            if claim.name != self.own.claim.name:
+            if claim.name != self.local.claim.name:
                 self._hear(now, claim)
 
     def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
         """Tell a life that has ended, or been followed by another, what is held of it."""
-        if not self.own.named:
+        if not self.local.named:
             return
         sender = frame.sender
         if isinstance(frame, fr.Ping):
             self.outgoing.tell(
                 source,
-                fr.Ack(sender=self.own.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]),
+                fr.Ack(
+                    sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]
+                ),
                 self.outgoing.version(sender),
             )
         elif isinstance(frame, fr.AskFor):
@@ -310,14 +312,14 @@
     def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         """A life that is not known: answer it, so that it knows us, and ask it."""
         self.figures.refused["unproven"] += 1
-        if not self.own.named:
+        if not self.local.named:
             return
         version = self.outgoing.version(frame.sender)
         if isinstance(frame, fr.Ping):
             self.outgoing.tell(
                 source,
                 fr.Ack(
-                    sender=self.own.claim,
+                    sender=self.local.claim,
                     sequence=self.outgoing.next_sequence(),
                     number=frame.number,
                     summary=self.outgoing.summary(),
@@ -341,7 +343,7 @@
         self.outgoing.tell(
             source,
             fr.Ack(
-                sender=self.own.claim,
+                sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
                 number=ping.number,
                 claims=claims,
@@ -373,7 +375,7 @@
         self.outgoing.tell(
             place,
             fr.Ping(
-                sender=self.own.claim,
+                sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
                 number=number,
                 origin=asked.sender.name,
@@ -395,7 +397,7 @@
             self.outgoing.tell(
                 question.origin,
                 fr.Vouch(
-                    sender=self.own.claim,
+                    sender=self.local.claim,
                     sequence=self.outgoing.next_sequence(),
                     number=question.origin_number,
                     target=member.claim.name,
@@ -466,7 +468,7 @@
         failed, same, other = self._facts
         facts = Facts(
             joined=self.joined,
-            named=self.own.named,
+            named=self.local.named,
             others=len(self.table),
             alone_after=self._patience(),
             answered_ago=None if self._answered_at is None else now - self._answered_at,
@@ -512,7 +514,9 @@
             if question.origin is not None:
                 self.outgoing.tell(
                     question.origin,
-                    fr.Nack(sender=self.own.claim, sequence=self.outgoing.next_sequence(), number=question.origin_number),
+                    fr.Nack(
+                        sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=question.origin_number
+                    ),
                     question.origin_version,
                 )
 
@@ -532,7 +536,7 @@
     # ---- staying in contact
 
     def _keep_contact(self, now: int) -> None:
-        if self.own.left:
+        if self.local.left:
             self._knock_at = now + self.settings.forget_after
             self._exchanges.stop_until(self._knock_at)
             return
@@ -540,7 +544,7 @@
             self._exchanges.join(now)
         if self._retry_life_at is not None and now >= self._retry_life_at:
             self._retry_life_at = None
-            self._effects.append(StoreLife(self.own.wanted))
+            self._effects.append(StoreLife(self.local.wanted))
         self._exchanges.take_turn(now)
         if now >= self._knock_at:
             self._knock_at = now + self.settings.knock_every
@@ -566,7 +570,7 @@
             (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in map(self.table.members.__getitem__, self.local_view.suspects)
         ]
-        if not self.own.named or self._answered_at is None:
+        if not self.local.named or self._answered_at is None:
             doors += [
                 (member.claim.address, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
             ]
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -54,7 +54,7 @@
     same, other = members.sharing()
     ages = [members.age(name, now) for name in members.table.members]
     oldest = None if not ages or None in ages else max(age for age in ages if age is not None) / 1e9
-    own = members.own.claim
+    own = members.local.claim
     return State(
         own.name,
         own.life,
@@ -100,7 +100,7 @@
 
 def explain(members: Membership, name: str, now: int) -> list[str] | None:
     """Why a member is held for what it is, in sentences; None where the name is not known."""
-    if name == members.own.claim.name:
+    if name == members.local.claim.name:
         return _explain_self(members, now)
     member = members.table.get(name)
     if member is None:
@@ -139,7 +139,7 @@
 
 
 def _explain_self(members: Membership, now: int) -> list[str]:
-    own, told = members.own, state(members, now)
+    own, told = members.local, state(members, now)
     said = [
         f"this relay: {own.claim.said()}, {told.condition} for {told.since:.1f} s: {told.why}",
         f"to be relied on: {told.relies}",
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -100,7 +100,7 @@
         if members is None:
             return
         key = node.name, node.process
-        rank = members.own.claim.rank
+        rank = members.local.claim.rank
         if rank < self._own.get(key, ()):
             self._say(node, "its word on itself went back")
         self._own[key] = rank
@@ -114,7 +114,7 @@
                 if held is not None and held.claim.identity <= identity:
                     self._say(node, f"{name} life {identity.life} is back in its view")
         if members.condition is Condition.SETTLED and (
-            members.local_view.suspects or not members.joined or not members.own.named
+            members.local_view.suspects or not members.joined or not members.local.named
         ):
             self._say(node, "it is settled, and has reason to doubt")
 
@@ -173,7 +173,7 @@
 
 def all_know(world: World) -> bool:
     """Whether nobody that lives holds a life that is over for one that is there."""
-    there = {node.name: node.members.own.claim.identity for node in world.live() if node.members is not None}
+    there = {node.name: node.members.local.claim.identity for node in world.live() if node.members is not None}
 
     def knows(members: Membership) -> bool:
         return all(
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -192,7 +192,7 @@
         live = self.live()
         views = {node.members.view for node in live if node.members is not None}
         return len(views) == 1 and all(
-            node.members is not None and node.members.count == len(live) and node.members.own.named for node in live
+            node.members is not None and node.members.count == len(live) and node.members.local.named for node in live
         )
 
     # ---- what happens to a process
@@ -251,7 +251,7 @@
             whom = self.nodes[text.split()[1]]
             held = None if node.members is None else node.members.table.get(whom.name)
             if held is not None:
-                there = whom.members is not None and whom.members.own.claim.identity == held.claim.identity
+                there = whom.members is not None and whom.members.local.claim.identity == held.claim.identity
                 self.failures.append((self.now, node.name, whom.name, held.claim.identity, there))
         if self.keep_notes:
             self.notes.append(Seen(self.now, node.name, text))
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -18,7 +18,7 @@
 
 from garnetrelay.fleet.members.claims import Claim, Identity, Status
 from garnetrelay.fleet.members.effects import Effect
-from garnetrelay.fleet.members.local_member import Own
+from garnetrelay.fleet.members.local_member import LocalMember
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.settings import Settings
 from garnetrelay.fleet.members.table import Suspicion, Table
@@ -60,8 +60,8 @@
     bounds: Bounds  # what is left of them
 
 
-Kinds = tuple[type[LocalView], type[Own], type[Table]]
-PLAIN: Kinds = (LocalView, Own, Table)
+Kinds = tuple[type[LocalView], type[LocalMember], type[Table]]
+PLAIN: Kinds = (LocalView, LocalMember, Table)
 
 
 def _short(claim: Claim) -> tuple[Any, ...]:
@@ -69,7 +69,7 @@
 
 
 def _key(local_view: LocalView) -> tuple[Any, ...]:
-    own = local_view.own
+    own = local_view.local
     others = sorted(
         (
             _short(member.claim),
@@ -92,9 +92,9 @@
 def clone(local_view: LocalView, kinds: Kinds, older: int = 0) -> LocalView:
     """A copy; ``older``: so many steps have passed (times are kept relative to now, which is 0)."""
     effects: list[Effect] = []
-    made = kinds[0](local_view.own.claim, SETTINGS, effects)
-    made.own = kinds[1].__new__(kinds[1])
-    made.own.__dict__.update(local_view.own.__dict__)
+    made = kinds[0](local_view.local.claim, SETTINGS, effects)
+    made.local = kinds[1].__new__(kinds[1])
+    made.local.__dict__.update(local_view.local.__dict__)
     made.table = kinds[2](SETTINGS.most_members)
     made.table.print = local_view.table.print
     made.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
@@ -208,7 +208,9 @@
         text = self._words.get(number)
         if text is None:
             local_view = self.met[number]
-            text = self._words[number] = self.text((local_view.own.claim, *sorted(local_view.table.claims(), key=_short)))
+            text = self._words[number] = self.text(
+                (local_view.local.claim, *sorted(local_view.table.claims(), key=_short))
+            )
         return text
 
     def hears(self, local_view: int, text: int) -> int:
@@ -245,7 +247,7 @@
 
     def keeps(self, local_view: int) -> int:
         """The next life is in the folder."""
-        return self.after(local_view, ("keeps",), lambda made: made.kept(made.own.wanted))
+        return self.after(local_view, ("keeps",), lambda made: made.kept(made.local.wanted))
 
     # ---- what may happen
 
@@ -273,18 +275,18 @@
                         bounds=left._replace(kills=left.kills - 1)
                     ),
                 )
-            if local_view.own.wanted and not local_view.own.left:
+            if local_view.local.wanted and not local_view.local.left:
                 yield (
-                    f"{name} keeps life {local_view.own.wanted}",
+                    f"{name} keeps life {local_view.local.wanted}",
                     self.with_site(
                         world,
                         number,
                         site._replace(
-                            folder=self.keep(site.folder, local_view.own.wanted), local_view=self.keeps(site.local_view)
+                            folder=self.keep(site.folder, local_view.local.wanted), local_view=self.keeps(site.local_view)
                         ),
                     ),
                 )
-            if not local_view.own.named:
+            if not local_view.local.named:
                 continue
             if len(flying) < left.messages:
                 said = self.words(site.local_view)
@@ -327,12 +329,12 @@
         life = self.first_life(0 if lost else site.folder)
         claim = Claim(NAMES[number], life, 10 * number + site.starts, life, 0, Status.ALIVE, "10.0.0.1", 1, 2)
         local_view = self.kinds[0](claim, SETTINGS, [])
-        local_view.own, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.most_members)
+        local_view.local, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.most_members)
         return Site(life, site.starts + 1, self.number(local_view))
 
     def leaves(self, world: World, number: int, site: Site) -> World:
         """It says so to one other; then its process ends."""
-        claim = clone(self.met[site.local_view], self.kinds).own.leave()
+        claim = clone(self.met[site.local_view], self.kinds).local.leave()
         flying = world.flying
         if len(flying) < world.bounds.messages:
             flying = tuple(sorted((*flying, ((number + 1) % len(NAMES), self.text((claim,))))))
@@ -354,7 +356,7 @@
         for old, new in zip(before.sites, after.sites, strict=True):
             if new.local_view < 0 or new == old:
                 continue
-            own = self.met[new.local_view].own
+            own = self.met[new.local_view].local
             if own.claim.life > new.folder:
                 raise Broken("a life is used before it is in the folder")
             if old.local_view < 0:
@@ -368,14 +370,14 @@
 
     def compare_site(self, old: LocalView, new: LocalView) -> None:
         """Properties of what becomes of a holding."""
-        if new.own.claim.identity < old.own.claim.identity:
+        if new.local.claim.identity < old.local.claim.identity:
             raise Broken("a relay goes back to an earlier life")
-        if new.own.claim.identity == old.own.claim.identity:
-            if new.own.claim.incarnation < old.own.claim.incarnation:
+        if new.local.claim.identity == old.local.claim.identity:
+            if new.local.claim.incarnation < old.local.claim.incarnation:
                 raise Broken("an incarnation goes back")
-            if old.own.wanted and new.own.named:
+            if old.local.wanted and new.local.named:
                 raise Broken("a relay speaks on in a life that it knows has ended")
-            if old.own.aside is not None and new.own.named:
+            if old.local.aside is not None and new.local.named:
                 raise Broken("a relay speaks beside the process for which it stood aside")
         for member in old.table:
             claim = member.claim
@@ -396,14 +398,14 @@
         """The lives of which nobody knows anything that ends them."""
         held = [self.met[number] for number in live]
         return {
-            one.name: one.own.claim.identity
+            one.name: one.local.claim.identity
             for one in held
-            if one.own.named
+            if one.local.named
             and not any(
                 (member := other.table.get(one.name)) is not None
                 and (
-                    member.claim.identity > one.own.claim.identity
-                    or member.claim.identity == one.own.claim.identity
+                    member.claim.identity > one.local.claim.identity
+                    or member.claim.identity == one.local.claim.identity
                     and member.claim.final
                 )
                 for other in held
@@ -431,14 +433,14 @@
 
     def one_round(self, live: list[int]) -> None:
         """Each keeps its life, tells all twice, and probes; a step passes."""
-        live[:] = [self.keeps(number) if self.met[number].own.wanted else number for number in live]
+        live[:] = [self.keeps(number) if self.met[number].local.wanted else number for number in live]
         for place, other in 2 * list(itertools.permutations(range(len(live)), 2)):
             speaker, hearer = self.met[live[place]], self.met[live[other]]
-            if speaker.own.named:
+            if speaker.local.named:
                 live[other] = self.hears(live[other], self.words(live[place]))
-            elif hearer.own.named and (held := hearer.table.get(speaker.name)) is not None:
+            elif hearer.local.named and (held := hearer.table.get(speaker.name)) is not None:
                 live[place] = self.hears(live[place], self.text((held.claim,)))  # it knocks, and is told
-        running = {self.met[number].name: self.met[number].own for number in live}
+        running = {self.met[number].name: self.met[number].local for number in live}
         for place, number in enumerate(live):
             for name, member in list(self.met[number].table.members.items()):
                 there = running.get(name)
@@ -450,13 +452,13 @@
         """All that live hold just each other."""
         held = [self.met[number] for number in live]
         for local_view in held:
-            if not local_view.own.named:
+            if not local_view.local.named:
                 raise Broken("links are whole, and a relay never gets its name", "links are whole")
             inside = {
                 (name, member.claim.identity, member.claim.status) for name, member in local_view.table.members.items()
             }
             if inside != {
-                (other.name, other.own.claim.identity, Status.ALIVE) for other in held if other is not local_view
+                (other.name, other.local.claim.identity, Status.ALIVE) for other in held if other is not local_view
             }:
                 raise Broken("links are whole, and views do not meet again", "links are whole")
 
@@ -510,7 +512,7 @@
         return change
 
 
-class Mute(Own):
+class Mute(LocalMember):
     """Hears that it is suspected, and does not speak up."""
 
     def hear(self, claim: Claim) -> Any:
@@ -519,7 +521,7 @@
         return super().hear(claim)
 
 
-class SpeaksOn(Own):
+class SpeaksOn(LocalMember):
     """Goes on in a life that has ended until the next is kept."""
 
     def hear(self, claim: Claim) -> Any:
@@ -528,7 +530,7 @@
         return answer
 
 
-class Hasty(Own):
+class Hasty(LocalMember):
     """Uses the next life before it is kept."""
 
     def hear(self, claim: Claim) -> Any:
@@ -538,14 +540,14 @@
         return answer
 
 
-class Stubborn(Own):
+class Stubborn(LocalMember):
     """Takes no word on itself for true."""
 
     def hear(self, claim: Claim) -> Any:
         return super().hear(claim) if not claim.final else super().hear(claim.judged(Status.ALIVE, ""))
 
 
-class Pushy(Own):
+class Pushy(LocalMember):
     """Does not stand aside for another process of its name."""
 
     def hear(self, claim: Claim) -> Any:
@@ -555,7 +557,7 @@
         return answer
 
 
-class Back(Own):
+class Back(LocalMember):
     """Begins with its incarnation anew when it is suspected."""
 
     def hear(self, claim: Claim) -> Any:
@@ -612,18 +614,22 @@
 
 FAULTS: dict[str, Fault] = {
     "a final word that is not final": Fault(
-        _bounds(suspicions=1), "a life that failed or left comes back", {"kinds": (LocalView, Own, NoFinal)}
+        _bounds(suspicions=1), "a life that failed or left comes back", {"kinds": (LocalView, LocalMember, NoFinal)}
     ),
     "an earlier life taken for news": Fault(
-        _bounds(starts=2, kills=1), "an earlier life takes the place of a later one", {"kinds": (LocalView, Own, AnyLife)}
+        _bounds(starts=2, kills=1),
+        "an earlier life takes the place of a later one",
+        {"kinds": (LocalView, LocalMember, AnyLife)},
     ),
     "two processes of one life not told apart": Fault(
         _bounds(starts=2, kills=1, lost_folders=1),
         "links are whole, and views do not meet again",
-        {"kinds": (LocalView, Own, NoProcess)},
+        {"kinds": (LocalView, LocalMember, NoProcess)},
     ),
     "one voice counted twice": Fault(
-        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (LocalView, Own, OneVoice)}
+        _bounds(suspicions=1),
+        "a member is failed without its time to speak up",
+        {"kinds": (LocalView, LocalMember, OneVoice)},
     ),
     "a suspected relay that does not speak up": Fault(
         _bounds(suspicions=1), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Mute, Table)}
@@ -648,16 +654,18 @@
         _bounds(suspicions=2), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Back, Table)}
     ),
     "a judgement before its time": Fault(
-        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (Rash, Own, Table)}
+        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (Rash, LocalMember, Table)}
     ),
     "a time that a shrinking view cuts short": Fault(
-        _bounds(suspicions=2), "a member is failed without its time to speak up", {"kinds": (Shrinking, Own, Table)}
+        _bounds(suspicions=2),
+        "a member is failed without its time to speak up",
+        {"kinds": (Shrinking, LocalMember, Table)},
     ),
     "no judgement at all": Fault(
-        _bounds(kills=1), "links are whole, and views do not meet again", {"kinds": (Silent, Own, Table)}
+        _bounds(kills=1), "links are whole, and views do not meet again", {"kinds": (Silent, LocalMember, Table)}
     ),
     "a suspicion that loses its end": Fault(
-        _bounds(suspicions=1), "a suspicion has no end", {"kinds": (Anew, Own, Table)}
+        _bounds(suspicions=1), "a suspicion has no end", {"kinds": (Anew, LocalMember, Table)}
     ),
     "a folder that does not count up": Fault(
         _bounds(starts=2, kills=1), "a life is used twice", {"first_life": lambda folder: max(1, folder)}
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -31,7 +31,7 @@
 
 
 def held(members: Membership) -> dict[str, tuple[object, ...]]:
-    return {each.name: (each.rank, each.zone) for each in [members.own.claim, *members.table.claims()]}
+    return {each.name: (each.rank, each.zone) for each in [members.local.claim, *members.table.claims()]}
 
 
 class HelloOfBefore(msgspec.Struct, array_like=True, tag=6, frozen=True):
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -148,7 +148,7 @@
     assert members is not None and len(heard) > 30
 
     def state() -> tuple[object, ...]:
-        return list(members.table.claims()), members.own.claim, members.view, members.condition
+        return list(members.table.claims()), members.local.claim, members.view, members.condition
 
     before, refused, taken = state(), set(), set()
     for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), 3000):
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -81,7 +81,7 @@
     )
     day.up(7)  # it knows nothing of its earlier life
     day.run(60)
-    assert day.one_view() and day.mails[7].members.own.claim.life == 2
+    assert day.one_view() and day.mails[7].members.local.claim.life == 2
 
 
 def test_a_fleet_of_notes_begins_as_one_and_tells_differences_only() -> None:
@@ -106,7 +106,7 @@
         day.up(relay)
     day.run(60)
     assert day.one_view() and day.posts - before <= 2 * 60 * 60  # as much again as peace, at most
-    assert {mail.members.own.claim.life for relay, mail in day.mails.items() if relay % 3} == {1}
+    assert {mail.members.local.claim.life for relay, mail in day.mails.items() if relay % 3} == {1}
     whole = day.mails[1].members.answer_hello(day.now, day.mails[2].members.hello(day.now))
     pieces = [day.mails[2].codec.decode(post.data, exchange=True) for post in day.mails[1]._pieces(2, whole)]
     told = {claim.name for piece in pieces for claim in piece.claims}
@@ -121,10 +121,10 @@
 def test_a_note_that_cannot_be_used_changes_nothing() -> None:
     mail = SimulatorMember(0, 3, 1, 0)
     mail.begin(0)
-    before = mail.members.own.claim, list(mail.members.table.claims())
+    before = mail.members.local.claim, list(mail.members.table.claims())
     for data in (b"", b"noise", bytes(300), mail.codec.encode(mail.members.hello(0), 2)[:-1]):
         assert mail.mail(1, 1, data) == []
-    assert mail.refused == 4 and before == (mail.members.own.claim, list(mail.members.table.claims()))
+    assert mail.refused == 4 and before == (mail.members.local.claim, list(mail.members.table.claims()))
     assert all(number(place(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
 
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -45,7 +45,7 @@
 
 def peace_bound(world: World) -> float:
     """Bytes a member a second where nothing happens, by the settings alone."""
-    claim = max(node.members.own.claim.size() for node in world.live() if node.members is not None)
+    claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
     frame = fr.HEAD + FIXED + claim
     ages = min(SETTINGS.most_words, MEMBERS - 1) * fr.WORD.size
     period = SETTINGS.probe_every / SECOND
@@ -100,7 +100,7 @@
 
 
 def pause_for(members: Membership, words: int) -> int:
-    return words * members.own.claim.size() * SETTINGS.probe_every // SETTINGS.most_frame
+    return words * members.local.claim.size() * SETTINGS.probe_every // SETTINGS.most_frame
 
 
 def asks_after(failed: int, count: int) -> tuple[int, int]:
@@ -109,7 +109,7 @@
     members = relay()
     members.go_on_from(0, others(count, failed))
     began = now = members.next_at
-    members.local_view.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
+    members.local_view.hear(now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
     effects = members.life_kept(now, 2)
     while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
