--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -72,7 +72,7 @@
         self.next_at = now + gap // 2 + self._draw.randrange(gap)
         place = self._first or self._anybody()
         self._first = None
-        if place is not None and self._local_view.local.named:
+        if place is not None and self._local_view.local.active:
             self._effects.append(StartExchange(place))
 
     def repair(self, now: int, place: SocketAddress, changed_at: int) -> None:
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -34,7 +34,7 @@
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
-        self.named = True
+        self.active = True
         self.left = False
         self.wanted = 0  # a life that is to be kept
         self.aside: Claim | None = None  # who has the name
@@ -61,7 +61,7 @@
         if self.wanted > claim.life:
             return Answer.NOTHING
         news = self.aside is None or self.aside.identity != claim.identity
-        self.aside, self.named = claim, False
+        self.aside, self.active = claim, False
         return Answer.ASIDE if news else Answer.NOTHING
 
     def kept(self, life: int) -> bool:
@@ -70,17 +70,17 @@
             return False
         born = self.claim.born if self._same_process else life
         self.claim = msgspec.structs.replace(self.claim, life=life, born=born, incarnation=0)
-        self.wanted, self.aside, self.named = 0, None, True
+        self.wanted, self.aside, self.active = 0, None, True
         return True
 
     def leave(self) -> Claim:
         """The last word of this life."""
-        self.left, self.named = True, False
+        self.left, self.active = True, False
         return self.claim.judged(Status.LEFT, "")
 
     def _want(self, ended: Claim, same: bool) -> Answer:
         if self.wanted > ended.life or ended.life >= MOST_LIFE:
             return Answer.NOTHING
         self._same_process = same and (self._same_process or not self.wanted)
-        self.wanted, self.named, self.aside = ended.life + 1, False, None
+        self.wanted, self.active, self.aside = ended.life + 1, False, None
         return Answer.WANTED
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -58,7 +58,7 @@
     @property
     def view(self) -> int:
         """32 bits that stand for who is in the view."""
-        own = mark(self.name, self.local.claim.identity) if self.local.named else 0
+        own = mark(self.name, self.local.claim.identity) if self.local.active else 0
         return (self.table.print ^ own) >> 32
 
     def suspicion_ends(self, member: Member) -> int:
@@ -69,7 +69,7 @@
 
     def next_judgement(self) -> int | None:
         """When the next suspicion ends; None where there is none, or this relay has no word."""
-        if not self.local.named or not self.suspects:
+        if not self.local.active or not self.suspects:
             return None
         return min(self.suspicion_ends(self.table.members[name]) for name in self.suspects)
 
@@ -117,7 +117,7 @@
     def suspect(self, now: int, name: str, identity: Identity, why: str) -> bool:
         """A probe of a member came to nothing; whether it is still in that life."""
         member = self.table.members.get(name)
-        if member is None or member.claim.identity != identity or not self.local.named:
+        if member is None or member.claim.identity != identity or not self.local.active:
             return False
         self.figures.suspected += 1
         if member.suspicion is None:
@@ -129,7 +129,7 @@
         """Suspicions whose time is over. ``answered_at``: when this relay last had an answer from anybody; None where its
         word counts for nothing. Where none has come since the suspicion began, the fault may be its own, and the
         suspicion begins anew."""
-        if not self.local.named:
+        if not self.local.active:
             return
         for name in list(self.suspects):
             member = self.table.members[name]
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -92,7 +92,7 @@
         """Probe the next member of the round; whether there is one, and this relay has a name to ask by."""
         members = self._local_view.table.members
         name = self._rounds.choose(members)
-        if name is None or not self._local_view.local.named:
+        if name is None or not self._local_view.local.active:
             self.begin_at = now + self._settings.probe_every
             return False
         self._begin(now, members[name])
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -118,7 +118,7 @@
         """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
         ``view`` or ``condition`` has changed, or once a period."""
         zones = {name: member.claim.zone for name, member in self.table.members.items()}
-        if self.local.named:
+        if self.local.active:
             zones[self.local.claim.name] = self.local.claim.zone
         return FleetView(zones, self.condition, self.view)
 
@@ -215,12 +215,12 @@
     def leave(self, now: int) -> list[Effect]:
         """The last words of this life."""
         self._begin(now)
-        if self.local.named:
+        if self.local.active:
             last = self.local.leave()
             for name in self._rounds.sample(self.table.members, LEAVE_TOLD):
                 member = self.table.members[name]
                 self.outgoing.ping(member.claim.address, self.outgoing.version(member.claim), 0, [last])
-        self.local.left, self.local.named = True, False
+        self.local.left, self.local.active = True, False
         return self._end(now)
 
     # ---- a frame
@@ -267,7 +267,7 @@
         self._hear(now, sender)
         self._hear_all(now, frame)
         member = self.table.members.get(sender.name)
-        if member is None or not self.local.named and question is None:
+        if member is None or not self.local.active and question is None:
             return  # it has said of itself that it left; or this relay has no name to answer by
         match frame:
             case fr.Ping():
@@ -295,7 +295,7 @@
 
     def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
         """Tell a life that has ended, or been followed by another, what is held of it."""
-        if not self.local.named:
+        if not self.local.active:
             return
         sender = frame.sender
         if isinstance(frame, fr.Ping):
@@ -312,7 +312,7 @@
     def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         """A life that is not known: answer it, so that it knows us, and ask it."""
         self.figures.refused["unproven"] += 1
-        if not self.local.named:
+        if not self.local.active:
             return
         version = self.outgoing.version(frame.sender)
         if isinstance(frame, fr.Ping):
@@ -468,7 +468,7 @@
         failed, same, other = self._facts
         facts = Facts(
             joined=self.joined,
-            named=self.local.named,
+            active=self.local.active,
             others=len(self.table),
             alone_after=self._patience(),
             answered_ago=None if self._answered_at is None else now - self._answered_at,
@@ -570,7 +570,7 @@
             (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in map(self.table.members.__getitem__, self.local_view.suspects)
         ]
-        if not self.local.named or self._answered_at is None:
+        if not self.local.active or self._answered_at is None:
             doors += [
                 (member.claim.address, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
             ]
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -48,7 +48,7 @@
     """What the condition follows from."""
 
     joined: bool
-    named: bool  # its name is its own, in a life that is kept
+    active: bool  # its name is its own, in a life that is kept
     others: int  # in the view, without this relay
     answered_ago: int | None  # since anybody answered, nanoseconds; None: nobody ever
     alone_after: int
@@ -62,7 +62,7 @@
 
 def judge(facts: Facts) -> tuple[Condition, str]:
     """The condition that the facts speak for, and the fact in words."""
-    if not facts.named:
+    if not facts.active:
         return Condition.JOINING, "its name is in doubt"
     if not facts.joined:
         return Condition.JOINING, "no full exchange yet"
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -141,7 +141,7 @@
     def passing(self) -> dict[str, Any] | None:
         """This member, for the process that goes on as it; None where it has no part in the fleet now."""
         members = self.members
-        if members is None or not members.local.named:
+        if members is None or not members.local.active:
             return None
         found = Passing(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
         return msgspec.to_builtins(found)  # type: ignore[no-any-return]
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -114,7 +114,7 @@
                 if held is not None and held.claim.identity <= identity:
                     self._say(node, f"{name} life {identity.life} is back in its view")
         if members.condition is Condition.SETTLED and (
-            members.local_view.suspects or not members.joined or not members.local.named
+            members.local_view.suspects or not members.joined or not members.local.active
         ):
             self._say(node, "it is settled, and has reason to doubt")
 
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -192,7 +192,7 @@
         live = self.live()
         views = {node.members.view for node in live if node.members is not None}
         return len(views) == 1 and all(
-            node.members is not None and node.members.count == len(live) and node.members.local.named for node in live
+            node.members is not None and node.members.count == len(live) and node.members.local.active for node in live
         )
 
     # ---- what happens to a process
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -80,7 +80,7 @@
     return (
         _short(own.claim),
         own.claim.born,
-        own.named,
+        own.active,
         own.left,
         own.wanted,
         own.aside and _short(own.aside),
@@ -286,7 +286,7 @@
                         ),
                     ),
                 )
-            if not local_view.local.named:
+            if not local_view.local.active:
                 continue
             if len(flying) < left.messages:
                 said = self.words(site.local_view)
@@ -375,9 +375,9 @@
         if new.local.claim.identity == old.local.claim.identity:
             if new.local.claim.incarnation < old.local.claim.incarnation:
                 raise Broken("an incarnation goes back")
-            if old.local.wanted and new.local.named:
+            if old.local.wanted and new.local.active:
                 raise Broken("a relay speaks on in a life that it knows has ended")
-            if old.local.aside is not None and new.local.named:
+            if old.local.aside is not None and new.local.active:
                 raise Broken("a relay speaks beside the process for which it stood aside")
         for member in old.table:
             claim = member.claim
@@ -400,7 +400,7 @@
         return {
             one.name: one.local.claim.identity
             for one in held
-            if one.local.named
+            if one.local.active
             and not any(
                 (member := other.table.get(one.name)) is not None
                 and (
@@ -436,15 +436,15 @@
         live[:] = [self.keeps(number) if self.met[number].local.wanted else number for number in live]
         for place, other in 2 * list(itertools.permutations(range(len(live)), 2)):
             speaker, hearer = self.met[live[place]], self.met[live[other]]
-            if speaker.local.named:
+            if speaker.local.active:
                 live[other] = self.hears(live[other], self.words(live[place]))
-            elif hearer.local.named and (held := hearer.table.get(speaker.name)) is not None:
+            elif hearer.local.active and (held := hearer.table.get(speaker.name)) is not None:
                 live[place] = self.hears(live[place], self.text((held.claim,)))  # it knocks, and is told
         running = {self.met[number].name: self.met[number].local for number in live}
         for place, number in enumerate(live):
             for name, member in list(self.met[number].table.members.items()):
                 there = running.get(name)
-                if there is None or not there.named or there.claim.identity != member.claim.identity:
+                if there is None or not there.active or there.claim.identity != member.claim.identity:
                     number = self.suspects(number, name)
             live[place] = self.older(number)
 
@@ -452,7 +452,7 @@
         """All that live hold just each other."""
         held = [self.met[number] for number in live]
         for local_view in held:
-            if not local_view.local.named:
+            if not local_view.local.active:
                 raise Broken("links are whole, and a relay never gets its name", "links are whole")
             inside = {
                 (name, member.claim.identity, member.claim.status) for name, member in local_view.table.members.items()
@@ -526,7 +526,7 @@
 
     def hear(self, claim: Claim) -> Any:
         answer = super().hear(claim)
-        self.named = self.named or bool(self.wanted)
+        self.active = self.active or bool(self.wanted)
         return answer
 
 
@@ -553,7 +553,7 @@
     def hear(self, claim: Claim) -> Any:
         answer = super().hear(claim)
         if self.aside is not None:
-            self.named = True
+            self.active = True
         return answer
 
 
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -41,7 +41,7 @@
     assert not effects
     exchanges.take_turn(exchanges.next_at)
     assert effects == [StartExchange(SEEDS[0])]
-    local_view.local.named = False
+    local_view.local.active = False
     before = exchanges.next_at
     exchanges.take_turn(before)
     assert effects == [StartExchange(SEEDS[0])] and exchanges.next_at > before
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -66,7 +66,7 @@
 facts = st.builds(
     Facts,
     joined=st.booleans(),
-    named=st.booleans(),
+    active=st.booleans(),
     others=st.integers(0, 5),
     answered_ago=st.one_of(st.none(), st.integers(0, 5)),
     alone_after=st.just(3),
@@ -81,7 +81,7 @@
 
 SETTLED = Facts(
     joined=True,
-    named=True,
+    active=True,
     others=2,
     answered_ago=0,
     alone_after=3,
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -195,7 +195,7 @@
     world.kill("n4")
     assert world.run(world.now + 60 * SECOND, world.one_view)
     world.start("n4", folder=world.nodes["n3"].life, called="n3")
-    assert world.run(world.now + 60 * SECOND, lambda: not first.local.named)
+    assert world.run(world.now + 60 * SECOND, lambda: not first.local.active)
     held = members(world, "n1").table.members["n3"].claim
     assert held.address == twin and held.life == 2 and first.local.aside is not None
     assert first.condition is Condition.JOINING and not first.local_view.suspect(0, "n1", held.identity, "")
