--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from garnetrelay.config.addresses import place
-from garnetrelay.fleet.members.claims import MOST_NAME, UNKNOWN_ZONE, SocketAddress, Zone
+from garnetrelay.fleet.members.claims import MAX_NAME_BYTES, UNKNOWN_ZONE, SocketAddress, Zone
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.signing import LEAST_SECRET
 
@@ -72,8 +72,8 @@
 
 def check(table: FleetTable, folder: Path, name: str) -> Fleet:
     """The table as it is used; ValueError in one line. ``folder``: where relative paths begin."""
-    if not 1 <= len(name) <= MOST_NAME or not name.isascii() or not name.isprintable() or " " in name:
-        raise ValueError(f"fleet: the relay's name '{name[:80]}' is not 1 to {MOST_NAME} printable characters")
+    if not 1 <= len(name) <= MAX_NAME_BYTES or not name.isascii() or not name.isprintable() or " " in name:
+        raise ValueError(f"fleet: the relay's name '{name[:80]}' is not 1 to {MAX_NAME_BYTES} printable characters")
     if table.probe_timeout_ms * 2 > table.probe_every_ms:
         raise ValueError("fleet.probe_timeout_ms: half of probe_every_ms at most")
     listen = place(table.listen, "fleet.listen", listens=True)
--- a/garnetrelay/fleet/members/claims.py
+++ b/garnetrelay/fleet/members/claims.py
@@ -19,21 +19,21 @@
 import msgspec
 from msgspec import Meta
 
-MOST_LIFE = (1 << 40) - 1
-MOST_INCARNATION = (1 << 31) - 1
-MOST_NAME = 64  # bytes: names are printable ASCII
-MOST_ZONE = 255  # one byte or two on the wire
+MAX_LIFE = (1 << 40) - 1
+MAX_INCARNATION = (1 << 31) - 1
+MAX_NAME_BYTES = 64  # bytes: names are printable ASCII
+MAX_ZONE = 255  # one byte or two on the wire
 UNKNOWN_ZONE = 0
 
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME, pattern="^[!-~]+$")]
-NameOrNone = Annotated[str, Meta(max_length=MOST_NAME, pattern="^[!-~]*$")]
-Life = Annotated[int, Meta(ge=1, le=MOST_LIFE)]
-Incarnation = Annotated[int, Meta(ge=0, le=MOST_INCARNATION)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES, pattern="^[!-~]+$")]
+NameOrNone = Annotated[str, Meta(max_length=MAX_NAME_BYTES, pattern="^[!-~]*$")]
+Life = Annotated[int, Meta(ge=1, le=MAX_LIFE)]
+Incarnation = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
 Process = Annotated[int, Meta(ge=0, lt=1 << 32)]
 Host = Annotated[str, Meta(min_length=1, max_length=45, pattern="^[0-9a-fA-F.:]+$")]
 Port = Annotated[int, Meta(ge=1, le=65535)]
 Speaks = Annotated[int, Meta(ge=1, le=255)]
-Zone = Annotated[int, Meta(ge=UNKNOWN_ZONE, le=MOST_ZONE)]
+Zone = Annotated[int, Meta(ge=UNKNOWN_ZONE, le=MAX_ZONE)]
 
 
 class Status(IntEnum):
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, Claim, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 
 
 class Answer(Enum):
@@ -46,7 +46,7 @@
         if self.left:
             return Answer.NOTHING
         if claim.identity == own.identity:
-            if claim.final or claim.incarnation >= MOST_INCARNATION:
+            if claim.final or claim.incarnation >= MAX_INCARNATION:
                 return self._want(claim, True)
             if claim.incarnation > own.incarnation or (
                 claim.status is Status.SUSPECT and claim.incarnation == own.incarnation
@@ -79,7 +79,7 @@
         return self.claim.judged(Status.LEFT, "")
 
     def _want(self, ended: Claim, same: bool) -> Answer:
-        if self.wanted > ended.life or ended.life >= MOST_LIFE:
+        if self.wanted > ended.life or ended.life >= MAX_LIFE:
             return Answer.NOTHING
         self._same_process = same and (self._same_process or not self.wanted)
         self.wanted, self.active, self.aside = ended.life + 1, False, None
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet import status
 from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, SocketAddress, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
@@ -47,7 +47,7 @@
     now = msgspec.structs.replace(
         own, host=place.host, port=place.port, speaks=config.settings.versions, zone=config.zone
     )
-    if now == own or own.incarnation >= MOST_INCARNATION:
+    if now == own or own.incarnation >= MAX_INCARNATION:
         return now
     return msgspec.structs.replace(now, incarnation=own.incarnation + 1)
 
--- a/garnetrelay/laboratory/hostile.py
+++ b/garnetrelay/laboratory/hostile.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, MOST_ZONE, Claim, SocketAddress, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, MAX_ZONE, Claim, SocketAddress, Status
 
 STRANGER = SocketAddress("10.9.9.9", 9)
 
@@ -38,9 +38,9 @@
         sender = whole[1]
         what = draw.randrange(13)
         if what == 0:
-            sender[1] = MOST_LIFE + 1
+            sender[1] = MAX_LIFE + 1
         elif what == 1:
-            sender[4] = MOST_INCARNATION + 1
+            sender[4] = MAX_INCARNATION + 1
         elif what == 2:
             sender[1] = -1
         elif what == 3:
@@ -64,7 +64,7 @@
         elif what == 11:
             whole[6] = b"12345"  # words of no whole number
         else:
-            sender[10] = MOST_ZONE + 1
+            sender[10] = MAX_ZONE + 1
         return codec.sign(msgspec.msgpack.encode(whole), 2)
 
     def shortened() -> bytes:
--- a/tests/fleet/leases/test_lease_codec.py
+++ b/tests/fleet/leases/test_lease_codec.py
@@ -30,7 +30,7 @@
     Session,
 )
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_NAME
+from garnetrelay.fleet.members.claims import MAX_NAME_BYTES
 from garnetrelay.fleet.partitions.hashing import MOST_PARTITIONS
 from garnetrelay.fleet.signing import HEAD, FrameRefusedError
 
@@ -77,11 +77,11 @@
     assert cause(codec, b"GL" + members.sign(body, VERSION)[2:]) == "secret"
 
 
-LONGEST = Session("n" * MOST_NAME, (1 << 62) - 1)
+LONGEST = Session("n" * MAX_NAME_BYTES, (1 << 62) - 1)
 TOP = (1 << 62) - 1
 TOP_GRANTS = [Grant(MOST_PARTITIONS - 1, MOST_EPOCH)] * MOST_GRANTS
 TOP_REFUSALS = [Refusal(MOST_PARTITIONS - 1, MOST_EPOCH, (1 << 50) - 1)] * MOST_GRANTS
-SHORT_RECORD, LONG_RECORD = (Record(MOST_PARTITIONS - 1, MOST_EPOCH, "n" * size, TOP) for size in (1, MOST_NAME))
+SHORT_RECORD, LONG_RECORD = (Record(MOST_PARTITIONS - 1, MOST_EPOCH, "n" * size, TOP) for size in (1, MAX_NAME_BYTES))
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, Claim, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory import hostile
 from garnetrelay.laboratory.world import Node, World
@@ -44,7 +44,7 @@
         fr.Ping(origin="n3", **rest),  # type: ignore[arg-type]
         fr.Ack(heard=-1, **rest),  # type: ignore[arg-type]
         fr.AskFor(target="n2", host="::1", port=1, **rest),  # type: ignore[arg-type]
-        fr.Vouch(target="n2", life=MOST_LIFE, process=0, incarnation=MOST_INCARNATION, **rest),  # type: ignore[arg-type]
+        fr.Vouch(target="n2", life=MAX_LIFE, process=0, incarnation=MAX_INCARNATION, **rest),  # type: ignore[arg-type]
         fr.Nack(**rest),  # type: ignore[arg-type]
     ):
         assert codec.decode(codec.encode(frame, 2)) == frame
@@ -116,10 +116,10 @@
         fr.Codec([NEW]),
         Claim(
             "n" * 64,
-            MOST_LIFE,
+            MAX_LIFE,
             (1 << 32) - 1,
-            MOST_LIFE,
-            MOST_INCARNATION,
+            MAX_LIFE,
+            MAX_INCARNATION,
             Status.SUSPECT,
             "f" * 39,
             65535,
