--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -11,7 +11,7 @@
 from garnetrelay.config.addresses import place
 from garnetrelay.fleet.members.claims import MAX_NAME_BYTES, UNKNOWN_ZONE, SocketAddress, Zone
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
-from garnetrelay.fleet.signing import LEAST_SECRET
+from garnetrelay.fleet.signing import MIN_SECRET_BYTES
 
 if TYPE_CHECKING:
     from garnetrelay.config.leases import Leases
@@ -63,8 +63,8 @@
     if not 1 <= len(lines) <= MOST_SECRETS:
         raise ValueError(f"{path}: {len(lines)} lines; a secret stands in one, a second one is good during a change")
     for number, line in enumerate(lines, 1):
-        if len(line) < LEAST_SECRET:
-            raise ValueError(f"{path}:{number}: a secret has {LEAST_SECRET} bytes at least")
+        if len(line) < MIN_SECRET_BYTES:
+            raise ValueError(f"{path}:{number}: a secret has {MIN_SECRET_BYTES} bytes at least")
     if len(set(lines)) < len(lines):
         raise ValueError(f"{path}: the two secrets are the same")
     return lines
--- a/garnetrelay/fleet/leases/codec.py
+++ b/garnetrelay/fleet/leases/codec.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from garnetrelay.fleet.leases.messages import Message
-from garnetrelay.fleet.signing import HEAD, FrameRefusedError, Signing
+from garnetrelay.fleet.signing import HEADER_BYTES, FrameRefusedError, Signing
 
 MAGIC = b"GL"
 VERSION = 1
@@ -32,7 +32,7 @@
     def encode(self, message: Message) -> bytes:
         """One datagram; ValueError where it does not fit one, which no message of the stated bounds does."""
         body = _encoder.encode(message)
-        if len(body) > MOST_DATAGRAM - HEAD:
+        if len(body) > MOST_DATAGRAM - HEADER_BYTES:
             raise ValueError(f"{type(message).__name__} takes {len(body)} bytes")
         return self.sign(body, VERSION)
 
--- a/garnetrelay/fleet/members/frames.py
+++ b/garnetrelay/fleet/members/frames.py
@@ -23,7 +23,7 @@
 
 MAGIC = b"GF"
 VERSIONS = (1, 2)
-HEAD = signing.HEAD
+HEADER_BYTES = signing.HEADER_BYTES
 MOST_DATAGRAM = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
 MOST_EXCHANGE = 1 << 20  # bytes of a frame over TCP: 2,000 members of the longest names, and more
 MOST_CLAIMS = 4096
--- a/garnetrelay/fleet/signing.py
+++ b/garnetrelay/fleet/signing.py
@@ -12,8 +12,8 @@
 import hmac
 from collections.abc import Container
 
-HEAD = 20  # bytes before the body
-LEAST_SECRET = 16  # bytes
+HEADER_BYTES = 20  # bytes before the body
+MIN_SECRET_BYTES = 16  # bytes
 
 
 class FrameRefusedError(ValueError):
@@ -42,14 +42,14 @@
         """Version and body of a frame of at most so many bytes; FrameRefusedError with a cause."""
         if len(data) > most:
             raise FrameRefusedError("long")
-        if len(data) <= HEAD or data[:2] != self._magic:
+        if len(data) <= HEADER_BYTES or data[:2] != self._magic:
             raise FrameRefusedError("foreign")
         version = data[2]
         if version not in self._versions:
             raise FrameRefusedError("version")
-        body = data[HEAD:]
+        body = data[HEADER_BYTES:]
         if not any(
-            number == data[3] and hmac.compare_digest(self._digest(secret, version, body), data[4:HEAD])
+            number == data[3] and hmac.compare_digest(self._digest(secret, version, body), data[4:HEADER_BYTES])
             for number, secret in self.good
         ):
             raise FrameRefusedError("secret")
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -158,7 +158,7 @@
 
     def _pieces(self, to: int, whole: fr.Whole) -> Iterator[Post]:
         """What a frame holds beyond what is presumed, in notes."""
-        room = MOST - fr.HEAD - 64 - whole.sender.size()
+        room = MOST - fr.HEADER_BYTES - 64 - whole.sender.size()
         claims = [claim for claim in whole.claims if claim != self.presumed.get(claim.name)]
         while True:
             piece: list[Claim] = []
--- a/tests/fleet/leases/test_lease_codec.py
+++ b/tests/fleet/leases/test_lease_codec.py
@@ -32,7 +32,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_NAME_BYTES
 from garnetrelay.fleet.partitions.hashing import MOST_PARTITIONS
-from garnetrelay.fleet.signing import HEAD, FrameRefusedError
+from garnetrelay.fleet.signing import HEADER_BYTES, FrameRefusedError
 
 SECRET, OTHER = b"the secret of the tests", b"a secret of somebody else"
 SESSION = Session("relay-7", (1 << 62) - 1)
@@ -112,7 +112,7 @@
 
     def spoilt() -> bytes:
         """A good message with one field out of bounds."""
-        whole: list[Any] = msgspec.msgpack.decode(draw.choice(good)[HEAD:])
+        whole: list[Any] = msgspec.msgpack.decode(draw.choice(good)[HEADER_BYTES:])
         place = draw.randrange(len(whole))
         whole[place] = draw.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MOST_GRANTS + 1), None, 1.5, {}])
         return codec.sign(msgspec.msgpack.encode(whole), VERSION)
@@ -128,8 +128,8 @@
         yield "cut short", data[: draw.randrange(len(data))]
         yield "longer", data + draw.randbytes(draw.randint(1, 9))
         yield "noise", draw.randbytes(draw.randrange(1300))
-        yield "another secret", Codec([OTHER]).sign(data[HEAD:], VERSION)
-        yield "a later version", codec.sign(data[HEAD:], draw.randint(2, 255))
+        yield "another secret", Codec([OTHER]).sign(data[HEADER_BYTES:], VERSION)
+        yield "a later version", codec.sign(data[HEADER_BYTES:], draw.randint(2, 255))
         yield "noise, signed", codec.sign(draw.randbytes(draw.randint(1, 1100)), VERSION)
         yield "nested, signed", codec.sign(b"\x91" * 1100, VERSION)
         yield "a huge count, signed", codec.sign(b"\xdd" + struct.pack(">I", draw.randrange(1 << 31, 1 << 32)), VERSION)
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -59,7 +59,7 @@
     """Over a connection; read and written again on the way as a relay of before does it."""
     data = CODEC.encode(frame, 1 if isinstance(frame, fr.Hello) else 2)
     if before is not None:
-        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEAD :], type=before)), data[2])
+        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEADER_BYTES :], type=before)), data[2])
     return CODEC.decode(data, exchange=True)
 
 
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("version", fr.VERSIONS)
 def test_relays_of_before_zones_are_read_and_read_claims_with_a_zone(version: int) -> None:
     codec = fr.Codec([NEW])
-    body = codec.encode(ping(claims=[CLAIM]), version)[fr.HEAD :]
+    body = codec.encode(ping(claims=[CLAIM]), version)[fr.HEADER_BYTES :]
     kind, sender, *rest = msgspec.msgpack.decode(body)
     before: ClaimOfBefore = msgspec.msgpack.decode(msgspec.msgpack.encode(sender), type=ClaimOfBefore)
     assert sender[-1] == 6 and before == ClaimOfBefore("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("zone", [-1, 256, "one", None])
 def test_a_zone_out_of_bounds_is_refused(zone: object) -> None:
     codec = fr.Codec([NEW])
-    kind, sender, *rest = msgspec.msgpack.decode(codec.encode(ping(), 2)[fr.HEAD :])
+    kind, sender, *rest = msgspec.msgpack.decode(codec.encode(ping(), 2)[fr.HEADER_BYTES :])
     assert cause(codec, codec.sign(msgspec.msgpack.encode([kind, [*sender[:-1], zone], *rest]), 2)) == "malformed"
 
 
