--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -156,7 +156,7 @@
             sequence=self._outgoing.next_sequence(),
             number=number,
             ask=ask,
-            claims=claims[: fr.MOST_CLAIMS],
+            claims=claims[: fr.MAX_CLAIMS],
             summary=self._outgoing.summary(),
             digests=ours,
         )
--- a/garnetrelay/fleet/members/frames.py
+++ b/garnetrelay/fleet/members/frames.py
@@ -24,21 +24,21 @@
 MAGIC = b"GF"
 VERSIONS = (1, 2)
 HEADER_BYTES = signing.HEADER_BYTES
-MOST_DATAGRAM = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
-MOST_EXCHANGE = 1 << 20  # bytes of a frame over TCP: 2,000 members of the longest names, and more
-MOST_CLAIMS = 4096
-MOST_WORDS = 48
-WORD = struct.Struct(">IHHI")
-AGE_STEP = 20  # milliseconds
-OLDEST_WORD = 0xFFFF * AGE_STEP  # milliseconds; what is older is not told
-MOST_AGE = 1 << 31  # milliseconds
+MAX_DATAGRAM_BYTES = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
+MAX_EXCHANGE_BYTES = 1 << 20  # bytes of a frame over TCP: 2,000 members of the longest names, and more
+MAX_CLAIMS = 4096
+MAX_OBSERVATIONS = 48
+OBSERVATION = struct.Struct(">IHHI")
+AGE_STEP_MS = 20  # milliseconds
+MAX_OBSERVATION_AGE_MS = 0xFFFF * AGE_STEP_MS  # milliseconds; what is older is not told
+MAX_AGE_MS = 1 << 31  # milliseconds
 
 Number = Annotated[int, Meta(ge=0, le=1 << 62)]
-Age = Annotated[int, Meta(ge=-1, le=MOST_AGE)]
+Age = Annotated[int, Meta(ge=-1, le=MAX_AGE_MS)]
 Digests = Annotated[bytes, Meta(max_length=digests.MOST_BYTES)]
 
 
-class Word(NamedTuple):
+class Observation(NamedTuple):
     """That a member was there: 48 bits of its name and life hashed, the age at most (milliseconds), 32 bits of its view
     then."""
 
@@ -47,15 +47,17 @@
     view: int
 
 
-def pack_words(words: Iterable[Word]) -> bytes:
+def pack_observations(observations: Iterable[Observation]) -> bytes:
     """12 bytes each: 6 of the member, 2 of the age in steps of 20 ms (rounded up), 4 of the view."""
-    pack = WORD.pack
-    return b"".join([pack(whom >> 16, whom & 0xFFFF, -(-age // AGE_STEP), view) for whom, age, view in words])
+    pack = OBSERVATION.pack
+    return b"".join([pack(whom >> 16, whom & 0xFFFF, -(-age // AGE_STEP_MS), view) for whom, age, view in observations])
 
 
-def unpack_words(data: bytes) -> list[Word]:
+def unpack_observations(data: bytes) -> list[Observation]:
     """What ``pack_words`` made."""
-    return [Word(high << 16 | low, age * AGE_STEP, view) for high, low, age, view in WORD.iter_unpack(data)]
+    return [
+        Observation(high << 16 | low, age * AGE_STEP_MS, view) for high, low, age, view in OBSERVATION.iter_unpack(data)
+    ]
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -71,9 +73,9 @@
     sender: Claim
     sequence: Number  # of the sender's process: counts up with each frame
     number: Number  # of the question that is asked or answered
-    claims: Annotated[list[Claim], Meta(max_length=MOST_CLAIMS)] = []
+    claims: Annotated[list[Claim], Meta(max_length=MAX_CLAIMS)] = []
     summary: Summary | None = None
-    words: Annotated[bytes, Meta(max_length=MOST_WORDS * WORD.size)] = b""
+    observations: Annotated[bytes, Meta(max_length=MAX_OBSERVATIONS * OBSERVATION.size)] = b""
 
 
 class Ping(Frame, tag=1, frozen=True, kw_only=True):
@@ -142,20 +144,20 @@
 
     def encode(self, frame: Frame, version: int) -> bytes:
         """A frame as it goes out; what the version does not have is left out."""
-        if version == 1 and (frame.summary is not None or frame.words):
-            frame = msgspec.structs.replace(frame, summary=None, words=b"")
+        if version == 1 and (frame.summary is not None or frame.observations):
+            frame = msgspec.structs.replace(frame, summary=None, observations=b"")
         return self.sign(_encoder.encode(frame), version)
 
     def decode(self, data: bytes, exchange: bool = False) -> AnyFrame:
         """The frame; Refused with a cause. ``exchange``: it came over TCP."""
-        version, body = self.open(data, MOST_EXCHANGE if exchange else MOST_DATAGRAM)
+        version, body = self.open(data, MAX_EXCHANGE_BYTES if exchange else MAX_DATAGRAM_BYTES)
         try:
             frame: AnyFrame = _decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):
             raise Refused("malformed") from None
-        if version == 1 and (frame.summary is not None or frame.words) or isinstance(frame, EXCHANGE) != exchange:
+        if version == 1 and (frame.summary is not None or frame.observations) or isinstance(frame, EXCHANGE) != exchange:
             raise Refused("malformed")
-        if frame.sender.status or len(frame.words) % WORD.size:
+        if frame.sender.status or len(frame.observations) % OBSERVATION.size:
             raise Refused("malformed")
         if isinstance(frame, EXCHANGE) and not digests.valid(frame.digests):
             raise Refused("malformed")
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -99,7 +99,7 @@
             self.suspects[claim.name] = None
         else:
             self.suspects.pop(claim.name, None)
-        if change is not Change.WORD and not claim.final:
+        if change is not Change.OBSERVATION and not claim.final:
             self._enters(claim.name)
         self._note_change(held, claim, change)
         return Answer.NOTHING
@@ -193,7 +193,7 @@
         return answer
 
     def _note_change(self, held: Claim | None, claim: Claim, change: Change) -> None:
-        if change is Change.WORD and held is not None and not claim.final:
+        if change is Change.OBSERVATION and held is not None and not claim.final:
             # Whatever word brings a change of address or zone, it is told: no other word will differ in it.
             moved = (claim.address, claim.zone) != (held.address, held.zone)
             where = f", now at {claim.address}, zone {claim.zone or 'not known'}" if moved else ""
--- a/garnetrelay/fleet/members/observations.py
+++ b/garnetrelay/fleet/members/observations.py
@@ -18,23 +18,23 @@
 
 def told(table: Table, rounds: Rounds, now: int, room: int) -> bytes:
     """Words for an answer with so much room (bytes)."""
-    most = min(fr.MOST_WORDS, max(0, room) // fr.WORD.size)
+    most = min(fr.MAX_OBSERVATIONS, max(0, room) // fr.OBSERVATION.size)
     found: list[tuple[int, str, Member]] = []
     for name in rounds.told_next(WEIGHED * most):
         member = table.members.get(name)
         if member is not None and member.word_at is not None and member.word_view >= 0:
             found.append((member.word_at, name, member))
     found.sort(reverse=True)  # no two are of one name
-    return fr.pack_words(
-        fr.Word(member.mark, age, member.word_view)
+    return fr.pack_observations(
+        fr.Observation(member.mark, age, member.word_view)
         for at, _, member in found[:most]
-        if (age := (now - at) // MS + 1) < fr.OLDEST_WORD
+        if (age := (now - at) // MS + 1) < fr.MAX_OBSERVATION_AGE_MS
     )
 
 
 def hear(table: Table, words: bytes, asked_at: int) -> None:
     """Words that came in an answer to a question that was asked at a moment."""
-    for word in fr.unpack_words(words):
+    for word in fr.unpack_observations(words):
         member = table.by_mark(word.whom)
         if member is None:
             continue
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -336,10 +336,12 @@
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.heard_at is None else (now - origin.heard_at) // MS
         room = self.outgoing.room()
-        kept = min(room // 3, len(self._rounds) * fr.WORD.size)  # words get through beside many claims
+        kept = min(room // 3, len(self._rounds) * fr.OBSERVATION.size)  # words get through beside many claims
         claims = self.outgoing.news(room - kept, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
-        words = observations.told(self.table, self._rounds, now, min(room, self.settings.most_words * fr.WORD.size))
+        words = observations.told(
+            self.table, self._rounds, now, min(room, self.settings.most_words * fr.OBSERVATION.size)
+        )
         self.outgoing.tell(
             source,
             fr.Ack(
@@ -348,8 +350,8 @@
                 number=ping.number,
                 claims=claims,
                 summary=self.outgoing.summary(),
-                words=words,
-                heard=min(heard, fr.MOST_AGE),
+                observations=words,
+                heard=min(heard, fr.MAX_AGE_MS),
             ),
             self.outgoing.version(member.claim),
         )
@@ -390,7 +392,7 @@
         if member.path is not Path.WHOLE:
             self.outgoing.note(f"{member.claim.name} answers this relay again (was: {member.path.value})")
             member.path = Path.WHOLE
-        observations.hear(self.table, ack.words, question.at)
+        observations.hear(self.table, ack.observations, question.at)
         if question.why is Why.PROBE:
             self._probing.answered(member.claim.name)
         elif question.why is Why.FOR_OTHER and question.origin is not None:
--- a/garnetrelay/fleet/members/table.py
+++ b/garnetrelay/fleet/members/table.py
@@ -61,7 +61,7 @@
     AGAIN = auto()  # the same suspicion, from another relay
     NEW = auto()  # a name that was not held
     LIFE = auto()  # another life of a name
-    WORD = auto()  # another word on the same life
+    OBSERVATION = auto()  # another word on the same life
     FULL = auto()  # there is no room for one more member
 
 
@@ -136,7 +136,7 @@
             return Change.LIFE
         member.claim, member.changed_at, member.suspicion = claim, now, None
         self._enter(member)
-        return Change.WORD
+        return Change.OBSERVATION
 
     def forget(self, before: int) -> None:
         """Let go of those that went before a moment, and of the longest gone where there are too many."""
--- a/garnetrelay/fleet/transport.py
+++ b/garnetrelay/fleet/transport.py
@@ -90,7 +90,9 @@
         datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
         self._datagrams, self._host = datagrams, found.host
         self._loop.add_reader(datagrams, self._readable)
-        self._server = await asyncio.start_server(serve, sock=listener, limit=fr.MOST_EXCHANGE + LENGTH.size, backlog=64)
+        self._server = await asyncio.start_server(
+            serve, sock=listener, limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size, backlog=64
+        )
         return found
 
     def close(self) -> None:
@@ -127,7 +129,7 @@
             if self._datagrams is None:
                 return
             try:
-                data, source = self._datagrams.recvfrom(fr.MOST_DATAGRAM + 1)
+                data, source = self._datagrams.recvfrom(fr.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier one did not arrive: that is told here
@@ -166,7 +168,7 @@
         self._begun += 1
         try:
             reader, writer = await asyncio.open_connection(
-                place.host, place.port, local_addr=(self._host, 0), limit=fr.MOST_EXCHANGE + LENGTH.size
+                place.host, place.port, local_addr=(self._host, 0), limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size
             )
         except BaseException:
             self._begun -= 1
@@ -196,7 +198,7 @@
     async def receive(self) -> fr.AnyFrame:
         """The next frame; EOFError or ValueError where none comes that can be used."""
         (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
-        if length > fr.MOST_EXCHANGE:
+        if length > fr.MAX_EXCHANGE_BYTES:
             self._transport.refused["long"] += 1
             raise ValueError(f"a frame of {length} bytes")
         data = await self._reader.readexactly(length)
--- a/garnetrelay/laboratory/hostile.py
+++ b/garnetrelay/laboratory/hostile.py
@@ -52,7 +52,7 @@
         elif what == 6:
             sender[7] = 70_000
         elif what == 7:
-            whole[4] = [sender] * (fr.MOST_CLAIMS + 1)
+            whole[4] = [sender] * (fr.MAX_CLAIMS + 1)
             whole[4] = whole[4][:1] if draw.random() < 0.5 else "claims"
             whole[2] = -5
         elif what == 8:
--- a/garnetrelay/laboratory/meter.py
+++ b/garnetrelay/laboratory/meter.py
@@ -75,5 +75,7 @@
         self._frames[second] += 1
         claims = len(_encoder.encode(frame.claims)) - 1 if frame.claims else 0
         kinds[Kind.CLAIMS] += claims
-        kinds[Kind.WORDS] += len(frame.words)
-        kinds[Kind.PROBES if isinstance(frame, fr.Ping | fr.Ack) else Kind.ASKING] += size - claims - len(frame.words)
+        kinds[Kind.WORDS] += len(frame.observations)
+        kinds[Kind.PROBES if isinstance(frame, fr.Ping | fr.Ack) else Kind.ASKING] += (
+            size - claims - len(frame.observations)
+        )
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -38,7 +38,7 @@
         "number": 1 << 62,
         "claims": [CLAIM.judged(Status.FAILED, "n2")],
         "summary": fr.Summary(0xFFFFFFFF, 1000),
-        "words": fr.pack_words([fr.Word(1, 20, 3)] * fr.MOST_WORDS),
+        "observations": fr.pack_observations([fr.Observation(1, 20, 3)] * fr.MAX_OBSERVATIONS),
     }
     for frame in (
         fr.Ping(origin="n3", **rest),  # type: ignore[arg-type]
@@ -54,7 +54,7 @@
 
 def test_what_a_version_does_not_have_is_left_out() -> None:
     codec = fr.Codec([NEW])
-    data = codec.encode(ping(summary=fr.Summary(1, 2), words=bytes(12)), 1)
+    data = codec.encode(ping(summary=fr.Summary(1, 2), observations=bytes(12)), 1)
     assert data[2] == 1 and codec.decode(data) == ping()
 
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -47,7 +47,7 @@
     """Bytes a member a second where nothing happens, by the settings alone."""
     claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
     frame = fr.HEADER_BYTES + FIXED + claim
-    ages = min(SETTINGS.most_words, MEMBERS - 1) * fr.WORD.size
+    ages = min(SETTINGS.most_words, MEMBERS - 1) * fr.OBSERVATION.size
     period = SETTINGS.probe_every / SECOND
     # Two begun or answered in the mean, three frames each; all hold the same, so they hold digests alone.
     buckets = digests.buckets_for(MEMBERS) * digests.DIGEST.size
