--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -234,7 +234,7 @@
 
     before = state()
     took, causes, counts = Counter[str](), Counter[str](), Counter[str]()
-    earlier = members.figures.refused.copy()
+    earlier = members.counters.refused.copy()
     changes = 0
     for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), number):
         counts[kind] += 1
@@ -250,7 +250,7 @@
         if counts[kind] % 100 == 0:
             changes += state() != before
     changes += state() != before
-    told = members.figures.refused - earlier
+    told = members.counters.refused - earlier
     print(
         f"{number} frames, no exception, {changes} changes of state\nrefused by the codec: {causes.total()} ("
         f"{', '.join(f'{cause} {count}' for cause, count in causes.most_common())})\nby the member: {told.total()} ("
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class Counters:
     """What has happened."""
 
     suspected: int = 0  # by this relay
@@ -40,7 +40,7 @@
         self.table = Table(settings.most_members)
         self.spreading = Spreading()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
-        self.figures = Figures()
+        self.counters = Counters()
         self.told_by: SocketAddress | None = None  # who said that this life has ended
         self._effects = effects
         self._enters = enters  # a member that was not in, or is in another life
@@ -83,7 +83,7 @@
         held = None if before is None else before.claim
         change = self.table.take(claim, now)
         if change is Change.FULL:
-            self.figures.no_room += 1
+            self.counters.no_room += 1
         if change in (Change.NOTHING, Change.FULL):
             return Answer.NOTHING
         member = self.table.get(claim.name)
@@ -119,7 +119,7 @@
         member = self.table.members.get(name)
         if member is None or member.claim.identity != identity or not self.local.active:
             return False
-        self.figures.suspected += 1
+        self.counters.suspected += 1
         if member.suspicion is None:
             self._note(f"suspects {name}: {why}")
         self.hear(now, member.claim.judged(Status.SUSPECT, self.name))
@@ -140,7 +140,7 @@
             if answered_at is None or answered_at <= suspicion.began:
                 suspicion.began, suspicion.stretched = now, 0
                 continue
-            self.figures.failed += 1
+            self.counters.failed += 1
             ago = "none" if member.word_at is None else f"{(now - member.word_at) / 1e9:.1f} s old"
             also = f", {', '.join(sorted(suspicion.by))} too" if suspicion.by else ""
             self._note(
@@ -173,7 +173,7 @@
     def _hear_of_self(self, claim: Claim, source: SocketAddress | None) -> Answer:
         answer = self.local.hear(claim)
         if answer is Answer.REFUTED:
-            self.figures.refuted += 1
+            self.counters.refuted += 1
             self.spreading.tell(self.local.claim)
             self._note(f"was {claim.said()}: speaks up as {self.local.claim.said()}")
         elif answer is Answer.OLD:
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class Counters:
     """What has happened, for people."""
 
     frames: Counter[str] = field(default_factory=Counter)  # taken, by kind
@@ -63,7 +63,7 @@
         self.local_view = LocalView(own, settings, self._effects, self._rounds.enter)
         self.outgoing = Outgoing(self.local_view, settings, self._effects, sequence)
         self.doubt = Doubt(now)
-        self.figures = Figures()
+        self.counters = Counters()
         self.seeds = [seed for seed in seeds if seed != own.address]
         self.joined = not self.seeds  # who knows no other has nobody to hear from
         self.view_changed_at = now
@@ -161,7 +161,7 @@
         """What another holds, in answer to ``number`` that was sent at ``asked_at``; in return what it lacks. ValueError
         where it answers something else."""
         if whole.number != number:
-            self.figures.refused["unasked"] += 1
+            self.counters.refused["unasked"] += 1
             raise ValueError("a full exchange that answers another question")
         self._begin(now)
         ours = self._exchanges.digests_like(whole.digests)
@@ -226,7 +226,7 @@
     # ---- a frame
 
     def _receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
-        sender, refused = frame.sender, self.figures.refused
+        sender, refused = frame.sender, self.counters.refused
         for claim in frame.claims:
             # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
             if claim.name == self.local.claim.name:
@@ -263,7 +263,7 @@
             refused["replayed"] += 1
             return
         member.heard_at = now
-        self.figures.frames[type(frame).__name__] += 1
+        self.counters.frames[type(frame).__name__] += 1
         self._hear(now, sender)
         self._hear_all(now, frame)
         member = self.table.members.get(sender.name)
@@ -311,7 +311,7 @@
 
     def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         """A life that is not known: answer it, so that it knows us, and ask it."""
-        self.figures.refused["unproven"] += 1
+        self.counters.refused["unproven"] += 1
         if not self.local.active:
             return
         version = self.outgoing.version(frame.sender)
@@ -445,7 +445,7 @@
         late = now - self.next_at
         if late <= self.settings.probe_every // 2 or not self.settings.lifeguard:
             return
-        self.figures.slept += 1
+        self.counters.slept += 1
         self.health.change(1)
         self.outgoing.note(f"slept for {late / 1e9:.1f} s: no judgement follows from that time", logging.WARNING)
         self.local_view.stretch(late)
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -166,10 +166,10 @@
         ("views_same", told.same),
         ("views_other", told.other),
         ("slow", told.slow),
-        ("suspicions", members.local_view.figures.suspected),
-        ("judged_failed", members.local_view.figures.failed),
-        ("refuted", members.local_view.figures.refuted),
-        ("slept", members.figures.slept),
+        ("suspicions", members.local_view.counters.suspected),
+        ("judged_failed", members.local_view.counters.failed),
+        ("refuted", members.local_view.counters.refuted),
+        ("slept", members.counters.slept),
         ("frames_out", frames_out),
         ("bytes_in", bytes_in),
         ("bytes_out", bytes_out),
@@ -179,12 +179,12 @@
     rows += [(f'others{{status="{status}"}}', count[status]) for status in ("alive", "suspect", "failed", "left")]
     rows += [
         (f'frames_in{{kind="{escaped(kind.lower())}"}}', number)
-        for kind, number in sorted(members.figures.frames.items())
+        for kind, number in sorted(members.counters.frames.items())
     ]
     rows += [
         (f'frames_refused{{cause="{escaped(cause)}"}}', number)
-        for cause, number in sorted((members.figures.refused + refused).items())
+        for cause, number in sorted((members.counters.refused + refused).items())
     ]
-    if members.local_view.figures.no_room:
-        rows.append(("no_room", members.local_view.figures.no_room))
+    if members.local_view.counters.no_room:
+        rows.append(("no_room", members.local_view.counters.no_room))
     return "".join(f"relay_fleet_{name} {value:g}\n" for name, value in rows)
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -120,7 +120,7 @@
 
         if members.condition is not Condition.ALONE:
             self._alone.pop(key, None)
-        elif members.local_view.figures.failed > self._alone.setdefault(key, members.local_view.figures.failed):
+        elif members.local_view.counters.failed > self._alone.setdefault(key, members.local_view.counters.failed):
             self._say(node, "it is alone, and judges others")
 
     def _say(self, node: Node, text: str) -> None:
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -161,7 +161,7 @@
             members.receive(world.now, frame, hostile.STRANGER)
         assert state() == before, kind
     assert taken == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
-    assert members.figures.refused.keys() >= {"replayed", "unproven"}
+    assert members.counters.refused.keys() >= {"replayed", "unproven"}
 
 
 @given(st.lists(st.integers(0, 600), max_size=60))
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -154,7 +154,7 @@
     one = members(world, "n1")
     assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_every
     world.run(cut_at + 60 * SECOND)
-    assert one.local_view.figures.failed == 0 and len(one.table.members) == 4
+    assert one.local_view.counters.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
     world.links.drop("cut")
     assert world.run(world.now + 60 * SECOND, world.one_view)
