--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -194,11 +194,11 @@
 
         return _json_lines(lease_status.controllers(self.leases, clock.now()))
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The fleet's part of the figures, a line each; with that of leases where they are on."""
         assert self.members is not None
         transport = self.transport
-        found = status.figures(
+        found = status.metrics(
             self.members,
             transport.refused,
             transport.frames_out,
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -156,7 +156,7 @@
     return said
 
 
-def figures(members: Membership, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
+def metrics(members: Membership, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
     """The fleet's part of the figures, a line each."""
     told, count = state(members, now), Counter(member.claim.status.name.lower() for member in members.table)
     rows: list[tuple[str, float]] = [
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -19,7 +19,7 @@
 
     closed: bool  # this process has no part in the fleet any more
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """The figures, a line each."""
         ...
 
@@ -120,7 +120,7 @@
         """The relay's figures, and the fleet's where this process has a part in it."""
         relay = self.relay
         text = figures.text(relay.counts, relay.gauges())
-        return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.figures()
+        return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.metrics()
 
     def fleet(self, words: list[str]) -> str:
         """Answer ``FLEET``: ``words``: MEMBERS, EXPLAIN and a name, or LEAVE. CallRefusedError without a fleet."""
