--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -68,7 +68,7 @@
 
         def known(at: int = at, seen: Detected = seen, held: Callable[[], list[Status]] = held) -> bool:
             statuses = held()
-            ago = (world.now - at) / settings.probe_every
+            ago = (world.now - at) / settings.probe_interval
             if not seen.suspected and any(status >= Status.SUSPECT for status in statuses):
                 seen.suspected = ago
             if not seen.judged and any(status is Status.FAILED for status in statuses):
@@ -78,7 +78,7 @@
         world.kill(victim)
         if not world.run(at + 300 * SECOND, known):
             raise RuntimeError(f"{count} members, seed {seed}: a kill is not known after 300 s")
-        seen.known = (world.now - at) / settings.probe_every
+        seen.known = (world.now - at) / settings.probe_interval
         found.append(seen)
         world.run(world.now + 5 * SECOND)
     return found
@@ -104,8 +104,8 @@
             print(
                 f"{size:>8}{len(found):>7}{statistics.mean(each.suspected for each in found):>17.2f}{expected:>10.2f}"
                 f"{statistics.mean(each.judged for each in found):>9.2f}"
-                f"{settings.least_suspicion(size) / settings.probe_every:>7.1f}"
-                f"{settings.longest_suspicion(size) / settings.probe_every:>9.1f}"
+                f"{settings.least_suspicion(size) / settings.probe_interval:>7.1f}"
+                f"{settings.longest_suspicion(size) / settings.probe_interval:>9.1f}"
                 f"{statistics.mean(known):>10.2f}{known[int((len(known) - 1) * 0.95)]:>7.2f}",
                 flush=True,
             )
--- a/garnetrelay/cli/check_config.py
+++ b/garnetrelay/cli/check_config.py
@@ -36,7 +36,7 @@
         fleet = config.fleet
         click.echo(
             f"{options}: a fleet's member at {fleet.advertise or fleet.listen}, {len(fleet.seeds)} seeds, a "
-            f"probe in {fleet.settings.probe_every / 1e9:g} s, {len(fleet.secrets())} secrets"
+            f"probe in {fleet.settings.probe_interval / 1e9:g} s, {len(fleet.secrets())} secrets"
         )
         if fleet.leases is not None:
             leases = fleet.leases.settings
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -60,7 +60,7 @@
             return
         place = self._seeds[self._join_tries % len(self._seeds)]
         self._join_tries += 1
-        gap = self._settings.probe_every // 5 << min(JOIN_GAPS, self._join_tries // len(self._seeds))
+        gap = self._settings.probe_interval // 5 << min(JOIN_GAPS, self._join_tries // len(self._seeds))
         self.join_at = now + gap // 2 + self._draw.randrange(gap)
         self._effects.append(StartExchange(place))
 
@@ -79,7 +79,7 @@
         """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
         when this relay's view last changed."""
         pause, bulk = self._settings.calm_after(self._local_view.count), self._bulk()
-        if bulk > BULK_PERIODS * self._settings.probe_every:
+        if bulk > BULK_PERIODS * self._settings.probe_interval:
             pause = bulk
             if now - self._repair_at > bulk:  # it has just begun, and many see it at the same time
                 self._repair_at = now + self._draw.randrange(bulk)
@@ -97,7 +97,7 @@
         if place is None:
             return
         bulk = self._bulk()
-        if bulk <= BULK_PERIODS * self._settings.probe_every:
+        if bulk <= BULK_PERIODS * self._settings.probe_interval:
             self._effects.append(StartExchange(place))
             return
         self.next_at = now + self._draw.randrange(bulk)
@@ -117,7 +117,7 @@
         local_view = self._local_view
         failed = sum(member.claim.status is Status.FAILED for member in local_view.table.gone.values())
         size = (len(local_view.spreading) + failed) * self._outgoing.sender.size()
-        return size * self._settings.probe_every // self._settings.most_frame
+        return size * self._settings.probe_interval // self._settings.max_frame_bytes
 
     # ---- what is told
 
--- a/garnetrelay/fleet/members/health.py
+++ b/garnetrelay/fleet/members/health.py
@@ -16,4 +16,4 @@
     def change(self, by: int) -> None:
         """Up by what may be this relay's own fault, down by an answer in time."""
         if self._settings.lifeguard:
-            self.slow = min(self._settings.most_slow, max(0, self.slow + by))
+            self.slow = min(self._settings.max_slowdown, max(0, self.slow + by))
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -39,7 +39,7 @@
 
     def room(self) -> int:
         """Bytes in a frame for claims and words."""
-        return self._settings.most_frame - fr.HEADER_BYTES - FIXED - self.sender.size()
+        return self._settings.max_frame_bytes - fr.HEADER_BYTES - FIXED - self.sender.size()
 
     def news(self, room: int, to: str) -> list[Claim]:
         """The claims that are spread with the next frame to a member, in so much room (bytes)."""
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -52,7 +52,7 @@
         now: int,
     ) -> None:
         self.present: Probe | None = None
-        self.begin_at = now + draw.randrange(settings.probe_every)
+        self.begin_at = now + draw.randrange(settings.probe_interval)
         self._local_view = local_view
         self._outgoing = outgoing
         self._rounds = rounds
@@ -93,7 +93,7 @@
         members = self._local_view.table.members
         name = self._rounds.choose(members)
         if name is None or not self._local_view.local.active:
-            self.begin_at = now + self._settings.probe_every
+            self.begin_at = now + self._settings.probe_interval
             return False
         self._begin(now, members[name])
         return True
@@ -122,7 +122,7 @@
     def _begin(self, now: int, member: Member) -> None:
         slow = self._health.slow + 1
         claim = member.claim
-        ends_at = now + self._settings.probe_every * slow
+        ends_at = now + self._settings.probe_interval * slow
         number = self._questions.ask(Question(Why.PROBE, now, ends_at + MS, claim.name, claim.identity))
         if number is None:
             self.begin_at = ends_at
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -73,7 +73,7 @@
         self._probing = Probing(
             self.local_view, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
         )
-        self._knock_at = now + settings.knock_every
+        self._knock_at = now + settings.contact_interval
         self._knocked = 0
         self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
         self._answered_at: int | None = None
@@ -209,7 +209,7 @@
         """The folder does not take it: the relay stays out, and tries again."""
         self._begin(now)
         self.outgoing.note(f"life {self.local.wanted} can't be kept, staying out: {why}", logging.ERROR)
-        self._retry_life_at = now + 5 * self.settings.probe_every
+        self._retry_life_at = now + 5 * self.settings.probe_interval
         return self._end(now)
 
     def leave(self, now: int) -> list[Effect]:
@@ -327,7 +327,7 @@
                 version,
             )
         number = self._questions.ask_stranger(
-            Question(Why.STRANGER, now, now + self.settings.probe_every, frame.sender.name), source
+            Question(Why.STRANGER, now, now + self.settings.probe_interval, frame.sender.name), source
         )
         if number is not None:
             self.outgoing.ping(source, 1, number)
@@ -340,7 +340,7 @@
         claims = self.outgoing.news(room - kept, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
         words = observations.told(
-            self.table, self._rounds, now, min(room, self.settings.most_words * fr.OBSERVATION.size)
+            self.table, self._rounds, now, min(room, self.settings.max_observations * fr.OBSERVATION.size)
         )
         self.outgoing.tell(
             source,
@@ -363,7 +363,7 @@
             Question(
                 Why.FOR_OTHER,
                 now,
-                now + self.settings.probe_every,
+                now + self.settings.probe_interval,
                 asked.target,
                 origin=source,
                 origin_number=asked.number,
@@ -443,7 +443,7 @@
     def _begin(self, now: int) -> None:
         """Whether this process has slept through its own moments: then it judges nobody by them."""
         late = now - self.next_at
-        if late <= self.settings.probe_every // 2 or not self.settings.lifeguard:
+        if late <= self.settings.probe_interval // 2 or not self.settings.lifeguard:
             return
         self.counters.slept += 1
         self.health.change(1)
@@ -549,7 +549,7 @@
             self._effects.append(StoreLife(self.local.wanted))
         self._exchanges.take_turn(now)
         if now >= self._knock_at:
-            self._knock_at = now + self.settings.knock_every
+            self._knock_at = now + self.settings.contact_interval
             self._knock(now)
 
     def _knock(self, now: int) -> None:
@@ -580,6 +580,6 @@
             return
         place, claims, version = doors[self._knocked % len(doors)]
         self._knocked += 1
-        number = self._questions.ask(Question(Why.KNOCK, now, now + self.settings.probe_every))
+        number = self._questions.ask(Question(Why.KNOCK, now, now + self.settings.probe_interval))
         if number is not None:
             self.outgoing.ping(place, version, number, claims)
--- a/garnetrelay/fleet/members/settings.py
+++ b/garnetrelay/fleet/members/settings.py
@@ -13,25 +13,25 @@
 class Settings:
     """All of a fleet's relays should have the same; only bounds depend on it, no rule does."""
 
-    probe_every: int = SECOND  # T: a member is probed once in so long
+    probe_interval: int = SECOND  # T: a member is probed once in so long
     probe_timeout: int = 300 * MS  # for the direct answer; the rest of the period is for those who ask for us
     asked: int = 3  # k: members that ask for us
     suspicion: float = 4.0  # alpha: least time of a suspicion, in periods by log10 of the members
     suspicion_span: float = 6.0  # beta: the longest, in times of the least
     confirmations: int = 3  # K: others' suspicions that bring it down to the least
     repeats: int = 4  # lambda: a claim is told so often by log10 of the members
-    most_slow: int = 8  # S: how far local health may slow a relay down
-    exchange_every: int = 30 * SECOND
+    max_slowdown: int = 8  # S: how far local health may slow a relay down
+    exchange_interval: int = 30 * SECOND
     forget_after: int = 600 * SECOND  # a failed or left member is listed for so long
     most_members: int = 1000
     lifeguard: bool = True  # off: plain SWIM, for comparison
     versions: int = 2  # the highest version of frames that is spoken
-    most_words: int = 48  # of others on an answer
-    most_frame: int = 1200  # bytes of a datagram; 256 on the simulator's wire
+    max_observations: int = 48  # of others on an answer
+    max_frame_bytes: int = 1200  # bytes of a datagram; 256 on the simulator's wire
     digests: bool = True  # full exchanges tell what is held alike; not on the simulator's wire, where views are presumed
 
     def __post_init__(self) -> None:
-        if self.probe_timeout * 2 > self.probe_every:
+        if self.probe_timeout * 2 > self.probe_interval:
             raise ValueError("the time for a direct answer may be half of the time between two probes at most")
 
     def scale(self, members: int) -> int:
@@ -40,7 +40,7 @@
 
     def least_suspicion(self, members: int) -> int:
         """alpha * max(1, log10 n) * T."""
-        return int(self.suspicion * max(1.0, math.log10(max(1, members))) * self.probe_every)
+        return int(self.suspicion * max(1.0, math.log10(max(1, members))) * self.probe_interval)
 
     def longest_suspicion(self, members: int) -> int:
         """beta times the least; without Lifeguard the least itself."""
@@ -57,29 +57,29 @@
 
     def calm_after(self, members: int) -> int:
         """Out of doubt no sooner: a word has gone round by then. (repeats * scale + 2) periods, at most ten."""
-        return min(10, self.repeats * self.scale(members) // 2 + 2) * self.probe_every
+        return min(10, self.repeats * self.scale(members) // 2 + 2) * self.probe_interval
 
     def exchange_gap(self, members: int) -> int:
         """Between two full exchanges, in the mean. Frames of version 1 don't tell of other views, so that nothing else
         brings words that were lost: there it is a sixth."""
-        return self.exchange_every * self.scale(members) // (1 if self.versions > 1 else 6)
+        return self.exchange_interval * self.scale(members) // (1 if self.versions > 1 else 6)
 
     @property
-    def knock_every(self) -> int:
+    def contact_interval(self) -> int:
         """Between two tries to reach someone who is held to have failed, or a seed that is not in the view."""
-        return 2 * self.probe_every
+        return 2 * self.probe_interval
 
     @property
     def lately(self) -> int:
         """For so long a failure counts as one of many at once."""
-        return 30 * self.probe_every
+        return 30 * self.probe_interval
 
     @property
     def alone_after(self) -> int:
         """With no answer from anybody for so long, a relay is alone: three probes."""
-        return 3 * self.probe_every
+        return 3 * self.probe_interval
 
     def word_bound(self, members: int) -> int:
         """What the age of the word of a member may reach where links are whole: it is probed by this relay at least once
         in 2n - 1 periods (shuffled rounds: first in one, last in the next), and one answer more may be under way."""
-        return (2 * max(1, members - 1)) * self.probe_every + self.probe_timeout
+        return (2 * max(1, members - 1)) * self.probe_interval + self.probe_timeout
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -32,11 +32,11 @@
 PORT = 1
 # Notes cost: few words on them, and full exchanges only where views are seen to differ.
 SETTINGS = Settings(
-    most_frame=MOST,
-    most_words=4,
-    probe_every=2 * SECOND,
+    max_frame_bytes=MOST,
+    max_observations=4,
+    probe_interval=2 * SECOND,
     probe_timeout=200_000_000,
-    exchange_every=3600 * SECOND,
+    exchange_interval=3600 * SECOND,
     digests=False,
 )
 LEAST_TRIES = 0.2  # first tries of a relay a second: some 200 relays at limits of a few calls
@@ -93,7 +93,7 @@
     """The time between two probes follows from what notes cost (``price``: points for 256 bytes a first try): a question
     and its answer in each may take ``WORTH`` off the result."""
     every = 2 * USUAL_NOTE / MOST * price / (WORTH * LEAST_TRIES)
-    return dataclasses.replace(SETTINGS, probe_every=max(SETTINGS.probe_every, int(every * SECOND)))
+    return dataclasses.replace(SETTINGS, probe_interval=max(SETTINGS.probe_interval, int(every * SECOND)))
 
 
 class SimulatorMember:
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -119,7 +119,7 @@
             if done is not None and self.now >= look_at:
                 if done():
                     return True
-                look_at = self.now + self.settings.probe_every // 10
+                look_at = self.now + self.settings.probe_interval // 10
         self.now = until
         return done is not None and done()
 
@@ -264,7 +264,7 @@
 
     def _send(self, node: Node, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         data = (self.old_codec if node.old_secret else self.codec).encode(frame, version)
-        if len(data) > self.settings.most_frame:
+        if len(data) > self.settings.max_frame_bytes:
             raise AssertionError(f"a frame of {len(data)} bytes")
         node.sent_frames += 1
         self._count_bytes(node, frame, len(data))
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -25,7 +25,7 @@
 
 NAMES = ("a", "b", "c")
 # A suspicion lasts two steps, or one if it is confirmed.
-SETTINGS = Settings(probe_every=1, probe_timeout=0, suspicion=1.0, suspicion_span=2.0)
+SETTINGS = Settings(probe_interval=1, probe_timeout=0, suspicion=1.0, suspicion_span=2.0)
 HEAL_ROUNDS = 12
 
 
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -29,7 +29,7 @@
     for tried in range(1, 2 * len(SEEDS) * JOIN_GAPS):
         now = exchanges.join_at
         exchanges.join(now)
-        gap = SETTINGS.probe_every // 5 << min(JOIN_GAPS, tried // len(SEEDS))
+        gap = SETTINGS.probe_interval // 5 << min(JOIN_GAPS, tried // len(SEEDS))
         assert gap // 2 <= exchanges.join_at - now < gap // 2 + gap
         exchanges.join(exchanges.join_at - 1)  # too early: nothing
         assert effects == [StartExchange(SEEDS[each % len(SEEDS)]) for each in range(tried)]
@@ -55,11 +55,11 @@
         assert len(effects) == begun
 
 
-@pytest.mark.parametrize(("lifeguard", "expected"), [(True, SETTINGS.most_slow), (False, 0)])
+@pytest.mark.parametrize(("lifeguard", "expected"), [(True, SETTINGS.max_slowdown), (False, 0)])
 def test_local_health_stays_in_its_bounds(lifeguard: bool, expected: int) -> None:
     health = LocalHealth(Settings(lifeguard=lifeguard))
     health.change(-1)
     assert health.slow == 0
-    for _ in range(2 * SETTINGS.most_slow):
+    for _ in range(2 * SETTINGS.max_slowdown):
         health.change(1)
     assert health.slow == expected
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -114,8 +114,8 @@
 
 
 def test_a_price_of_notes_stretches_the_time_between_questions() -> None:
-    assert settings_at(0).probe_every == settings_at(0.001).probe_every == 2 * SECOND
-    assert settings_at(0.01).probe_every == 5 * SECOND
+    assert settings_at(0).probe_interval == settings_at(0.001).probe_interval == 2 * SECOND
+    assert settings_at(0.01).probe_interval == 5 * SECOND
 
 
 def test_a_note_that_cannot_be_used_changes_nothing() -> None:
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -145,7 +145,7 @@
     members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
     members.go_on_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
     told: list[SendFrame] = []
-    while members.next_at <= settings.knock_every + settings.probe_every:
+    while members.next_at <= settings.contact_interval + settings.probe_interval:
         told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
     asked = [tell.frame for tell in told if tell.place == suspect.address and isinstance(tell.frame, Ping)]
     assert asked and all(suspect in frame.claims and frame.number for frame in asked)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -47,8 +47,8 @@
     """Bytes a member a second where nothing happens, by the settings alone."""
     claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
     frame = fr.HEADER_BYTES + FIXED + claim
-    ages = min(SETTINGS.most_words, MEMBERS - 1) * fr.OBSERVATION.size
-    period = SETTINGS.probe_every / SECOND
+    ages = min(SETTINGS.max_observations, MEMBERS - 1) * fr.OBSERVATION.size
+    period = SETTINGS.probe_interval / SECOND
     # Two begun or answered in the mean, three frames each; all hold the same, so they hold digests alone.
     buckets = digests.buckets_for(MEMBERS) * digests.DIGEST.size
     exchange = 2 * (3 * frame + 2 * buckets) / (SETTINGS.exchange_gap(MEMBERS) / SECOND)
@@ -100,7 +100,7 @@
 
 
 def pause_for(members: Membership, words: int) -> int:
-    return words * members.local.claim.size() * SETTINGS.probe_every // SETTINGS.most_frame
+    return words * members.local.claim.size() * SETTINGS.probe_interval // SETTINGS.max_frame_bytes
 
 
 def asks_after(failed: int, count: int) -> tuple[int, int]:
@@ -120,7 +120,7 @@
 def test_who_is_back_asks_at_once_where_little_has_changed_and_in_its_turn_where_much_has() -> None:
     assert asks_after(3, MEMBERS)[0] == 0
     after, pause = asks_after(310, 619)
-    assert pause > BULK_PERIODS * SETTINGS.probe_every and 0 < after <= pause
+    assert pause > BULK_PERIODS * SETTINGS.probe_interval and 0 < after <= pause
 
 
 def test_where_much_has_changed_other_views_are_asked_for_in_turn() -> None:
@@ -154,5 +154,5 @@
     assert world.run(began + 120 * SECOND, world.one_view)
     span = meter.span(began, world.now)
     # Exchanges pause so that they take no more than full frames do, the first of each relay drawn in that time.
-    full = FRAMES * SETTINGS.most_frame * SECOND / SETTINGS.probe_every
+    full = FRAMES * SETTINGS.max_frame_bytes * SECOND / SETTINGS.probe_interval
     assert span.by_kind[Kind.EXCHANGES] < full and span.worst < 2 * full
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -152,7 +152,7 @@
     cut_at = world.now
     assert world.run(cut_at + 60 * SECOND, lambda: members(world, "n1").condition is Condition.ALONE)
     one = members(world, "n1")
-    assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_every
+    assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_interval
     world.run(cut_at + 60 * SECOND)
     assert one.local_view.counters.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
