--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -104,8 +104,8 @@
             print(
                 f"{size:>8}{len(found):>7}{statistics.mean(each.suspected for each in found):>17.2f}{expected:>10.2f}"
                 f"{statistics.mean(each.judged for each in found):>9.2f}"
-                f"{settings.least_suspicion(size) / settings.probe_interval:>7.1f}"
-                f"{settings.longest_suspicion(size) / settings.probe_interval:>9.1f}"
+                f"{settings.min_suspicion_time(size) / settings.probe_interval:>7.1f}"
+                f"{settings.max_suspicion_time(size) / settings.probe_interval:>9.1f}"
                 f"{statistics.mean(known):>10.2f}{known[int((len(known) - 1) * 0.95)]:>7.2f}",
                 flush=True,
             )
@@ -169,7 +169,7 @@
         for size, frames, sent, mean, most in pool.map(load_of, sizes):
             print(
                 f"{size:>8}{frames:>10.2f}{sent:>10.0f}{mean:>18.1f}{most:>10.1f}"
-                f"{Settings().word_bound(size) / 1e9:>8.1f}",
+                f"{Settings().max_observation_age(size) / 1e9:>8.1f}",
                 flush=True,
             )
 
--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -90,9 +90,9 @@
         Settings(
             probe_interval=table.probe_every_ms * MS,
             probe_timeout=table.probe_timeout_ms * MS,
-            suspicion=table.suspicion,
+            suspicion_multiplier=table.suspicion,
             forget_after=table.forget_s * SECOND,
-            most_members=table.most_members,
+            max_members=table.most_members,
             exchange_interval=30 * table.probe_every_ms * MS,
             versions=table.frames,
         ),
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -37,7 +37,7 @@
     ) -> None:
         self.settings = settings
         self.local = LocalMember(own)
-        self.table = Table(settings.most_members)
+        self.table = Table(settings.max_members)
         self.spreading = Spreading()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
         self.counters = Counters()
--- a/garnetrelay/fleet/members/settings.py
+++ b/garnetrelay/fleet/members/settings.py
@@ -16,14 +16,14 @@
     probe_interval: int = SECOND  # T: a member is probed once in so long
     probe_timeout: int = 300 * MS  # for the direct answer; the rest of the period is for those who ask for us
     asked: int = 3  # k: members that ask for us
-    suspicion: float = 4.0  # alpha: least time of a suspicion, in periods by log10 of the members
-    suspicion_span: float = 6.0  # beta: the longest, in times of the least
+    suspicion_multiplier: float = 4.0  # alpha: least time of a suspicion, in periods by log10 of the members
+    max_suspicion_multiplier: float = 6.0  # beta: the longest, in times of the least
     confirmations: int = 3  # K: others' suspicions that bring it down to the least
     repeats: int = 4  # lambda: a claim is told so often by log10 of the members
     max_slowdown: int = 8  # S: how far local health may slow a relay down
     exchange_interval: int = 30 * SECOND
     forget_after: int = 600 * SECOND  # a failed or left member is listed for so long
-    most_members: int = 1000
+    max_members: int = 1000
     lifeguard: bool = True  # off: plain SWIM, for comparison
     versions: int = 2  # the highest version of frames that is spoken
     max_observations: int = 48  # of others on an answer
@@ -38,17 +38,17 @@
         """ceil(log10(n + 1)): how far words have to go."""
         return max(1, math.ceil(math.log10(members + 1)))
 
-    def least_suspicion(self, members: int) -> int:
+    def min_suspicion_time(self, members: int) -> int:
         """alpha * max(1, log10 n) * T."""
-        return int(self.suspicion * max(1.0, math.log10(max(1, members))) * self.probe_interval)
+        return int(self.suspicion_multiplier * max(1.0, math.log10(max(1, members))) * self.probe_interval)
 
-    def longest_suspicion(self, members: int) -> int:
+    def max_suspicion_time(self, members: int) -> int:
         """beta times the least; without Lifeguard the least itself."""
-        return int(self.least_suspicion(members) * (self.suspicion_span if self.lifeguard else 1))
+        return int(self.min_suspicion_time(members) * (self.max_suspicion_multiplier if self.lifeguard else 1))
 
     def suspicion_time(self, members: int, confirmed: int) -> int:
         """Lifeguard, section IV-B: max - (max - min) * log(C + 1) / log(K + 1), at least min."""
-        least, longest = self.least_suspicion(members), self.longest_suspicion(members)
+        least, longest = self.min_suspicion_time(members), self.max_suspicion_time(members)
         possible = min(self.confirmations, max(0, members - 2))
         if possible == 0:
             return least
@@ -79,7 +79,7 @@
         """With no answer from anybody for so long, a relay is alone: three probes."""
         return 3 * self.probe_interval
 
-    def word_bound(self, members: int) -> int:
+    def max_observation_age(self, members: int) -> int:
         """What the age of the word of a member may reach where links are whole: it is probed by this relay at least once
         in 2n - 1 periods (shuffled rounds: first in one, last in the next), and one answer more may be under way."""
         return (2 * max(1, members - 1)) * self.probe_interval + self.probe_timeout
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -67,7 +67,7 @@
         same,
         other,
         None if oldest is None else round(oldest, 3),
-        members.settings.word_bound(members.count) / 1e9,
+        members.settings.max_observation_age(members.count) / 1e9,
         members.slow,
         own.zone,
     )
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -25,7 +25,7 @@
 
 NAMES = ("a", "b", "c")
 # A suspicion lasts two steps, or one if it is confirmed.
-SETTINGS = Settings(probe_interval=1, probe_timeout=0, suspicion=1.0, suspicion_span=2.0)
+SETTINGS = Settings(probe_interval=1, probe_timeout=0, suspicion_multiplier=1.0, max_suspicion_multiplier=2.0)
 HEAL_ROUNDS = 12
 
 
@@ -95,7 +95,7 @@
     made = kinds[0](local_view.local.claim, SETTINGS, effects)
     made.local = kinds[1].__new__(kinds[1])
     made.local.__dict__.update(local_view.local.__dict__)
-    made.table = kinds[2](SETTINGS.most_members)
+    made.table = kinds[2](SETTINGS.max_members)
     made.table.print = local_view.table.print
     made.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
     made.table.gone = {name: dataclasses.replace(member) for name, member in local_view.table.gone.items()}
@@ -329,7 +329,7 @@
         life = self.first_life(0 if lost else site.folder)
         claim = Claim(NAMES[number], life, 10 * number + site.starts, life, 0, Status.ALIVE, "10.0.0.1", 1, 2)
         local_view = self.kinds[0](claim, SETTINGS, [])
-        local_view.local, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.most_members)
+        local_view.local, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.max_members)
         return Site(life, site.starts + 1, self.number(local_view))
 
     def leaves(self, world: World, number: int, site: Site) -> World:
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -173,7 +173,7 @@
             ages = [found.age(name, world.now) for name in found.table.members]
             worst = max([worst, *(age for age in ages if age is not None)])
             assert None not in ages
-    assert 0 < worst <= Settings().word_bound(12)
+    assert 0 < worst <= Settings().max_observation_age(12)
 
 
 def test_a_fleet_of_two_whose_other_half_dies_is_alone_and_finds_it_again() -> None:
