--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -131,7 +131,7 @@
     tracemalloc.start()
     decoded: list[Claim] = msgspec.msgpack.decode(data, type=list[Claim])
     held = Membership(decoded[0], Settings(), random.Random(1), 0)
-    held.go_on_from(0, decoded[1:])
+    held.resume_from(0, decoded[1:])
     del decoded
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -39,7 +39,7 @@
         """Changes with who is there."""
         ...
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """Who is there, and what that is worth."""
         ...
 
@@ -87,7 +87,7 @@
         sides of a cut would take each other's partitions for free otherwise, and ask for what they can't get."""
         if self._closed or self._assigning is not None or self._members.view == self._assigned_view:
             return
-        view = self._members.view_of_members()
+        view = self._members.fleet_view()
         if view.relies.count:
             self._assigning = self._loop.create_task(self._assign(view))
 
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -114,7 +114,7 @@
         """How far this relay may rely on its view, as of its last event."""
         return self.doubt.condition
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
         ``view`` or ``condition`` has changed, or once a period."""
         zones = {name: member.claim.zone for name, member in self.table.members.items()}
@@ -157,7 +157,7 @@
         """The other side's first frame: what this relay holds and it does not. The hello itself counts for nothing."""
         return self._exchanges.answer_hello(hello)
 
-    def hear_whole(self, now: int, whole: fr.Whole, number: int, asked_at: int) -> tuple[fr.Whole, list[Effect]]:
+    def receive_whole(self, now: int, whole: fr.Whole, number: int, asked_at: int) -> tuple[fr.Whole, list[Effect]]:
         """What another holds, in answer to ``number`` that was sent at ``asked_at``; in return what it lacks. ValueError
         where it answers something else."""
         if whole.number != number:
@@ -181,7 +181,7 @@
         answer = self._exchanges.answer_whole(whole, ours)
         return answer, self._end(now)
 
-    def presume(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
+    def start_with(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Who the others are is known ahead, and has been heard from none of them: this relay has joined with the first
         answer. For relays without seeds."""
         self._begin(now)
@@ -189,14 +189,14 @@
         self.local_view.take_over(now, claims)
         return self._end(now)
 
-    def go_on_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
+    def resume_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Another process of this relay has handed over: the same member goes on, in the same life."""
         self._begin(now)
         self.joined = True
         self.local_view.take_over(now, claims)
         return self._end(now)
 
-    def life_kept(self, now: int, life: int) -> list[Effect]:
+    def life_stored(self, now: int, life: int) -> list[Effect]:
         """The folder has the life that was wanted."""
         self._begin(now)
         if self.local_view.kept(life):
@@ -205,7 +205,7 @@
             self._exchanges.after_new_life(now, self.local_view.told_by)
         return self._end(now)
 
-    def life_not_kept(self, now: int, why: str) -> list[Effect]:
+    def life_not_stored(self, now: int, why: str) -> list[Effect]:
         """The folder does not take it: the relay stays out, and tries again."""
         self._begin(now)
         self.outgoing.note(f"life {self.local.wanted} can't be kept, staying out: {why}", logging.ERROR)
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -101,7 +101,7 @@
             self.members = Membership(
                 own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + AHEAD
             )
-            self._carry_out(self.members.go_on_from(now, passed.claims))
+            self._carry_out(self.members.resume_from(now, passed.claims))
         log.info("fleet: %s hears at %s, life %d", self.name, found, own.life)
         self._start_leases()
         self._tick()
@@ -158,10 +158,10 @@
         else:
             log.info("fleet: %d secrets read", len(self.transport.codec.good))
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """Who is there, in which zone, and what may be relied on: the read for other parts of the relay."""
         assert self.members is not None
-        return self.members.view_of_members()
+        return self.members.fleet_view()
 
     # ---- staff
 
@@ -257,10 +257,10 @@
             await self._loop.run_in_executor(None, functools.partial(self.file.keep, life, places))
         except OSError as error:
             if not self.closed:
-                self._carry_out(self.members.life_not_kept(time.monotonic_ns(), error.strerror or str(error)))
+                self._carry_out(self.members.life_not_stored(time.monotonic_ns(), error.strerror or str(error)))
             return
         if not self.closed:
-            self._carry_out(self.members.life_kept(time.monotonic_ns(), life))
+            self._carry_out(self.members.life_stored(time.monotonic_ns(), life))
 
     async def _exchange(self, place: SocketAddress) -> None:
         """Hello, Whole, Whole: this side begins."""
@@ -277,7 +277,7 @@
                 whole = await stream.receive()
                 if not isinstance(whole, fr.Whole):
                     raise ValueError(f"{type(whole).__name__} in place of all that it holds")
-                ours, effects = self.members.hear_whole(time.monotonic_ns(), whole, hello.number, began)
+                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
                 self._carry_out(effects)
                 await stream.send(ours, min(whole.sender.speaks, self.config.settings.versions))
         except (OSError, TimeoutError, EOFError, ValueError) as error:
@@ -298,7 +298,7 @@
         theirs = await stream.receive()
         if not isinstance(theirs, fr.Whole) or self.closed:
             raise ValueError("not all that it holds")
-        _, effects = self.members.hear_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
+        _, effects = self.members.receive_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
         self._carry_out(effects)
 
 
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -105,7 +105,7 @@
         others = dict(self.presumed)
         own = others.pop(f"r{me}")
         self.members = Membership(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
-        self._first = self.members.presume(now, list(others.values()))
+        self._first = self.members.start_with(now, list(others.values()))
         self.refused = 0
         self._asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
         self._answered: deque[int] = deque(maxlen=MOST_ASKED)
@@ -135,7 +135,7 @@
             if asked_at is None:
                 self.refused += 1
                 return []
-            ours, effects = self.members.hear_whole(now, frame, frame.number, asked_at)
+            ours, effects = self.members.receive_whole(now, frame, frame.number, asked_at)
             if not frame.ask or frame.ask in self._answered:
                 return self._carry_out(now, effects)
             self._answered.append(frame.ask)  # many pieces ask for ours: it goes back once
@@ -186,7 +186,7 @@
                     self._remember(hello.number, now)
                     made.append(Post(number(at), self.codec.encode(hello, 1)))
                 case StoreLife(life):  # there is no folder: kept at once
-                    waiting += self.members.life_kept(now, life)
+                    waiting += self.members.life_stored(now, life)
                 case LogLine(text, _):
                     made.append(Line(f"fleet: {text}"))
         self._token += 1
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -260,7 +260,7 @@
         if node.members is None or node.process != process:
             return
         node.life = max(node.life, life)
-        self._carry_out(node, node.members.life_kept(self.now + node.ahead, life))
+        self._carry_out(node, node.members.life_stored(self.now + node.ahead, life))
 
     def _send(self, node: Node, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         data = (self.old_codec if node.old_secret else self.codec).encode(frame, version)
@@ -323,12 +323,12 @@
 
             def hear() -> None:
                 assert node.members is not None
-                ours, effects = node.members.hear_whole(self.now + node.ahead, whole, hello.number, began)
+                ours, effects = node.members.receive_whole(self.now + node.ahead, whole, hello.number, began)
                 self._count_piece(node, ours)
 
                 def hear_ours() -> None:
                     assert other.members is not None
-                    _, effects = other.members.hear_whole(self.now + other.ahead, ours, whole.ask, asked_at)
+                    _, effects = other.members.receive_whole(self.now + other.ahead, ours, whole.ask, asked_at)
                     self._carry_out(other, effects)
 
                 then(node, other, its, hear_ours)
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -40,7 +40,7 @@
     def change(self, *names: str) -> None:
         self.names, self.view = names, self.view + 1
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         self.asked += 1
         return FleetView(dict.fromkeys(self.names, 0), self.condition, self.view)
 
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -26,7 +26,7 @@
 
 def relay(name: str, others: list[Claim], settings: Settings | None = None) -> Membership:
     members = Membership(claim(name), settings or Settings(), random.Random(name), 0)
-    members.go_on_from(0, others)
+    members.resume_from(0, others)
     return members
 
 
@@ -69,10 +69,10 @@
     assert isinstance(hello, fr.Hello)
     told = over(other.answer_hello(1, hello), WholeOfBefore if old_one or old_other else None)
     assert isinstance(told, fr.Whole)
-    ours, _ = one.hear_whole(2, told, hello.number, 1)
+    ours, _ = one.receive_whole(2, told, hello.number, 1)
     answer = over(ours)
     assert isinstance(answer, fr.Whole)
-    other.hear_whole(3, answer, told.ask, 1)
+    other.receive_whole(3, answer, told.ask, 1)
     return len(told.claims), len(ours.claims)
 
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -143,7 +143,7 @@
     others = [Claim(f"m{number}", 1, 1, 1, 0, Status.ALIVE, f"10.0.0.{number}", 1, 2) for number in range(2, 60)]
     suspect = others[7].judged(Status.SUSPECT, "m5")
     members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
-    members.go_on_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
+    members.resume_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
     told: list[SendFrame] = []
     while members.next_at <= settings.contact_interval + settings.probe_interval:
         told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -83,7 +83,7 @@
     assert world.run(world.now + 60 * SECOND, world.one_view)
     assert {whom for _, _, whom, *_ in world.failures} == set(zone)
     assert not any(there for *_, there in world.failures)
-    views = [node.members.view_of_members() for node in world.live() if node.members is not None]
+    views = [node.members.fleet_view() for node in world.live() if node.members is not None]
     assert all(1 not in view.zones.values() and len(view.zones) == MEMBERS - len(zone) for view in views)
 
 
@@ -107,10 +107,10 @@
     """A relay that others held for failed goes on, with so many held for failed by itself: how long until it exchanges,
     and the pause that so many words ask for."""
     members = relay()
-    members.go_on_from(0, others(count, failed))
+    members.resume_from(0, others(count, failed))
     began = now = members.next_at
     members.local_view.hear(now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
-    effects = members.life_kept(now, 2)
+    effects = members.life_stored(now, 2)
     while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
         effects = members.tick(now)
@@ -126,7 +126,7 @@
 def test_where_much_has_changed_other_views_are_asked_for_in_turn() -> None:
     """Answers tell of another view each period; exchanges are begun once in the pause."""
     members, claims = relay(), others(619)
-    members.go_on_from(0, claims[:310])
+    members.resume_from(0, claims[:310])
     for claim in claims[310:]:
         members.local_view.hear(0, claim)
     by_place = {claim.address: claim for claim in claims}
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -117,13 +117,13 @@
 def test_zones_are_known_to_all_and_leave_the_view_with_their_members() -> None:
     world = gathered(5, zones=lambda number: number % 3)
     expected = {"n1": 1, "n2": 2, "n3": 0, "n4": 1, "n5": 2}
-    views = [members(world, name).view_of_members() for name in world.nodes]
+    views = [members(world, name).fleet_view() for name in world.nodes]
     assert all(view.zones == expected for view in views) and len({view.view for view in views}) == 1
     assert all(view.condition is Condition.SETTLED and view.relies.grow for view in views)
     world.kill("n2")
     assert world.run(world.now + 60 * SECOND, world.one_view)
     del expected["n2"]
-    views = [members(world, name).view_of_members() for name in expected]
+    views = [members(world, name).fleet_view() for name in expected]
     assert all(view.zones == expected and not view.relies.grow for view in views)
 
 
