--- a/garnetrelay/fleet/members/own.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, Claim, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 
 
 class Answer(Enum):
@@ -29,12 +29,12 @@
     ASIDE = auto()  # another process has the name
 
 
-class Own:
+class LocalMember:
     """One process's word on itself."""
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
-        self.named = True
+        self.active = True
         self.left = False
         self.wanted = 0  # a life that is to be kept
         self.aside: Claim | None = None  # who has the name
@@ -46,7 +46,7 @@
         if self.left:
             return Answer.NOTHING
         if claim.identity == own.identity:
-            if claim.final or claim.incarnation >= MOST_INCARNATION:
+            if claim.final or claim.incarnation >= MAX_INCARNATION:
                 return self._want(claim, True)
             if claim.incarnation > own.incarnation or (
                 claim.status is Status.SUSPECT and claim.incarnation == own.incarnation
@@ -61,7 +61,7 @@
         if self.wanted > claim.life:
             return Answer.NOTHING
         news = self.aside is None or self.aside.identity != claim.identity
-        self.aside, self.named = claim, False
+        self.aside, self.active = claim, False
         return Answer.ASIDE if news else Answer.NOTHING
 
     def kept(self, life: int) -> bool:
@@ -70,17 +70,17 @@
             return False
         born = self.claim.born if self._same_process else life
         self.claim = msgspec.structs.replace(self.claim, life=life, born=born, incarnation=0)
-        self.wanted, self.aside, self.named = 0, None, True
+        self.wanted, self.aside, self.active = 0, None, True
         return True
 
     def leave(self) -> Claim:
         """The last word of this life."""
-        self.left, self.named = True, False
+        self.left, self.active = True, False
         return self.claim.judged(Status.LEFT, "")
 
     def _want(self, ended: Claim, same: bool) -> Answer:
-        if self.wanted > ended.life or ended.life >= MOST_LIFE:
+        if self.wanted > ended.life or ended.life >= MAX_LIFE:
             return Answer.NOTHING
         self._same_process = same and (self._same_process or not self.wanted)
-        self.wanted, self.named, self.aside = ended.life + 1, False, None
+        self.wanted, self.active, self.aside = ended.life + 1, False, None
         return Answer.WANTED
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -1,6 +1,6 @@
 """SWIM's probe of one member at a time: asked by this relay, then through others, then suspected. No I/O.
 
-Whose turn it is says `rounds.py`. An answer in time, by whichever way, ends the probe well; the next one begins when
+Whose turn it is says `probe_order.py`. An answer in time, by whichever way, ends the probe well; the next one begins when
 its period is over all the same.
 """
 
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.asking import Question, Questions, Why
 from garnetrelay.fleet.members.claims import Identity
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
-from garnetrelay.fleet.members.rounds import Rounds
+from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
+from garnetrelay.fleet.members.probe_order import Rounds
 from garnetrelay.fleet.members.settings import MS, Settings
 from garnetrelay.fleet.members.table import Member
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        holding: Holding,
+        local_view: LocalView,
         outgoing: Outgoing,
         rounds: Rounds,
         questions: Questions,
@@ -52,8 +52,8 @@
         now: int,
     ) -> None:
         self.present: Probe | None = None
-        self.begin_at = now + draw.randrange(settings.probe_every)
-        self._holding = holding
+        self.begin_at = now + draw.randrange(settings.probe_interval)
+        self._local_view = local_view
         self._outgoing = outgoing
         self._rounds = rounds
         self._questions = questions
@@ -90,10 +90,10 @@
 
     def begin(self, now: int) -> bool:
         """Probe the next member of the round; whether there is one, and this relay has a name to ask by."""
-        members = self._holding.table.members
+        members = self._local_view.table.members
         name = self._rounds.choose(members)
-        if name is None or not self._holding.own.named:
-            self.begin_at = now + self._settings.probe_every
+        if name is None or not self._local_view.local.active:
+            self.begin_at = now + self._settings.probe_interval
             return False
         self._begin(now, members[name])
         return True
@@ -108,7 +108,7 @@
         probe = self.present
         if probe is None or probe.number != vouch.number or probe.name != vouch.target:
             return None
-        member = self._holding.table.members.get(vouch.target)
+        member = self._local_view.table.members.get(vouch.target)
         if member is None or member.claim.identity != (vouch.life, vouch.process):
             return None
         self._done(probe)
@@ -122,7 +122,7 @@
     def _begin(self, now: int, member: Member) -> None:
         slow = self._health.slow + 1
         claim = member.claim
-        ends_at = now + self._settings.probe_every * slow
+        ends_at = now + self._settings.probe_interval * slow
         number = self._questions.ask(Question(Why.PROBE, now, ends_at + MS, claim.name, claim.identity))
         if number is None:
             self.begin_at = ends_at
@@ -132,25 +132,27 @@
         claims = [claim] if member.suspicion is not None and self._settings.lifeguard else []
         room = self._outgoing.room() - sum(one.size() for one in claims)
         claims += self._outgoing.news(room, claim.name)
-        self._outgoing.ping(claim.place, self._outgoing.version(claim), number, claims, summary=self._outgoing.summary())
+        self._outgoing.ping(
+            claim.address, self._outgoing.version(claim), number, claims, summary=self._outgoing.summary()
+        )
 
     def _ask_others(self, probe: Probe) -> None:
-        target = self._holding.table.members.get(probe.name)
+        target = self._local_view.table.members.get(probe.name)
         if target is None or target.claim.identity != probe.identity:
             probe.done = True  # it has gone, or lives on in another life
             return
         others = [
             name
-            for name, member in self._holding.table.members.items()
+            for name, member in self._local_view.table.members.items()
             if name != probe.name and member.suspicion is None
         ]
         chosen = self._rounds.sample(others, self._settings.asked)
         probe.asked = True
         probe.expected_nacks = len(chosen)
         for name in chosen:
-            member = self._holding.table.members[name]
+            member = self._local_view.table.members[name]
             self._outgoing.tell(
-                member.claim.place,
+                member.claim.address,
                 fr.AskFor(
                     sender=self._outgoing.sender,
                     sequence=self._outgoing.next_sequence(),
@@ -168,7 +170,7 @@
             self._health.change(0 if probe.nacks else 1)
         else:
             self._health.change(1)
-        self._holding.suspect(
+        self._local_view.suspect(
             now,
             probe.name,
             probe.identity,
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -1,6 +1,6 @@
 """One relay's part in the fleet: what it makes of each frame and each moment, and what it answers. No I/O, no clock, no
 randomness of its own: frames and moments in, effects out; ``draw`` is given. Its probes are in `probing.py`, its full
-exchanges in `exchanges.py`, the words that it holds in `holding.py`.
+exchanges in `exchanges.py`, the words that it holds in `local_view.py`.
 
 What counts as heard. A frame is signed by the fleet, so its claims were said by a member at some time; as claims are
 ordered (`claims.py`), an old one changes nothing. That somebody is there *now* follows only from an answer to a
@@ -17,27 +17,27 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members import worth
-from garnetrelay.fleet.members.asking import Question, Questions, Why
-from garnetrelay.fleet.members.claims import Claim, Place, Status
-from garnetrelay.fleet.members.condition import RELIES, Condition, Doubt, Facts
-from garnetrelay.fleet.members.effects import Effect, KeepLife
+from garnetrelay.fleet.members import observations
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
+from garnetrelay.fleet.members.effects import Effect, StoreLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.holding import Holding
+from garnetrelay.fleet.members.local_member import Answer, LocalMember
+from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
-from garnetrelay.fleet.members.own import Answer, Own
+from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
+from garnetrelay.fleet.members.probe_order import Rounds
 from garnetrelay.fleet.members.probing import Probing
-from garnetrelay.fleet.members.rounds import Rounds
 from garnetrelay.fleet.members.settings import MS, Settings
 from garnetrelay.fleet.members.table import Member, Path, Table
 from garnetrelay.fleet.members.view import FleetView
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts
 
 LEAVE_TOLD = 8  # members that hear of a leaving at first hand
 
 
 @dataclass(slots=True)
-class Figures:
+class Counters:
     """What has happened, for people."""
 
     frames: Counter[str] = field(default_factory=Counter)  # taken, by kind
@@ -45,7 +45,7 @@
     slept: int = 0
 
 
-class Members:
+class Membership:
     """The decisions of one relay."""
 
     def __init__(
@@ -54,28 +54,28 @@
         settings: Settings,
         draw: random.Random,
         now: int,
-        seeds: Sequence[Place] = (),
+        seeds: Sequence[SocketAddress] = (),
         sequence: int = 0,
     ) -> None:
         self.settings = settings
         self._effects: list[Effect] = []
         self._rounds = Rounds(draw)
-        self.holding = Holding(own, settings, self._effects, self._rounds.enter)
-        self.outgoing = Outgoing(self.holding, settings, self._effects, sequence)
+        self.local_view = LocalView(own, settings, self._effects, self._rounds.enter)
+        self.outgoing = Outgoing(self.local_view, settings, self._effects, sequence)
         self.doubt = Doubt(now)
-        self.figures = Figures()
-        self.seeds = [seed for seed in seeds if seed != own.place]
+        self.counters = Counters()
+        self.seeds = [seed for seed in seeds if seed != own.address]
         self.joined = not self.seeds  # who knows no other has nobody to hear from
         self.view_changed_at = now
         self._draw = draw
         self._questions = Questions(draw)
         self.health = LocalHealth(settings)
         self._probing = Probing(
-            self.holding, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
+            self.local_view, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
         )
-        self._knock_at = now + settings.knock_every
+        self._knock_at = now + settings.contact_interval
         self._knocked = 0
-        self._exchanges = Exchanges(self.holding, self.outgoing, settings, self._effects, draw, now, self.seeds)
+        self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
         self._answered_at: int | None = None
         self._looked_at = 0  # the view's print at the last look
         self._facts = (0, 0, 0)  # suspects' and views' counts of the last full look
@@ -85,24 +85,24 @@
     # ---- what others may ask
 
     @property
-    def own(self) -> Own:
+    def local(self) -> LocalMember:
         """This relay's word on itself."""
-        return self.holding.own
+        return self.local_view.local
 
     @property
     def table(self) -> Table:
         """The other members, and those that have gone."""
-        return self.holding.table
+        return self.local_view.table
 
     @property
     def view(self) -> int:
         """32 bits that stand for who is in this relay's view."""
-        return self.holding.view
+        return self.local_view.view
 
     @property
     def count(self) -> int:
         """Members in the view, this relay among them."""
-        return self.holding.count
+        return self.local_view.count
 
     @property
     def slow(self) -> int:
@@ -114,12 +114,12 @@
         """How far this relay may rely on its view, as of its last event."""
         return self.doubt.condition
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
         ``view`` or ``condition`` has changed, or once a period."""
         zones = {name: member.claim.zone for name, member in self.table.members.items()}
-        if self.own.named:
-            zones[self.own.claim.name] = self.own.claim.zone
+        if self.local.active:
+            zones[self.local.claim.name] = self.local.claim.zone
         return FleetView(zones, self.condition, self.view)
 
     def age(self, name: str, now: int) -> int | None:
@@ -130,7 +130,7 @@
     def sharing(self) -> tuple[int, int]:
         """How many others are known to hold this very view, and how many to hold another, by words that are no older than
         the view."""
-        return worth.sharing(self.table, self.view, self.view_changed_at)
+        return observations.sharing(self.table, self.view, self.view_changed_at)
 
     # ---- what happens
 
@@ -138,12 +138,12 @@
         """Time has passed. To be called at ``next_at``."""
         self._begin(now)
         self._expire(now)
-        self.holding.judge(now, self._answered_at if RELIES[self.condition].speak else None)
+        self.local_view.judge(now, self._answered_at if RELIES[self.condition].speak else None)
         self._go_on_probing(now)
         self._keep_contact(now)
         return self._end(now)
 
-    def receive(self, now: int, frame: fr.AnyFrame, source: Place) -> list[Effect]:
+    def receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> list[Effect]:
         """A datagram has come; its signature and form were good."""
         self._begin(now)
         self._receive(now, frame, source)
@@ -157,16 +157,16 @@
         """The other side's first frame: what this relay holds and it does not. The hello itself counts for nothing."""
         return self._exchanges.answer_hello(hello)
 
-    def hear_whole(self, now: int, whole: fr.Whole, number: int, asked_at: int) -> tuple[fr.Whole, list[Effect]]:
+    def receive_whole(self, now: int, whole: fr.Whole, number: int, asked_at: int) -> tuple[fr.Whole, list[Effect]]:
         """What another holds, in answer to ``number`` that was sent at ``asked_at``; in return what it lacks. ValueError
         where it answers something else."""
         if whole.number != number:
-            self.figures.refused["unasked"] += 1
+            self.counters.refused["unasked"] += 1
             raise ValueError("a full exchange that answers another question")
         self._begin(now)
         ours = self._exchanges.digests_like(whole.digests)
         sender = whole.sender
-        if sender.name == self.own.claim.name:
+        if sender.name == self.local.claim.name:
             self._hear(now, sender)
         else:
             self._hear(now, sender)
@@ -174,69 +174,69 @@
             if member is not None and member.claim.identity == sender.identity:
                 self._answered(now, member, asked_at, -1 if whole.summary is None else whole.summary.view)
                 member.window.take(whole.sequence)
-            if sender.process != self.own.claim.process:
+            if sender.process != self.local.claim.process:
                 self.joined = True
         for claim in whole.claims:
             self._hear(now, claim)
         answer = self._exchanges.answer_whole(whole, ours)
         return answer, self._end(now)
 
-    def presume(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
+    def start_with(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Who the others are is known ahead, and has been heard from none of them: this relay has joined with the first
         answer. For relays without seeds."""
         self._begin(now)
         self.joined = False
-        self.holding.take_over(now, claims)
+        self.local_view.take_over(now, claims)
         return self._end(now)
 
-    def go_on_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
+    def resume_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Another process of this relay has handed over: the same member goes on, in the same life."""
         self._begin(now)
         self.joined = True
-        self.holding.take_over(now, claims)
+        self.local_view.take_over(now, claims)
         return self._end(now)
 
-    def life_kept(self, now: int, life: int) -> list[Effect]:
+    def life_stored(self, now: int, life: int) -> list[Effect]:
         """The folder has the life that was wanted."""
         self._begin(now)
-        if self.holding.kept(life):
+        if self.local_view.kept(life):
             self._retry_life_at = None
             self.view_changed_at = now
-            self._exchanges.after_new_life(now, self.holding.told_by)
+            self._exchanges.after_new_life(now, self.local_view.told_by)
         return self._end(now)
 
-    def life_not_kept(self, now: int, why: str) -> list[Effect]:
+    def life_not_stored(self, now: int, why: str) -> list[Effect]:
         """The folder does not take it: the relay stays out, and tries again."""
         self._begin(now)
-        self.outgoing.note(f"life {self.own.wanted} can't be kept, staying out: {why}", logging.ERROR)
-        self._retry_life_at = now + 5 * self.settings.probe_every
+        self.outgoing.note(f"life {self.local.wanted} can't be kept, staying out: {why}", logging.ERROR)
+        self._retry_life_at = now + 5 * self.settings.probe_interval
         return self._end(now)
 
     def leave(self, now: int) -> list[Effect]:
         """The last words of this life."""
         self._begin(now)
-        if self.own.named:
-            last = self.own.leave()
+        if self.local.active:
+            last = self.local.leave()
             for name in self._rounds.sample(self.table.members, LEAVE_TOLD):
                 member = self.table.members[name]
-                self.outgoing.ping(member.claim.place, self.outgoing.version(member.claim), 0, [last])
-        self.own.left, self.own.named = True, False
+                self.outgoing.ping(member.claim.address, self.outgoing.version(member.claim), 0, [last])
+        self.local.left, self.local.active = True, False
         return self._end(now)
 
     # ---- a frame
 
-    def _receive(self, now: int, frame: fr.AnyFrame, source: Place) -> None:
-        sender, refused = frame.sender, self.figures.refused
+    def _receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
+        sender, refused = frame.sender, self.counters.refused
         for claim in frame.claims:
             # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
-            if claim.name == self.own.claim.name:
+            if claim.name == self.local.claim.name:
                 self._hear(now, claim, source)
-        if sender.name == self.own.claim.name:
+        if sender.name == self.local.claim.name:
             refused["own name"] += 1
-            if sender.process != self.own.claim.process:
+            if sender.process != self.local.claim.process:
                 self._hear(now, sender, source)
             return
-        if self.own.left:
+        if self.local.left:
             return
         question = self._questions.answered(frame, source)
         member = self.table.get(sender.name)
@@ -263,11 +263,11 @@
             refused["replayed"] += 1
             return
         member.heard_at = now
-        self.figures.frames[type(frame).__name__] += 1
+        self.counters.frames[type(frame).__name__] += 1
         self._hear(now, sender)
         self._hear_all(now, frame)
         member = self.table.members.get(sender.name)
-        if member is None or not self.own.named and question is None:
+        if member is None or not self.local.active and question is None:
             return  # it has said of itself that it left; or this relay has no name to answer by
         match frame:
             case fr.Ping():
@@ -283,41 +283,43 @@
                 self._answered(now, member, question.at, -1)
                 self._probing.present.nacks += 1
 
-    def _hear(self, now: int, claim: Claim, source: Place | None = None) -> None:
+    def _hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
         """A word on anybody."""
-        if self.holding.hear(now, claim, source) is Answer.REFUTED:
+        if self.local_view.hear(now, claim, source) is Answer.REFUTED:
             self.health.change(1)
 
     def _hear_all(self, now: int, frame: fr.AnyFrame) -> None:
         for claim in frame.claims:
-            if claim.name != self.own.claim.name:
+            if claim.name != self.local.claim.name:
                 self._hear(now, claim)
 
-    def _correct(self, now: int, frame: fr.AnyFrame, source: Place, held: Claim) -> None:
+    def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
         """Tell a life that has ended, or been followed by another, what is held of it."""
-        if not self.own.named:
+        if not self.local.active:
             return
         sender = frame.sender
         if isinstance(frame, fr.Ping):
             self.outgoing.tell(
                 source,
-                fr.Ack(sender=self.own.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]),
+                fr.Ack(
+                    sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]
+                ),
                 self.outgoing.version(sender),
             )
         elif isinstance(frame, fr.AskFor):
             self.outgoing.ping(source, self.outgoing.version(sender), 0, [held])
 
-    def _challenge(self, now: int, frame: fr.AnyFrame, source: Place) -> None:
+    def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         """A life that is not known: answer it, so that it knows us, and ask it."""
-        self.figures.refused["unproven"] += 1
-        if not self.own.named:
+        self.counters.refused["unproven"] += 1
+        if not self.local.active:
             return
         version = self.outgoing.version(frame.sender)
         if isinstance(frame, fr.Ping):
             self.outgoing.tell(
                 source,
                 fr.Ack(
-                    sender=self.own.claim,
+                    sender=self.local.claim,
                     sequence=self.outgoing.next_sequence(),
                     number=frame.number,
                     summary=self.outgoing.summary(),
@@ -325,41 +327,43 @@
                 version,
             )
         number = self._questions.ask_stranger(
-            Question(Why.STRANGER, now, now + self.settings.probe_every, frame.sender.name), source
+            Question(Why.STRANGER, now, now + self.settings.probe_interval, frame.sender.name), source
         )
         if number is not None:
             self.outgoing.ping(source, 1, number)
 
-    def _ack(self, now: int, ping: fr.Ping, member: Member, source: Place) -> None:
+    def _ack(self, now: int, ping: fr.Ping, member: Member, source: SocketAddress) -> None:
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.heard_at is None else (now - origin.heard_at) // MS
         room = self.outgoing.room()
-        kept = min(room // 3, len(self._rounds) * fr.WORD.size)  # words get through beside many claims
+        kept = min(room // 3, len(self._rounds) * fr.OBSERVATION.size)  # words get through beside many claims
         claims = self.outgoing.news(room - kept, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
-        words = worth.told(self.table, self._rounds, now, min(room, self.settings.most_words * fr.WORD.size))
+        words = observations.told(
+            self.table, self._rounds, now, min(room, self.settings.max_observations * fr.OBSERVATION.size)
+        )
         self.outgoing.tell(
             source,
             fr.Ack(
-                sender=self.own.claim,
+                sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
                 number=ping.number,
                 claims=claims,
                 summary=self.outgoing.summary(),
-                words=words,
-                heard=min(heard, fr.MOST_AGE),
+                observations=words,
+                heard=min(heard, fr.MAX_AGE_MS),
             ),
             self.outgoing.version(member.claim),
         )
 
-    def _ask_for(self, now: int, asked: fr.AskFor, member: Member, source: Place) -> None:
+    def _ask_for(self, now: int, asked: fr.AskFor, member: Member, source: SocketAddress) -> None:
         """Ask another for a third."""
         target = self.table.members.get(asked.target)
         number = self._questions.ask(
             Question(
                 Why.FOR_OTHER,
                 now,
-                now + self.settings.probe_every,
+                now + self.settings.probe_interval,
                 asked.target,
                 origin=source,
                 origin_number=asked.number,
@@ -369,11 +373,11 @@
         )
         if number is None:
             return
-        place = Place(asked.host, asked.port) if target is None else target.claim.place
+        place = SocketAddress(asked.host, asked.port) if target is None else target.claim.address
         self.outgoing.tell(
             place,
             fr.Ping(
-                sender=self.own.claim,
+                sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
                 number=number,
                 origin=asked.sender.name,
@@ -388,14 +392,14 @@
         if member.path is not Path.WHOLE:
             self.outgoing.note(f"{member.claim.name} answers this relay again (was: {member.path.value})")
             member.path = Path.WHOLE
-        worth.hear(self.table, ack.words, question.at)
+        observations.hear(self.table, ack.observations, question.at)
         if question.why is Why.PROBE:
             self._probing.answered(member.claim.name)
         elif question.why is Why.FOR_OTHER and question.origin is not None:
             self.outgoing.tell(
                 question.origin,
                 fr.Vouch(
-                    sender=self.own.claim,
+                    sender=self.local.claim,
                     sequence=self.outgoing.next_sequence(),
                     number=question.origin_number,
                     target=member.claim.name,
@@ -407,7 +411,7 @@
                 question.origin_version,
             )
         if view >= 0 and view != self.view:
-            self._exchanges.repair(now, member.claim.place, self.view_changed_at)
+            self._exchanges.repair(now, member.claim.address, self.view_changed_at)
 
     def _vouched(self, now: int, vouch: fr.Vouch, question: Question, by: Member) -> None:
         """Another has had an answer from the member that does not answer this relay."""
@@ -439,12 +443,12 @@
     def _begin(self, now: int) -> None:
         """Whether this process has slept through its own moments: then it judges nobody by them."""
         late = now - self.next_at
-        if late <= self.settings.probe_every // 2 or not self.settings.lifeguard:
+        if late <= self.settings.probe_interval // 2 or not self.settings.lifeguard:
             return
-        self.figures.slept += 1
+        self.counters.slept += 1
         self.health.change(1)
         self.outgoing.note(f"slept for {late / 1e9:.1f} s: no judgement follows from that time", logging.WARNING)
-        self.holding.stretch(late)
+        self.local_view.stretch(late)
         self._probing.give_up(now)
         self.next_at = now
 
@@ -466,11 +470,11 @@
         failed, same, other = self._facts
         facts = Facts(
             joined=self.joined,
-            named=self.own.named,
+            active=self.local.active,
             others=len(self.table),
             alone_after=self._patience(),
             answered_ago=None if self._answered_at is None else now - self._answered_at,
-            suspects=len(self.holding.suspects),
+            suspects=len(self.local_view.suspects),
             failed_lately=failed,
             changed=changed,
             agreeing=same,
@@ -499,7 +503,7 @@
         if self._retry_life_at is not None:
             moments.append(self._retry_life_at)
         maybe = (
-            self.holding.next_judgement(),
+            self.local_view.next_judgement(),
             self._questions.next_at(),
             self.doubt.out_at(self.settings.calm_after(self.count)),
         )
@@ -512,7 +516,9 @@
             if question.origin is not None:
                 self.outgoing.tell(
                     question.origin,
-                    fr.Nack(sender=self.own.claim, sequence=self.outgoing.next_sequence(), number=question.origin_number),
+                    fr.Nack(
+                        sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=question.origin_number
+                    ),
                     question.origin_version,
                 )
 
@@ -532,7 +538,7 @@
     # ---- staying in contact
 
     def _keep_contact(self, now: int) -> None:
-        if self.own.left:
+        if self.local.left:
             self._knock_at = now + self.settings.forget_after
             self._exchanges.stop_until(self._knock_at)
             return
@@ -540,10 +546,10 @@
             self._exchanges.join(now)
         if self._retry_life_at is not None and now >= self._retry_life_at:
             self._retry_life_at = None
-            self._effects.append(KeepLife(self.own.wanted))
+            self._effects.append(StoreLife(self.local.wanted))
         self._exchanges.take_turn(now)
         if now >= self._knock_at:
-            self._knock_at = now + self.settings.knock_every
+            self._knock_at = now + self.settings.contact_interval
             self._knock(now)
 
     def _knock(self, now: int) -> None:
@@ -551,29 +557,29 @@
         Who is suspected is asked by this relay too, whoever began it: it may be there, in another life. A relay whose
         name is in doubt asks in this way how it stands. A seed that has left is tried too: seeds that come
         back together know each other alone."""
-        doors: list[tuple[Place, list[Claim], int]] = []
+        doors: list[tuple[SocketAddress, list[Claim], int]] = []
         if self.seeds:
             known = {
                 (member.claim.host, member.claim.port) for member in self.table if member.claim.status is not Status.LEFT
             }
             doors += [(seed, [], 1) for seed in self.seeds if seed not in known]
         doors += [
-            (member.claim.place, [member.claim], self.outgoing.version(member.claim))
+            (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in self.table.gone.values()
             if member.claim.status is Status.FAILED
         ]
         doors += [
-            (member.claim.place, [member.claim], self.outgoing.version(member.claim))
-            for member in map(self.table.members.__getitem__, self.holding.suspects)
+            (member.claim.address, [member.claim], self.outgoing.version(member.claim))
+            for member in map(self.table.members.__getitem__, self.local_view.suspects)
         ]
-        if not self.own.named or self._answered_at is None:
+        if not self.local.active or self._answered_at is None:
             doors += [
-                (member.claim.place, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
+                (member.claim.address, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
             ]
         if not doors:
             return
         place, claims, version = doors[self._knocked % len(doors)]
         self._knocked += 1
-        number = self._questions.ask(Question(Why.KNOCK, now, now + self.settings.probe_every))
+        number = self._questions.ask(Question(Why.KNOCK, now, now + self.settings.probe_interval))
         if number is not None:
             self.outgoing.ping(place, version, number, claims)
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.condition import RELIES, Condition, Doubt, Facts, judge
-from garnetrelay.fleet.members.effects import Tell
+from garnetrelay.fleet.members.dissemination import Spreading
+from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.frames import Ping
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.fleet.members.spreading import Spreading
 from garnetrelay.fleet.members.table import Table
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts, judge
 
 claims = st.builds(
     Claim,
@@ -66,7 +66,7 @@
 facts = st.builds(
     Facts,
     joined=st.booleans(),
-    named=st.booleans(),
+    active=st.booleans(),
     others=st.integers(0, 5),
     answered_ago=st.one_of(st.none(), st.integers(0, 5)),
     alone_after=st.just(3),
@@ -81,7 +81,7 @@
 
 SETTLED = Facts(
     joined=True,
-    named=True,
+    active=True,
     others=2,
     answered_ago=0,
     alone_after=3,
@@ -142,10 +142,10 @@
     settings = Settings()
     others = [Claim(f"m{number}", 1, 1, 1, 0, Status.ALIVE, f"10.0.0.{number}", 1, 2) for number in range(2, 60)]
     suspect = others[7].judged(Status.SUSPECT, "m5")
-    members = Members(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
-    members.go_on_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
-    told: list[Tell] = []
-    while members.next_at <= settings.knock_every + settings.probe_every:
-        told += [effect for effect in members.tick(members.next_at) if isinstance(effect, Tell)]
-    asked = [tell.frame for tell in told if tell.place == suspect.place and isinstance(tell.frame, Ping)]
+    members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
+    members.resume_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
+    told: list[SendFrame] = []
+    while members.next_at <= settings.contact_interval + settings.probe_interval:
+        told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
+    asked = [tell.frame for tell in told if tell.place == suspect.address and isinstance(tell.frame, Ping)]
     assert asked and all(suspect in frame.claims and frame.number for frame in asked)
