--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -40,7 +40,7 @@
     recovery_stats: RecoveryStats
     owners: Owners | None  # None: no leases
     listed: dict[str, io.HostEntry]  # by host
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
 
     def post(self, event: io.Event) -> None:
         """Let the next turn take up an event."""
@@ -125,7 +125,7 @@
         elif self.written:
             relay.journal.record_outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
         if message.over:
-            relay.held.pop(message.ref, None)
+            relay.pending.pop(message.ref, None)
         relay.post(
             io.Verdict(
                 message.ref,
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -47,7 +47,7 @@
     hosts: Hosts
     server: Server
     discovery: Discovery
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
     listed: dict[str, io.HostEntry]  # by host
     gone: dict[str, None]  # hosts that were listed, the latest last
     inbox: list[io.Event]  # what the next turn will take up
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -139,7 +139,7 @@
         if relay.journal.write_failed:
             return "its folder takes no records"
         ours, theirs = resident(os.getpid()), resident(channel.peer[0])
-        held = sum(len(message.body) + OVER_BODY for message in relay.held.values())
+        held = sum(len(message.body) + OVER_BODY for message in relay.pending.values())
         if not p.bears(relay.config.memory_bytes, ours, theirs, held):
             return (
                 f"{relay.config.memory_bytes >> 20} MB do not bear both processes: this one has {ours >> 20}, the "
@@ -170,7 +170,7 @@
         await asyncio.sleep(0)
         while self._unquiet() and time.monotonic() < end or relay.syncing is not None and relay.syncing.running:
             await asyncio.sleep(STEP)
-        for _, exchange in list(_out(relay.held.values())):
+        for _, exchange in list(_out(relay.pending.values())):
             if exchange.connection is None:
                 exchange.abandon()
             elif not exchange.connection.can_hand_over:
@@ -181,7 +181,7 @@
         relay = self.relay
         return bool(relay.turn_due or relay.unreleased or relay.hosts.opening) or any(
             exchange.connection is None or not exchange.connection.can_hand_over
-            for _, exchange in _out(relay.held.values())
+            for _, exchange in _out(relay.pending.values())
         )
 
     def _settled(self) -> bool:
@@ -222,7 +222,7 @@
                 )
                 for connection in idle:
                     connection.close_after_handover()
-            for calls in _batches(_passing(relay.held.values())):
+            for calls in _batches(_passing(relay.pending.values())):
                 connections = [connection for _, _, connection in calls]
                 channel.send(
                     p.Calls(
@@ -253,7 +253,7 @@
                 os.close(claim)
             listener.close()
         relay.hosts.close()  # what does not pass ends here
-        relay.held.clear()
+        relay.pending.clear()
         return step
 
     def _state(self) -> p.State:
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -48,7 +48,7 @@
     inheritance: Inheritance | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
     gone: dict[str, None]  # hosts that were listed, the latest last
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
     recovering: deque[Entry]  # picked up, and not yet taken up
     taken_up: list[Entry]  # and not yet with the Pacer: it hears of them in the coming turn
     clock_is_sure: bool  # no time that the journal has lies ahead of the wall clock
@@ -150,7 +150,9 @@
             if not entry.attempts:
                 self.recovery_stats.find(entry.ref)
             ends_at = time.monotonic_ns() + (entry.deadline - now_ms) * MS
-            self.held[entry.ref] = PendingMessage(entry.ref, entry.klass, entry.key, entry.body, ends_at, entry.attempts)
+            self.pending[entry.ref] = PendingMessage(
+                entry.ref, entry.klass, entry.key, entry.body, ends_at, entry.attempts
+            )
         if entries:
             self.taken_up += entries
             self._turn_is_due()
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -84,7 +84,7 @@
         self.handover_sender: HandoverSender | None = None
         self.predecessor: PredecessorLink | None = None
         self.dests: set[int] = set()  # all that the list has ever named
-        self.held: dict[str, PendingMessage] = {}
+        self.pending: dict[str, PendingMessage] = {}
         self.recovery_stats = RecoveryStats()
         self.recovering: deque[Entry] = deque()  # picked up, and not yet taken up
         self.taken_up: list[Entry] = []  # and not yet with the Pacer: it hears of them in the coming turn
@@ -241,7 +241,7 @@
 
         return Gauges(
             attempts=self.hosts.calls_written,
-            in_flight=sum(not message.over for message in self.held.values()) + len(self.recovering),
+            in_flight=sum(not message.over for message in self.pending.values()) + len(self.recovering),
             hosts_known=len(self.listed),
             hosts_excluded=self.pacer.count_avoided_hosts(),
             reloads_ok=self.counts.reloads_ok,
@@ -261,7 +261,7 @@
     async def _adopt(self, inheritance: Inheritance) -> tuple[str, int]:
         """Connections and the listener, as the process before left them."""
         for call, found in inheritance.calls.values():
-            message = self.held.get(call.ref)
+            message = self.pending.get(call.ref)
             if message is None:
                 found.close()
                 continue
@@ -308,7 +308,7 @@
             self.counts.refused[request.klass] += 1
             reply.busy(0)
             return
-        if request.ref in self.held or request.ref in self.journal.entries:
+        if request.ref in self.pending or request.ref in self.journal.entries:
             reply.ok()  # it is taken on already; its end may still be on its way to the platform
             return
         if request.ref in self.newcomers:
@@ -326,7 +326,7 @@
                 key=request.key,
                 patience=request.patience_ms * MS,
                 storable=self.journal.has_room(request.ref, request.key, len(request.body))
-                and (not self.recovering or len(self.held) + len(self.recovering) < self.settings.limits.most_held),
+                and (not self.recovering or len(self.pending) + len(self.recovering) < self.settings.limits.most_held),
             )
         )
 
@@ -471,7 +471,7 @@
             self.journal.record_accepted(
                 Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
             )
-            self.held[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
+            self.pending[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
             noted.append(newcomer)
         return noted
 
@@ -481,7 +481,7 @@
         if recorded:
             newcomer.reply.ok()
             return
-        self.held.pop(ref, None)
+        self.pending.pop(ref, None)
         self.journal.record_end(ref, None)
         self.counts.refused[newcomer.request.klass] += 1
         newcomer.reply.busy(0)
@@ -509,7 +509,7 @@
                     self._end(ref, "dead", 0)
             case io.Cancel(ref, attempt):
                 log.debug("attempt %s %d is called off", ref, attempt)
-                message = self.held.get(ref)
+                message = self.pending.get(ref)
                 if message is not None and message.exchange is not None and message.attempts == attempt + 1:
                     message.exchange.give_up(io.Status.CANCELLED)
             case io.Probe():
@@ -540,7 +540,7 @@
     # ---- attempts
 
     def _send(self, send: io.Send) -> None:
-        message = self.held.get(send.call)
+        message = self.pending.get(send.call)
         if message is None:  # it was not taken on after all: the Pacer hears of that too
             self.post(io.Verdict(send.call, 0, send.host, io.Status.ABANDONED, 0, True, 0, False, None))
             return
@@ -573,11 +573,11 @@
         self._flush_soon()
 
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
-        message = self.held.get(ref)
+        message = self.pending.get(ref)
         if message is not None:
             self.finish(message, result, wait_ms)
             if message.exchange is None:
-                del self.held[ref]
+                del self.pending[ref]
         elif ref in self.journal.entries:
             self.journal.record_end(ref, result, wait_ms)
             self.ends.append((ref, result, wait_ms))
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -36,7 +36,7 @@
     server: Server
     notices: Notices
     predecessor: PredecessorLink | None  # the process before, while it has something to say
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
     recovering: Sized  # picked up, and not yet with the Pacer
     newcomers: Sized  # whose clients wait to hear whether they are taken on
     inbox: list[io.Event]
@@ -64,7 +64,7 @@
         self.stopping = True
         if self.predecessor is not None:
             self.predecessor.bye()
-        log.info("stopping: %d messages held", len(self.held))
+        log.info("stopping: %d messages held", len(self.pending))
         at = time.monotonic_ns() + STOP_AFTER
         self.post(io.Stopping(at))
         loop = asyncio.get_running_loop()
@@ -94,7 +94,7 @@
     def _end_if_idle(self) -> None:
         """The end, unless anything is held, owed, on its way, or may yet come on a connection that is open."""
         if self.server.draining and not (
-            self.held
+            self.pending
             or self.recovering
             or self.notices.queue
             or self.unreleased
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -161,7 +161,7 @@
         for n in range(2):
             await client.enqueue(f"warm{n}")
             (await self.host.next_call()).answer(200)
-            await until(lambda: not self.relays[0].held)
+            await until(lambda: not self.relays[0].pending)
 
 
 async def until(condition: Callable[[], bool]) -> None:
--- a/tests/store/test_store_in_relay.py
+++ b/tests/store/test_store_in_relay.py
@@ -42,7 +42,7 @@
     await until(lambda: not field.relays[0].journal.write_failed)
     assert await client.enqueue("m5") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert len([r for r in caplog.records if "cannot write" in r.getMessage()]) == 1
     field.relays[0].journal.flush()
     index, said = load_folder(Folder(field.state))
@@ -64,7 +64,7 @@
     monkeypatch.setattr(Sync, "run", slow)
     client = await field.start()
     client.write("ENQUEUE", "0000", "m1", "c=unsafe,d=8000,k=k,dest=3", b"x")
-    await until(lambda: "m1" in field.relays[0].held)
+    await until(lambda: "m1" in field.relays[0].pending)
     for _ in range(50):
         await asyncio.sleep(0)
     assert field.host.calls.empty() and not synced
@@ -76,7 +76,7 @@
     assert (await field.platform.next_notice()) == {"ref": "m1", "result": "dead"}
     assert await client.enqueue("m2") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -130,7 +130,7 @@
         while await client.enqueue(f"m{n}-{tries}", "unsafe" if n % 5 == 0 else "keyed") != b"OK":
             tries += 1  # refused, as a loop on a busy machine lags
         client.writer.close()
-        await until(lambda: not relay.held and not relay.notices.queue and not relay.server.connections)
+        await until(lambda: not relay.pending and not relay.notices.queue and not relay.server.connections)
 
 
 def answering(call: Call) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -210,14 +210,14 @@
     relay.turn()
     assert await client.read() == b"OK" and await client.read() is None
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held and not field.relays[0].server.connections)
+    await until(lambda: not field.relays[0].pending and not field.relays[0].server.connections)
 
 
 async def test_a_request_whose_last_millisecond_has_passed_on_the_way_is_refused_and_not_failed(field: Field) -> None:
     """Its time is told in whole milliseconds: what is left of one is none. A failure would be for good."""
     client = await field.start()
     assert await client.enqueue("m1", d=0) == "BUSY"
-    assert not field.relays[0].held and field.relays[0].counts.refused["safe"] == 1
+    assert not field.relays[0].pending and field.relays[0].counts.refused["safe"] == 1
 
 
 # ---- shutdown
@@ -360,7 +360,7 @@
     client.settimeout(PATIENCE)
     while piece := client.recv(100):
         answers += piece
-    assert answers == b"+PONG\r\n" and not relay.held
+    assert answers == b"+PONG\r\n" and not relay.pending
     client.close()
     await until(lambda: not relay.server.connections)
 
@@ -386,7 +386,7 @@
     client.writer.close()
     (await field.host.next_call()).answer(200)
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
-    assert not relay.held
+    assert not relay.pending
 
 
 async def test_a_stopping_relay_does_not_end_ahead_of_a_turn_that_is_due(field: Field) -> None:
@@ -410,7 +410,7 @@
     (await field.host.next_call()).answer(200)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
-    assert not relay.held
+    assert not relay.pending
 
 
 async def test_a_request_that_is_read_as_the_time_of_a_stopping_relay_ends_is_answered_and_kept(
@@ -482,7 +482,7 @@
     for _ in range(20):
         await asyncio.sleep(0)
     client.settimeout(PATIENCE)
-    assert client.recv(100) == b"" and not field.relays[0].held
+    assert client.recv(100) == b"" and not field.relays[0].pending
     client.close()
     first.writer.close()
 
@@ -553,7 +553,7 @@
     call = await other.next_call()
     assert call.headers["x-request-id"] == "m1" and field.host.calls.empty()
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert net.begin == begin
     await other.stop()
 
@@ -603,7 +603,7 @@
     monkeypatch.setattr(attempt_module, "UNSURE", 3600 * 10**9)  # however long this machine takes
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    await until(lambda: not relay.held and relay.journal.entries == {})
+    await until(lambda: not relay.pending and relay.journal.entries == {})
     assert relay.counts.served["unsafe"] == 1 and relay.counts.failed["unsafe"] == 0
 
 
@@ -612,9 +612,9 @@
     relay = field.relays[0]
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    relay.held["m1"].ends_at = time.monotonic_ns() + 3600 * 10**9
+    relay.pending["m1"].ends_at = time.monotonic_ns() + 3600 * 10**9
     call.answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
     assert not relay.notices.queue and field.platform.notices.empty() and relay.journal.entries == {}
 
 
@@ -636,7 +636,7 @@
     client = await field.start()
     for _ in range(5):
         (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert "5 found untried: 5 tried, with no call 0 ended at their time and 0 before, 0 left" in caplog.text
 
 
@@ -659,7 +659,7 @@
         call.answer(200)
         if call.headers["x-request-id"].startswith("old"):
             called.add(call.headers["x-request-id"])
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     while not field.platform.notices.empty():
         assert field.platform.notices.get_nowait()["ref"].startswith("new")
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -128,7 +128,7 @@
     monkeypatch.setattr(loop, "create_connection", without)
     assert await client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
     dest, host = relay.pacer.hosts["s-1"]
     assert not short and dest.last_failure_at == 0 and host.failure_share == 0.0
 
@@ -165,7 +165,7 @@
     assert relay.config.host_sockets <= clients.MOST_TOLD
     assert await crowd[0].enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
     assert relay._host_room() + relay.hosts.count == relay.config.host_sockets
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -51,7 +51,7 @@
     call = await field.host.next_call()
     assert epochs(field) == [17] and owners.asked == ["ownership", "still_owned"] and not owners.fenced
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
 
 
 async def test_a_lease_that_ends_behind_the_record_is_told_and_the_call_goes_out(field: Field) -> None:
@@ -61,7 +61,7 @@
     owners.lost_after_record = True
     assert await client.enqueue("m1") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert owners.fenced == [(DESTINATION, 17)]
 
 
@@ -72,7 +72,7 @@
     call = await field.host.next_call()
     assert epochs(field) == [None] and owners.asked == ["ownership"]
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
 
 
 async def test_without_leases_nothing_is_asked(field: Field) -> None:
@@ -82,4 +82,4 @@
     call = await field.host.next_call()
     assert epochs(field) == [None]
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -29,7 +29,7 @@
     assert call.headers["x-request-id"] == "m1" and call.headers["idempotency-key"] == "key-m1"
     assert 0 < int(call.headers["x-timeout-ms"]) <= 8000
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.relays[0].journal.entries == {} and field.platform.notices.empty()
 
 
@@ -68,7 +68,7 @@
     field.facts["limits"]["mostHeld"] = 20
     client = await field.start()
     answers = [await client.enqueue(f"m{n}") for n in range(40)]
-    assert len(field.relays[0].held) <= 20
+    assert len(field.relays[0].pending) <= 20
     bounced = 0
     while not field.platform.notices.empty():
         bounced += field.platform.notices.get_nowait()["result"] == "bounced"
@@ -117,7 +117,7 @@
     await until(lambda: field.relays[0].discovery.up_to_date)
     assert (await client.ask(*words)).startswith("ERR")
     assert await client.ask("PING") == b"PONG"
-    assert field.relays[0].held == {}
+    assert field.relays[0].pending == {}
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
     client.writer.write(data)
     assert (await client.read()).startswith("ERR")
     assert await client.read() is None
-    assert field.relays[0].held == {}
+    assert field.relays[0].pending == {}
 
 
 async def test_answers_come_in_the_order_of_pipelined_requests(field: Field) -> None:
@@ -261,9 +261,9 @@
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).answer(500)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert await client.enqueue("m1", "unsafe") == b"OK"
-    assert not field.relays[0].held and field.relays[0].journal.entries["m1"].ended == "dead"
+    assert not field.relays[0].pending and field.relays[0].journal.entries["m1"].ended == "dead"
 
 
 async def test_nonsense_at_full_speed_fills_no_log(field: Field, caplog: pytest.LogCaptureFixture) -> None:
@@ -318,7 +318,7 @@
     again = ScriptedHost()
     await again.start(port=int(address.split(":")[1]))
     (await again.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     await again.stop()
     assert field.platform.notices.empty()
 
@@ -348,7 +348,7 @@
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
     call.raw(data)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     async with asyncio.timeout(20):
         assert await field.host.next_closing() == call.connection
     assert field.platform.notices.empty() and field.relays[0].journal.entries == {}
@@ -403,7 +403,7 @@
     again = await field.host.next_call()  # it never ran: an unsafe message goes again, on another connection
     assert again.headers["x-request-id"] == "m1" and again.connection != first.connection
     again.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
 
 
 async def test_answer_may_take_its_time_behind_1xx(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -418,7 +418,7 @@
     await until(lambda: connection.timer is None)
     assert connection.exchange is not None
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.platform.notices.empty()
 
 
@@ -433,7 +433,7 @@
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(410)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.platform.notices.empty() and field.relays[0].journal.entries == {}
 
 
@@ -497,7 +497,7 @@
         seen.add(call.connection)
         call.raw(b"HTTP/1.1 102 Processing\r\n\r\n")
         call.answer(200, body=b"thanks")
-        await until(lambda: not field.relays[0].held)
+        await until(lambda: not field.relays[0].pending)
     assert len(seen) == 1
 
 
@@ -522,7 +522,7 @@
     call = await field.host.next_call()
     call.answer(200)
     net = field.relays[0].hosts
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     await until(lambda: any(net.idle.values()))
     idle = net.idle["s-1"][0]
     assert idle.transport is not None and idle.usable
@@ -664,7 +664,7 @@
     assert relay.notices.link is not None
     relay.notices.link.post = written.append  # type: ignore[method-assign, assignment]
     relay.inbox.append(io.Withdrawn("none"))
-    relay.held["m2"].exchange.give_up(io.Status.TIMEOUT)  # type: ignore[union-attr]
+    relay.pending["m2"].exchange.give_up(io.Status.TIMEOUT)  # type: ignore[union-attr]
     relay.turn()
     assert len(written) == 1 and b'{"ref":"m2","result":"dead"}' in written[0]
 
@@ -676,10 +676,10 @@
     call = await field.host.next_call()
     relay = field.relays[0]
     call.answer(200)
-    while time.monotonic_ns() < relay.held["m1"].ends_at:  # the core is spent
+    while time.monotonic_ns() < relay.pending["m1"].ends_at:  # the core is spent
         pass
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
 
 
 async def test_slow_relay_answers_each_message_by_its_deadline(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -70,7 +70,7 @@
     """It is ended once, and nothing has been sent."""
     assert await field.platform.next_notice() == {"ref": ref, "result": result}
     relay = field.relays[0]
-    await until(lambda: not relay.held and not relay.notices.queue and not relay.journal.entries)
+    await until(lambda: not relay.pending and not relay.notices.queue and not relay.journal.entries)
     assert field.platform.notices.empty() and field.host.calls.empty() and not relay.hosts.calls_written
 
 
@@ -89,7 +89,7 @@
     on_record(field, tried("k", 200))
     await (await prepared(field)).start()
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.platform.notices.empty()
 
 
@@ -150,7 +150,7 @@
     soon = relay._turn_soon
 
     def late() -> None:
-        if "k" in relay.held and not clock.passed:
+        if "k" in relay.pending and not clock.passed:
             clock.advance(WINDOW)
         soon()
 
@@ -180,7 +180,7 @@
     assert call.headers["x-request-id"] == "s"
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "k", "result": "dead"}
-    await until(lambda: not relay.held and not relay.journal.entries)
+    await until(lambda: not relay.pending and not relay.journal.entries)
     assert field.platform.notices.empty() and field.host.calls.empty() and relay.hosts.calls_written == 1
 
 
@@ -231,5 +231,5 @@
     clock.advance(4 * SECOND)
     second.break_off()
     assert await field.platform.next_notice() == {"ref": "k", "result": "dead"}
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.host.calls.empty() and field.platform.notices.empty() and field.relays[0].hosts.calls_written == 2
