--- a/garnetrelay/pending.py
+++ b/garnetrelay/pending.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Newcomer:
+class NewRequest:
     """A message whose client waits to hear whether it is taken on."""
 
     request: Request
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -26,7 +26,7 @@
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
-from garnetrelay.pending import Newcomer, PendingMessage
+from garnetrelay.pending import NewRequest, PendingMessage
 from garnetrelay.platform.notices import Notices
 from garnetrelay.recovery import Recovery
 from garnetrelay.recovery_stats import RecoveryStats
@@ -89,7 +89,7 @@
         self.recovering: deque[Entry] = deque()  # picked up, and not yet taken up
         self.taken_up: list[Entry] = []  # and not yet with the Pacer: it hears of them in the coming turn
         self.clock_is_sure = True  # no time that the journal has lies ahead of the wall clock
-        self.newcomers: dict[str, Newcomer] = {}
+        self.new_requests: dict[str, NewRequest] = {}
         self.inbox: list[io.Event] = []
         self.turn_due = False
         self.looked_at = 0  # when the last batch began
@@ -311,12 +311,12 @@
         if request.ref in self.pending or request.ref in self.journal.entries:
             reply.ok()  # it is taken on already; its end may still be on its way to the platform
             return
-        if request.ref in self.newcomers:
+        if request.ref in self.new_requests:
             reply.busy(0)
             return
         deadline = time.time_ns() // MS + request.patience_ms
         ends_at = time.monotonic_ns() + request.patience_ms * MS
-        self.newcomers[request.ref] = Newcomer(request, reply, deadline, ends_at)
+        self.new_requests[request.ref] = NewRequest(request, reply, deadline, ends_at)
         self.post(
             io.Arrived(
                 call=request.ref,
@@ -412,22 +412,26 @@
             wall = time.time_ns()  # behind ``now``: what passes between the two closes windows early, never late
             events += [self._recovered(entry, wall) for entry in taken_up]
         actions = self.pacer.handle(now, events)
-        newcomers = self._note_newcomers({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
+        new_requests = self._accept_new_requests({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
         self.hosts.gather()
         for action in actions:
             self._carry_out(action)
-        self.newcomers.clear()
+        self.new_requests.clear()
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
         self.unreleased += 1
-        self.journal.when_recorded(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
+        self.journal.when_recorded(functools.partial(self._let_out, ends, new_requests, self.hosts.gathered()))
         self._tend()
         if self.stopping:
             self._end_if_idle()
         self.lag.round_ends(time.monotonic_ns())
 
     def _let_out(
-        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.PreparedCall], recorded: bool
+        self,
+        ends: list[tuple[str, str, int]],
+        new_requests: list[NewRequest],
+        calls: list[net.PreparedCall],
+        recorded: bool,
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
         self.unreleased -= 1
@@ -438,8 +442,8 @@
         for end in ends:
             self.notices.add(*end)
         self.notices.send()
-        for newcomer in newcomers:
-            self._answer(newcomer, recorded)
+        for new_request in new_requests:
+            self._answer(new_request, recorded)
         self.hosts.release(calls, recorded)
 
     def _tend(self) -> None:
@@ -455,36 +459,36 @@
         self.tending = None
         self._tend()
 
-    def _note_newcomers(self, ends: set[str]) -> list[Newcomer]:
+    def _accept_new_requests(self, ends: set[str]) -> list[NewRequest]:
         """Note those that the Pacer did not end in this turn: they are taken on, once that is on record."""
         noted = []
-        for ref, newcomer in self.newcomers.items():
-            request = newcomer.request
+        for ref, new_request in self.new_requests.items():
+            request = new_request.request
             if ref in ends:
                 continue
             # Others of this turn may have taken the room that there was when it came.
-            if not newcomer.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
+            if not new_request.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
-                newcomer.reply.busy(0)
+                new_request.reply.busy(0)
                 self.post(io.Withdrawn(ref))
                 continue
             self.journal.record_accepted(
-                Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
+                Entry(ref, request.klass, request.dest, request.key, new_request.deadline, request.body)
             )
-            self.pending[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
-            noted.append(newcomer)
+            self.pending[ref] = PendingMessage(ref, request.klass, request.key, request.body, new_request.ends_at)
+            noted.append(new_request)
         return noted
 
-    def _answer(self, newcomer: Newcomer, recorded: bool) -> None:
+    def _answer(self, new_request: NewRequest, recorded: bool) -> None:
         """Tell a client that its message is taken on, or that it could not be put on record."""
-        ref = newcomer.request.ref
+        ref = new_request.request.ref
         if recorded:
-            newcomer.reply.ok()
+            new_request.reply.ok()
             return
         self.pending.pop(ref, None)
         self.journal.record_end(ref, None)
-        self.counts.refused[newcomer.request.klass] += 1
-        newcomer.reply.busy(0)
+        self.counts.refused[new_request.request.klass] += 1
+        new_request.reply.busy(0)
         self.post(io.Withdrawn(ref))
 
     def _carry_out(self, action: io.Action) -> None:
@@ -493,18 +497,18 @@
                 self._send(action)
             case io.Refuse(ref, hold_off):
                 log.debug("message %s is refused, come again after %d ms", ref, hold_off // MS)
-                newcomer = self.newcomers.get(ref)
-                if newcomer is not None:
-                    self.counts.refused[newcomer.request.klass] += 1
-                    newcomer.reply.busy(hold_off // MS)
+                new_request = self.new_requests.get(ref)
+                if new_request is not None:
+                    self.counts.refused[new_request.request.klass] += 1
+                    new_request.reply.busy(hold_off // MS)
                 else:
                     self._end(ref, "bounced", hold_off // MS)
             case io.Fail(ref):
                 log.debug("message %s fails", ref)
-                newcomer = self.newcomers.get(ref)
-                if newcomer is not None:
-                    self.counts.failed[newcomer.request.klass] += 1
-                    newcomer.reply.error("failed")
+                new_request = self.new_requests.get(ref)
+                if new_request is not None:
+                    self.counts.failed[new_request.request.klass] += 1
+                    new_request.reply.error("failed")
                 else:
                     self._end(ref, "dead", 0)
             case io.Cancel(ref, attempt):
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -38,7 +38,7 @@
     predecessor: PredecessorLink | None  # the process before, while it has something to say
     pending: dict[str, PendingMessage]  # by ref
     recovering: Sized  # picked up, and not yet with the Pacer
-    newcomers: Sized  # whose clients wait to hear whether they are taken on
+    new_requests: Sized  # whose clients wait to hear whether they are taken on
     inbox: list[io.Event]
     turn_due: bool
     unreleased: int  # turns whose records are on their way to the disk
@@ -100,7 +100,7 @@
             or self.unreleased
             or self.turn_due
             or self.inbox
-            or self.newcomers
+            or self.new_requests
             or self.server.connections
             or self.server.listening
         ):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -203,7 +203,7 @@
     relay._turn_soon = lambda: None  # type: ignore[method-assign]  # the turn waits: the end of its sending comes first
     client.writer.write(enqueue("m1"))
     client.writer.write_eof()
-    await until(lambda: bool(relay.newcomers))
+    await until(lambda: bool(relay.new_requests))
     (connection,) = relay.server.connections
     await until(lambda: connection.at_end)
     relay._turn_soon = turn  # type: ignore[method-assign]
@@ -421,7 +421,7 @@
     relay = field.relays[0]
     monkeypatch.setattr(relay, "_turn_soon", lambda: None)  # no turn comes in time
     client.writer.write(enqueue("m1"))
-    await until(lambda: bool(relay.newcomers))
+    await until(lambda: bool(relay.new_requests))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
