--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -54,7 +54,7 @@
     finished: asyncio.Event  # set: this process may end
     serving: bool
     stopping: bool
-    turn_due: bool
+    tick_scheduled: bool
     unreleased: int  # turns whose records are on their way to the disk
 
     @property
@@ -81,7 +81,7 @@
         """Let the next turn take up an event."""
         ...
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
         ...
 
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -179,7 +179,7 @@
 
     def _unquiet(self) -> bool:
         relay = self.relay
-        return bool(relay.turn_due or relay.unreleased or relay.hosts.opening) or any(
+        return bool(relay.tick_scheduled or relay.unreleased or relay.hosts.opening) or any(
             exchange.connection is None or not exchange.connection.can_hand_over
             for _, exchange in _out(relay.pending.values())
         )
@@ -187,7 +187,7 @@
     def _settled(self) -> bool:
         """The last turns; whether all that they decided is on record. From here on nothing waits for the loop."""
         for _ in range(8):
-            self.relay.turn()
+            self.relay.tick()
             if not self.relay.inbox:
                 break
         return not self.relay.inbox and self.relay.journal.flush_and_sync()
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -62,11 +62,11 @@
         """Let the next turn take up an event."""
 
     @abstractmethod
-    def _turn_is_due(self) -> None:
+    def _schedule_tick(self) -> None:
         """Let a turn come."""
 
     @abstractmethod
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
 
     @abstractmethod
@@ -101,7 +101,7 @@
         news = ListUpdate(state.index, True, tuple(entries), addresses)
         self._place(news)
         self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
-        self.turn()
+        self.tick()
         restore_snapshot(self.pacer, state.memory)
 
     def _recover(self) -> None:
@@ -155,7 +155,7 @@
             )
         if entries:
             self.taken_up += entries
-            self._turn_is_due()
+            self._schedule_tick()
 
     def _recovered(self, entry: Entry, now: int) -> io.Recovered:
         """As the Pacer hears of it in a turn. ``now``: the turn's time by the wall clock. What passes between taking a
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -91,7 +91,7 @@
         self.clock_is_sure = True  # no time that the journal has lies ahead of the wall clock
         self.new_requests: dict[str, NewRequest] = {}
         self.inbox: list[io.Event] = []
-        self.turn_due = False
+        self.tick_scheduled = False
         self.looked_at = 0  # when the last batch began
         self.flush_due = False
         self.lag = LoopLag()
@@ -161,7 +161,7 @@
         if self.settings.discovery is io.Discovery.AUTOMATIC:
             self.inbox.append(io.WatchMissing())  # changes come by themselves, but on a watch
         self._recover()
-        self.turn()
+        self.tick()
         listen = self.config.listen
         if self.inheritance is None:
             address = await self.server.start(listen.host, listen.port, self.config.operators is not None)
@@ -369,25 +369,25 @@
     def post(self, event: io.Event) -> None:
         """One batch holds all that is ready: the turn runs when the loop has read what lies there."""
         self.inbox.append(event)
-        self._turn_is_due()
+        self._schedule_tick()
 
-    def _turn_is_due(self) -> None:
-        if not self.turn_due:
-            self.turn_due = True
+    def _schedule_tick(self) -> None:
+        if not self.tick_scheduled:
+            self.tick_scheduled = True
             self.looked_at = time.monotonic_ns()
             self.lag.round_begins(self.looked_at)
-            asyncio.get_running_loop().call_soon(self._turn_soon)
+            asyncio.get_running_loop().call_soon(self._run_scheduled_tick)
 
-    def _turn_soon(self) -> None:
+    def _run_scheduled_tick(self) -> None:
         """The turn; but where this process did not run since it last read, what has come meanwhile is read first."""
         if time.monotonic_ns() - self.looked_at > POLL_AFTER:
-            after_socket_poll(self.turn)
+            after_socket_poll(self.tick)
         else:
-            self.turn()
+            self.tick()
 
     def _flush_soon(self) -> None:
         """See that what was noted outside a turn is written soon; nothing waits for it."""
-        if not self.turn_due and not self.flush_due:
+        if not self.tick_scheduled and not self.flush_due:
             self.flush_due = True
             asyncio.get_running_loop().call_soon(self._flush)
 
@@ -397,10 +397,10 @@
 
     # ---- a turn
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come, put it on record by one write, and only then let anything out: what is
         owed by the clock first, then answers to clients, then calls."""
-        self.turn_due = False
+        self.tick_scheduled = False
         if self.closed:
             return
         events, self.inbox = self.inbox, []
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -40,7 +40,7 @@
     recovering: Sized  # picked up, and not yet with the Pacer
     new_requests: Sized  # whose clients wait to hear whether they are taken on
     inbox: list[io.Event]
-    turn_due: bool
+    tick_scheduled: bool
     unreleased: int  # turns whose records are on their way to the disk
     closed: bool  # the relay has passed to a new process
     stopping: bool
@@ -52,7 +52,7 @@
         """Let the next turn take up an event."""
 
     @abstractmethod
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
 
     def stop(self) -> None:
@@ -69,15 +69,15 @@
         self.post(io.Stopping(at))
         loop = asyncio.get_running_loop()
         loop.call_later(DRAIN_AFTER, self._drain)
-        loop.call_at((at - LAST_TURN) / SECOND, self._last_turn)
+        loop.call_at((at - LAST_TURN) / SECOND, self._last_tick)
         loop.call_at(at / SECOND, self._time_is_up)
 
-    def _last_turn(self) -> None:
+    def _last_tick(self) -> None:
         """What has been read is answered, and nothing more is read: a request that we read and leave without an answer
         is lost, one that lies unread its client hands in again."""
         if not self.closed:
             self.server.end()
-            self.turn()
+            self.tick()
 
     def _time_is_up(self) -> None:
         """The end, once all that was promised is on record."""
@@ -98,7 +98,7 @@
             or self.recovering
             or self.notices.queue
             or self.unreleased
-            or self.turn_due
+            or self.tick_scheduled
             or self.inbox
             or self.new_requests
             or self.server.connections
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -199,15 +199,15 @@
 async def test_a_client_that_ends_its_sending_behind_a_request_still_hears_its_answer(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
-    turn = relay._turn_soon
-    relay._turn_soon = lambda: None  # type: ignore[method-assign]  # the turn waits: the end of its sending comes first
+    turn = relay._run_scheduled_tick
+    relay._run_scheduled_tick = lambda: None  # type: ignore[method-assign]  # the turn waits: the end of its sending comes first
     client.writer.write(enqueue("m1"))
     client.writer.write_eof()
     await until(lambda: bool(relay.new_requests))
     (connection,) = relay.server.connections
     await until(lambda: connection.at_end)
-    relay._turn_soon = turn  # type: ignore[method-assign]
-    relay.turn()
+    relay._run_scheduled_tick = turn  # type: ignore[method-assign]
+    relay.tick()
     assert await client.read() == b"OK" and await client.read() is None
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].pending and not field.relays[0].server.connections)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -665,7 +665,7 @@
     relay.notices.link.post = written.append  # type: ignore[method-assign, assignment]
     relay.inbox.append(io.Withdrawn("none"))
     relay.pending["m2"].exchange.give_up(io.Status.TIMEOUT)  # type: ignore[union-attr]
-    relay.turn()
+    relay.tick()
     assert len(written) == 1 and b'{"ref":"m2","result":"dead"}' in written[0]
 
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -147,14 +147,14 @@
     monkeypatch.setattr(recovery, "SLICE", 1)
     on_record(field, tried("k", 200))
     relay = await prepared(field)
-    soon = relay._turn_soon
+    soon = relay._run_scheduled_tick
 
     def late() -> None:
         if "k" in relay.pending and not clock.passed:
             clock.advance(WINDOW)
         soon()
 
-    relay._turn_soon = late  # type: ignore[method-assign]
+    relay._run_scheduled_tick = late  # type: ignore[method-assign]
     await relay.start()
     await one_end(field, "k")
     assert clock.passed
@@ -194,7 +194,7 @@
     clock.advance(WINDOW)
     relay.on_news(relay.reader.read({"index": 42, "snapshot": False, "endpoints": [endpoint(field.host)]}))
     await until(lambda: relay.pacer.hosts["s-1"][1].usable)
-    await until(lambda: not relay.turn_due)
+    await until(lambda: not relay.tick_scheduled)
     assert relay.pacer.messages["k"].call is None and not relay.hosts.count
     clock.advance(3 * SECOND)
     await one_end(field, "k")
