--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -70,7 +70,7 @@
         """Decide on all that has come."""
 
     @abstractmethod
-    def _place(self, news: ListUpdate) -> None:
+    def _place(self, update: ListUpdate) -> None:
         """Where each host listens now."""
 
     @abstractmethod
@@ -79,13 +79,13 @@
 
     def _read_known(self) -> None:
         try:
-            news = self.reader.read(self.config.known_hosts)
+            update = self.reader.read(self.config.known_hosts)
         except ValueError as error:
             log.warning("the list in the configuration can't be read, starting without one: %s", error)
             return
-        self.discovery.index = news.index
-        self._place(news)
-        self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
+        self.discovery.index = update.index
+        self._place(update)
+        self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
 
     def _inherit(self, state: State) -> None:
         """The list as the process before had it, and what it knew."""
@@ -98,9 +98,9 @@
         self.gone = dict.fromkeys(state.gone)
         # Another address may count its versions in a way of its own: it is asked for all.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
-        news = ListUpdate(state.index, True, tuple(entries), addresses)
-        self._place(news)
-        self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
+        update = ListUpdate(state.index, True, tuple(entries), addresses)
+        self._place(update)
+        self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
         self.tick()
         restore_snapshot(self.pacer, state.memory)
 
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -116,7 +116,7 @@
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
         self.server.on_closed = self._end_if_idle
         self.reader = ListReader(config)
-        self.discovery = Discovery(config.discovery, self.reader, 0, self.on_news)
+        self.discovery = Discovery(config.discovery, self.reader, 0, self.on_list_update)
         self.notices = Notices(config.discovery, self._told)
 
     def _host_room(self) -> int:
@@ -330,14 +330,14 @@
             )
         )
 
-    def on_news(self, news: ListUpdate | None) -> None:
+    def on_list_update(self, update: ListUpdate | None) -> None:
         """The list of hosts has changed; None: the watch has failed."""
-        if news is None:
+        if update is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
             return
-        self._place(news)
-        scope = io.ListScope.WHOLE if news.whole else io.ListScope.CHANGES
-        self.post(io.Roster(scope, news.entries, news.current))
+        self._place(update)
+        scope = io.ListScope.WHOLE if update.whole else io.ListScope.CHANGES
+        self.post(io.Roster(scope, update.entries, update.current))
 
     def exclude(self, host: str, out: bool) -> None:
         """Staff took a host out, or put it back: no call begins before the Pacer has heard of it."""
@@ -346,11 +346,11 @@
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, news: ListUpdate) -> None:
+    def _place(self, update: ListUpdate) -> None:
         """Where each host listens now. Connections to those that drain or went are closed."""
-        named = {entry.host for entry in news.entries}
-        gone = [host for host in self.listed if host not in named] if news.whole else []
-        for entry in news.entries:
+        named = {entry.host for entry in update.entries}
+        gone = [host for host in self.listed if host not in named] if update.whole else []
+        for entry in update.entries:
             if entry.availability is io.Availability.DELETED:
                 gone.append(entry.host)
                 continue
@@ -358,7 +358,7 @@
             self.gone.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
-            self.hosts.set_address(entry.host, news.addresses[entry.host], draining)
+            self.hosts.set_address(entry.host, update.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
                 self.gone[host] = None
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -174,15 +174,15 @@
 def news_taken_up_late() -> None:
     """News of the register lies about for four seconds."""
 
-    def make(on_news: Any) -> Any:
+    def make(on_list_update: Any) -> Any:
         def wrong(self: Any, news: Any) -> None:
             import asyncio
 
-            asyncio.get_running_loop().call_later(4.0, on_news, self, news)
+            asyncio.get_running_loop().call_later(4.0, on_list_update, self, news)
 
         return wrong
 
-    replaced(core.Relay, "on_news", make)
+    replaced(core.Relay, "on_list_update", make)
 
 
 def watch_not_renewed() -> None:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -192,7 +192,7 @@
     await relay.start()
     await until(lambda: "k" in relay.pacer.messages)
     clock.advance(WINDOW)
-    relay.on_news(relay.reader.read({"index": 42, "snapshot": False, "endpoints": [endpoint(field.host)]}))
+    relay.on_list_update(relay.reader.read({"index": 42, "snapshot": False, "endpoints": [endpoint(field.host)]}))
     await until(lambda: relay.pacer.hosts["s-1"][1].usable)
     await until(lambda: not relay.tick_scheduled)
     assert relay.pacer.messages["k"].call is None and not relay.hosts.count
