--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -108,28 +108,28 @@
         # Clients and hosts share the descriptors: each may have what the other does not use of its own part.
         self.hosts = net.Hosts(
             config.settings,
-            self._host_room,
+            self._remaining_host_connections,
             lambda: self.server.close_longest_idle(),
             self.journal.when_recorded,
             config.machine_durable,
         )
-        self.server = Server(self.on_request, self._client_room, self._more_client_room)
+        self.server = Server(self.on_request, self._remaining_client_connections, self._close_idle_host_connection)
         self.server.on_closed = self._end_if_idle
         self.reader = ListReader(config)
         self.discovery = Discovery(config.discovery, self.reader, 0, self.on_list_update)
         self.notices = Notices(config.discovery, self._told)
 
-    def _host_room(self) -> int:
+    def _remaining_host_connections(self) -> int:
         """How many more connections to hosts there may be."""
         clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
-    def _client_room(self) -> int:
+    def _remaining_client_connections(self) -> int:
         """How many more connections of clients there may be."""
         hosts = max(self.config.host_sockets, self.hosts.count)
         return self.config.shared_sockets - hosts - len(self.server.connections)
 
-    def _more_client_room(self) -> bool:
+    def _close_idle_host_connection(self) -> bool:
         return self.hosts.count > self.config.host_sockets and self.hosts.close_longest_idle()
 
     async def start(self) -> tuple[str, int]:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -50,7 +50,7 @@
     now = relay.server.now()
     relay.server.now = lambda: now
     found = []
-    while relay._client_room() > 0:
+    while relay._remaining_client_connections() > 0:
         found.append(await Client.connect(port))
         assert await found[-1].ask("PING") == b"PONG"
     while len(relay.server.lingering) < clients.MOST_TOLD:
@@ -75,7 +75,7 @@
     for _ in range(100):
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
-    assert relay._client_room() <= 0
+    assert relay._remaining_client_connections() <= 0
     assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED_DESCRIPTORS
     for one in burst:
         one.close()
@@ -166,7 +166,7 @@
     assert await crowd[0].enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.pending)
-    assert relay._host_room() + relay.hosts.count == relay.config.host_sockets
+    assert relay._remaining_host_connections() + relay.hosts.count == relay.config.host_sockets
 
 
 @pytest.mark.parametrize("sends_on", [False, True])
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -193,11 +193,11 @@
     field.limits["sockets"] = 60
     first = await field.start()
     relay = field.relays[0]
-    room = relay._client_room()
+    room = relay._remaining_client_connections()
     others = [await Client.connect(field.port) for _ in range(room)]
     for client in (first, *others):
         assert await client.ask("PING") == b"PONG"
-    assert relay._client_room() == 0
+    assert relay._remaining_client_connections() == 0
     late = await Client.connect(field.port)
     assert (await late.read()).startswith("BUSY") and await late.read() is None
     monkeypatch.setattr(clients, "MIN_IDLE_S", 0.0)
@@ -217,8 +217,8 @@
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     relay = field.relays[0]
-    silent = [await Client.connect(field.port) for _ in range(relay._client_room())]
-    await until(lambda: relay._client_room() == 0)
+    silent = [await Client.connect(field.port) for _ in range(relay._remaining_client_connections())]
+    await until(lambda: relay._remaining_client_connections() == 0)
     first = next(iter(relay.server.without_command))
     await until(lambda: relay.server.now() > first.heard_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
