--- a/garnetrelay/daemon.py
+++ b/garnetrelay/daemon.py
@@ -16,7 +16,7 @@
 from garnetrelay.store.store import StoreError
 
 if TYPE_CHECKING:
-    from garnetrelay.handover.receiver import Inheritance
+    from garnetrelay.handover.receiver import ReceivedHandover
     from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger("garnetrelay")
@@ -31,18 +31,18 @@
         log.error("the old configuration stays: %s", error)
 
 
-def inherit(config: Config) -> tuple[Config, Inheritance | None, Preloaded | None]:
+def inherit(config: Config) -> tuple[Config, ReceivedHandover | None, Preloaded | None]:
     """What another process that serves from this folder hands to this one, where staff may upgrade a relay."""
     if config.operators is None:
         return config, None, None
     from garnetrelay.handover import receiver  # only where it may be
 
     ahead = receiver.read_folder(config.state)
-    inheritance = receiver.ask(config.state)
-    if inheritance is None:
+    handover = receiver.ask(config.state)
+    if handover is None:
         return config, None, ahead
-    moved = receiver.discovery(inheritance.state.discovery, config.discovery, reload(os.environ).discovery)
-    return dataclasses.replace(config, discovery=moved), inheritance, ahead
+    moved = receiver.discovery(handover.state.discovery, config.discovery, reload(os.environ).discovery)
+    return dataclasses.replace(config, discovery=moved), handover, ahead
 
 
 async def serve(config: Config, early: list[int]) -> None:
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Inheritance:
+class ReceivedHandover:
     """A relay as it passed to this process."""
 
     channel: Channel
@@ -71,7 +71,7 @@
             gc.enable()
 
 
-def ask(folder: Path) -> Inheritance | None:
+def ask(folder: Path) -> ReceivedHandover | None:
     """The relay of the process that serves from a folder; None where none does, or where it dies of it: then a
     start from the folder is right. So it is where it does not give the relay away: then the claim says the rest."""
     door = Door(folder)
@@ -81,7 +81,7 @@
         door.close()
     if channel is None:
         return None
-    found: Inheritance | None = None
+    found: ReceivedHandover | None = None
     taking, patience = p.ReceiverState(), GIVE_TIME
     try:
         channel.send(p.Hello([p.VERSION]))
@@ -105,11 +105,11 @@
         return None
 
 
-def _take(channel: Channel, found: Inheritance | None, frame: p.Frame, descriptors: list[int]) -> Inheritance:
+def _take(channel: Channel, found: ReceivedHandover | None, frame: p.Frame, descriptors: list[int]) -> ReceivedHandover:
     """Keep what a frame brought; its order and counts have been checked."""
     if isinstance(frame, p.State):
         claim, listener = descriptors
-        return Inheritance(channel, frame, claim, socket.socket(fileno=listener))
+        return ReceivedHandover(channel, frame, claim, socket.socket(fileno=listener))
     assert found is not None
     sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
     match frame:
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from garnetrelay.handover.protocol import State
-    from garnetrelay.handover.receiver import Inheritance
+    from garnetrelay.handover.receiver import ReceivedHandover
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
     journal: Store
     reader: ListReader
     discovery: Discovery
-    inheritance: Inheritance | None  # from the process before; None behind the start, and where there was none
+    handover: ReceivedHandover | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
     gone: dict[str, None]  # hosts that were listed, the latest last
     pending: dict[str, PendingMessage]  # by ref
@@ -108,7 +108,7 @@
         """Pick up what an earlier life left. Messages that keep an order come before any newcomer of theirs, and calls
         that are out before any other; the rest goes to the Pacer in slices, soonest deadline first, while clients are
         answered."""
-        passed = {} if self.inheritance is None else self.inheritance.calls
+        passed = {} if self.handover is None else self.handover.calls
         self._look_at_the_clock()
         first: list[Entry] = []
         rest: list[Entry] = []
@@ -160,7 +160,7 @@
     def _recovered(self, entry: Entry, now: int) -> io.Recovered:
         """As the Pacer hears of it in a turn. ``now``: the turn's time by the wall clock. What passes between taking a
         message up and its turn would lengthen its window for repeats, and its time."""
-        passed = None if self.inheritance is None else self.inheritance.calls.get(entry.ref)
+        passed = None if self.handover is None else self.handover.calls.get(entry.ref)
         out = None if passed is None else passed[0]  # its attempt is out still
         if out is None and entry.ran_at is None and entry.trying_at is not None:  # no outcome came: it may have run
             entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from garnetrelay.fleet.service import Fleet
-    from garnetrelay.handover.receiver import Inheritance, PredecessorLink
+    from garnetrelay.handover.receiver import PredecessorLink, ReceivedHandover
     from garnetrelay.handover.sender import HandoverSender
     from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
@@ -60,16 +60,16 @@
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Preloaded | None = None) -> None:
+    def __init__(self, config: Config, handover: ReceivedHandover | None = None, ahead: Preloaded | None = None) -> None:
         self.config = config
-        self.inheritance = inheritance
+        self.handover = handover
         self.settings = config.settings
         self.pacer = Pacer(config.settings, config.seed)
         self.journal = Store.open(
             config.state,
             config.journal_bytes,
             config.machine_durable,
-            None if inheritance is None else inheritance.claim,
+            None if handover is None else handover.claim,
             ahead,
             config.settings.limits.most_tries,
             config.fleet is not None and config.fleet.leases is not None,
@@ -148,37 +148,37 @@
         if self.config.fleet is not None:
             from garnetrelay.fleet.service import Fleet  # only where relays know each other
 
-            passed = None if self.inheritance is None else self.inheritance.state.fleet
+            passed = None if self.handover is None else self.handover.state.fleet
             self.fleet = Fleet(
                 self.config.fleet, self.config.name, self.config.state, self.config.machine_durable, passed
             )
             await self.fleet.start()
             self.owners = self.fleet.leases
-        if self.inheritance is None:
+        if self.handover is None:
             self._read_known()
         else:
-            self._inherit(self.inheritance.state)
+            self._inherit(self.handover.state)
         if self.settings.discovery is io.Discovery.AUTOMATIC:
             self.inbox.append(io.WatchMissing())  # changes come by themselves, but on a watch
         self._recover()
         self.tick()
         listen = self.config.listen
-        if self.inheritance is None:
+        if self.handover is None:
             address = await self.server.start(listen.host, listen.port, self.config.operators is not None)
         else:
-            address = await self._adopt(self.inheritance)
+            address = await self._adopt(self.handover)
         self.serving = True
         self._recover_slice()
         if self.config.operators is not None:
             from garnetrelay.handover.sender import HandoverSender  # staff may upgrade it
 
             self.handover_sender = HandoverSender(self)
-        if self.inheritance is not None:
+        if self.handover is not None:
             from garnetrelay.handover.receiver import PredecessorLink
 
-            self.inheritance.taken()
-            self.predecessor = PredecessorLink(self.inheritance.channel, self._exclude_as_told)
-            self.inheritance = None
+            self.handover.taken()
+            self.predecessor = PredecessorLink(self.handover.channel, self._exclude_as_told)
+            self.handover = None
         return address
 
     def reconfigure(self, config: Config) -> None:
@@ -258,9 +258,9 @@
 
     # ---- the start
 
-    async def _adopt(self, inheritance: Inheritance) -> tuple[str, int]:
+    async def _adopt(self, handover: ReceivedHandover) -> tuple[str, int]:
         """Connections and the listener, as the process before left them."""
-        for call, found in inheritance.calls.values():
+        for call, found in handover.calls.values():
             message = self.pending.get(call.ref)
             if message is None:
                 found.close()
@@ -268,11 +268,11 @@
             attempt = Attempt(self, message, call.name, message.attempts - 1, call.started, call.stop_at, True)
             message.exchange, message.sent_at, message.zone = attempt.exchange(), call.started, call.zone
             await self.hosts.adopt(found, call.name, Address(call.host, call.port), call.used, message.exchange)
-        for idle, found in inheritance.idle:
+        for idle, found in handover.idle:
             await self.hosts.adopt(found, idle.name, Address(idle.host, idle.port), True, None)
-        for client, found in inheritance.clients:
+        for client, found in handover.clients:
             await self.server.adopt(found, client.raw, client.asked)
-        return await self.server.listen(inheritance.listener)
+        return await self.server.listen(handover.listener)
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
         """Staff called the process before; why it can't be done, or nothing."""
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -253,7 +253,7 @@
 
     def make(recovered: Any) -> Any:
         def wrong(self: Any, entry: Any, now: int) -> Any:
-            if self.inheritance is not None and self.inheritance.calls.pop(entry.ref, None) is not None:
+            if self.handover is not None and self.handover.calls.pop(entry.ref, None) is not None:
                 entry.trying_at = None
             return recovered(self, entry, now)
 
