--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -126,13 +126,13 @@
         if self.journal.entries:
             log.info("picked up %d messages and %d notices", len(first) + len(rest), len(self.ends))
         self.recovering.extend(rest)
-        self._take_up(first)
+        self._restore(first)
 
     def _recover_slice(self) -> None:
         """So many at once, and the others in later rounds of the loop."""
         if self.closed:
             return
-        self._take_up([self.recovering.popleft() for _ in range(min(SLICE, len(self.recovering)))])
+        self._restore([self.recovering.popleft() for _ in range(min(SLICE, len(self.recovering)))])
         if self.recovering:
             asyncio.get_running_loop().call_soon(self._recover_slice)
 
@@ -144,7 +144,7 @@
                 "the clock was set back by %d ms or more: no keyed message that may have run is sent again", ahead
             )
 
-    def _take_up(self, entries: list[Entry]) -> None:
+    def _restore(self, entries: list[Entry]) -> None:
         now_ms = time.time_ns() // MS
         for entry in entries:
             if not entry.attempts:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -167,14 +167,14 @@
     monkeypatch.setattr(recovery, "SLICE", 1)
     on_record(field, tried("s", 200, 4000, "safe"), tried("k", 200))
     relay = await prepared(field)
-    take_up = relay._take_up
+    take_up = relay._restore
 
     def late(entries: list[Entry]) -> None:
         if any(entry.ref == "k" for entry in entries):
             clock.advance(WINDOW)
         take_up(entries)
 
-    relay._take_up = late  # type: ignore[method-assign]
+    relay._restore = late  # type: ignore[method-assign]
     await relay.start()
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "s"
