--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -157,7 +157,7 @@
             self.taken_up += entries
             self._schedule_tick()
 
-    def _recovered(self, entry: Entry, now: int) -> io.Recovered:
+    def _recovered_event(self, entry: Entry, now: int) -> io.Recovered:
         """As the Pacer hears of it in a turn. ``now``: the turn's time by the wall clock. What passes between taking a
         message up and its turn would lengthen its window for repeats, and its time."""
         passed = None if self.handover is None else self.handover.calls.get(entry.ref)
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -410,7 +410,7 @@
         if self.taken_up:
             taken_up, self.taken_up = self.taken_up, []
             wall = time.time_ns()  # behind ``now``: what passes between the two closes windows early, never late
-            events += [self._recovered(entry, wall) for entry in taken_up]
+            events += [self._recovered_event(entry, wall) for entry in taken_up]
         actions = self.pacer.handle(now, events)
         new_requests = self._accept_new_requests({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
         self.hosts.gather()
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -259,7 +259,7 @@
 
         return wrong
 
-    replaced(core.Relay, "_recovered", make)
+    replaced(core.Relay, "_recovered_event", make)
 
 
 def hands_left_behind() -> None:
