--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -28,7 +28,9 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-UNSURE = 2 * SECOND // 5  # between a request's sending and our reading it, at most: its client waits so long for a word
+MAX_TRANSIT_UNCERTAINTY_NS = (
+    2 * SECOND // 5
+)  # between a request's sending and our reading it, at most: its client waits so long for a word
 
 
 class AttemptingRelay(Protocol):
@@ -121,7 +123,7 @@
         if finished:
             # Its end settles the attempt too. The client counts from its sending: if the answer came behind its time but
             # ahead of ours, the end is still owed. A notice for a message that is over does no harm.
-            relay.finish(message, None, 0, tell="dead" if now >= message.ends_at - UNSURE else None)
+            relay.finish(message, None, 0, tell="dead" if now >= message.ends_at - MAX_TRANSIT_UNCERTAINTY_NS else None)
         elif self.written:
             relay.journal.record_outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
         if message.over:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -600,7 +600,7 @@
     relay = field.relays[0]
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
-    monkeypatch.setattr(attempt_module, "UNSURE", 3600 * 10**9)  # however long this machine takes
+    monkeypatch.setattr(attempt_module, "MAX_TRANSIT_UNCERTAINTY_NS", 3600 * 10**9)  # however long this machine takes
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     await until(lambda: not relay.pending and relay.journal.entries == {})
