--- a/garnetrelay/cli/upgrade.py
+++ b/garnetrelay/cli/upgrade.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.cli.operators import AddressType, ask
 from garnetrelay.config.deployment import Address
-from garnetrelay.handover.channel import Door
+from garnetrelay.handover.channel import HandoverSocket
 
 LOOK_EVERY = 0.05  # seconds
 TERM_TIME = 3.7  # seconds from SIGTERM until the old process must be gone
@@ -24,9 +24,9 @@
 
 def serving(folder: Path) -> int | None:
     """The process that serves from a state folder, as the kernel knows it; None where none does."""
-    door = Door(folder)
+    door = HandoverSocket(folder)
     try:
-        channel = door.call()
+        channel = door.connect()
     finally:
         door.close()
     if channel is None:
--- a/garnetrelay/handover/channel.py
+++ b/garnetrelay/handover/channel.py
@@ -87,7 +87,7 @@
         self.socket.close()
 
 
-class Door:
+class HandoverSocket:
     """The folder's socket. Its path may be longer than a socket's name can be: it is named through the folder."""
 
     def __init__(self, folder: Path) -> None:
@@ -114,7 +114,7 @@
         self.listener = listener
         return listener
 
-    def call(self) -> Channel | None:
+    def connect(self) -> Channel | None:
         """A channel to the process that serves; None where there is none."""
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.config.deployment import Address
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, Door
+from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, HandoverSocket
 from garnetrelay.store.preload import Preloaded, preload_folder
 from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
@@ -74,9 +74,9 @@
 def ask(folder: Path) -> ReceivedHandover | None:
     """The relay of the process that serves from a folder; None where none does, or where it dies of it: then a
     start from the folder is right. So it is where it does not give the relay away: then the claim says the rest."""
-    door = Door(folder)
+    door = HandoverSocket(folder)
     try:
-        channel = door.call()
+        channel = door.connect()
     finally:
         door.close()
     if channel is None:
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import Channel, ChannelError, Door
+from garnetrelay.handover.channel import Channel, ChannelError, HandoverSocket
 from starlingwick import interface as io
 from starlingwick.queues import NEVER
 from starlingwick.snapshot import take_snapshot
@@ -65,7 +65,7 @@
         self.channel: Channel | None = None
         self.task: asyncio.Task[None] | None = None
         self.start_anew = start_anew
-        self.door = Door(relay.config.state)
+        self.door = HandoverSocket(relay.config.state)
         self.listener = self.door.listen()
         self.loop.add_reader(self.listener, self._accept)
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -15,7 +15,7 @@
 import pytest_asyncio
 
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import Channel, Door
+from garnetrelay.handover.channel import Channel, HandoverSocket
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from starlingwick.snapshot import restore_snapshot, take_snapshot
@@ -120,8 +120,8 @@
     client = await relay.start()
     assert await client.enqueue("safe") == b"OK"
     await field.host.next_call()
-    door = Door(field.state)
-    channel = door.call()
+    door = HandoverSocket(field.state)
+    channel = door.connect()
     door.close()
     assert channel is not None
     if after != "connect":
@@ -143,8 +143,8 @@
 
 async def test_another_version_is_refused(field: Field, relay: Upgraded) -> None:
     client = await relay.start()
-    door = Door(field.state)
-    channel = door.call()
+    door = HandoverSocket(field.state)
+    channel = door.connect()
     door.close()
     assert channel is not None
     channel.send(p.Hello([p.VERSION + 1]))
@@ -229,8 +229,8 @@
 
 def hello(field: Field) -> p.Frame:
     """What a new process is answered."""
-    door = Door(field.state)
-    channel = door.call()
+    door = HandoverSocket(field.state)
+    channel = door.connect()
     door.close()
     assert channel is not None
     channel.send(p.Hello([p.VERSION]))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from garnetrelay.discovery import host_list, watches
 from garnetrelay.discovery.host_list import ObjectSplitter, UnreadableListError
 from garnetrelay.fronts.resp import server as clients
-from garnetrelay.handover.channel import Door
+from garnetrelay.handover.channel import HandoverSocket
 from garnetrelay.handover.protocol import VERSION, Hello
 from garnetrelay.platform import notices
 from garnetrelay.rehearsal.http import Call
@@ -747,8 +747,8 @@
         return await quiet()
 
     relay.handover_sender._quieten = quieten  # type: ignore[method-assign]
-    door = Door(field.state)
-    channel = await asyncio.to_thread(door.call)
+    door = HandoverSocket(field.state)
+    channel = await asyncio.to_thread(door.connect)
     assert channel is not None
     channel.send(Hello([VERSION]))
     channel.close()  # it dies: what it is given comes to nobody
