--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -48,7 +48,7 @@
         return 0
 
 
-def start_anew() -> None:
+def restart_process() -> None:
     """Begin this very process again, as it was begun: its descriptors close with it, the folder has the rest."""
     logging.shutdown()
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the new text says what it does with it
@@ -64,7 +64,7 @@
         self.state = p.SenderState()
         self.channel: Channel | None = None
         self.task: asyncio.Task[None] | None = None
-        self.start_anew = start_anew
+        self.restart_process = restart_process
         self.door = HandoverSocket(relay.config.state)
         self.listener = self.door.listen()
         self.loop.add_reader(self.listener, self._accept)
@@ -326,13 +326,13 @@
                     self.channel.receive()  # its end
                 except (ChannelError, ProcessLookupError):
                     pass
-                self.start_anew()
+                self.restart_process()
             case p.Step.START_ANEW if self.relay.stopping:  # it was told to end while it handed over
                 log.error("upgrade: broken off, and this process was told to end: the folder keeps the rest")
                 self.relay.finished.set()
             case p.Step.START_ANEW:
                 log.error("upgrade: starting anew from the folder")
-                self.start_anew()
+                self.restart_process()
             case _:
                 pass
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -738,7 +738,7 @@
     relay = field.relays[0]
     assert relay.handover_sender is not None
     begun: list[bool] = []
-    relay.handover_sender.start_anew = lambda: begun.append(True)
+    relay.handover_sender.restart_process = lambda: begun.append(True)
     quiet = relay.handover_sender._quieten
 
     async def quieten() -> socket.socket:
