--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -138,7 +138,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def passing(self) -> dict[str, Any] | None:
+    def handover_state(self) -> dict[str, Any] | None:
         """This member, for the process that goes on as it; None where it has no part in the fleet now."""
         members = self.members
         if members is None or not members.local.active:
