--- a/tests/incidents/test_drain_behind_reloads.py
+++ b/tests/incidents/test_drain_behind_reloads.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.rehearsal.http import Call
 from garnetrelay.rehearsal.scripted_peers import PATIENCE, Client, ScriptedHost, ScriptedPlatform, Watch
-from tests.sockets import Field, endpoint, listing
+from tests.sockets import Field, endpoint, host_list_json
 from tests.test_process import Process, process  # noqa: F401  (a fixture)
 
 WAIT = 2.0  # seconds for which discovery keeps a call that it can't answer, as in the incident
@@ -97,7 +97,7 @@
     await fail_until(field.platform, calls=3)
 
     back = time.monotonic()
-    drains = listing(42, endpoint(field.host, status="Terminating"), endpoint(staying, "s-2"), snapshot=True)
+    drains = host_list_json(42, endpoint(field.host, status="Terminating"), endpoint(staying, "s-2"), snapshot=True)
     written: asyncio.Queue[float] = asyncio.Queue()
     addresses = [ScriptedPlatform() for _ in range(RELOADS)]
     for platform in addresses:
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -15,7 +15,7 @@
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from tests.helpers import S, settings
-from tests.sockets import Field, endpoint, listing, until
+from tests.sockets import Field, endpoint, host_list_json, until
 
 
 async def call(field: Field, text: str, *pieces: str) -> str:
@@ -64,7 +64,7 @@
     (await field.platform.next_call()).answer(503)
     watch = await field.platform.next_watch()
     assert read(await call(field, "DUMP\n"))["relay_list_watched"] == 0
-    watch.line(listing(42, endpoint(field.host)))
+    watch.line(host_list_json(42, endpoint(field.host)))
     await until(lambda: field.relays[0].discovery.index == 42)
     figures = read(await call(field, "DUMP\n"))
     assert figures["relay_discovery_calls"] == 2 and figures["relay_discovery_failures"] == 1
@@ -98,7 +98,7 @@
     await field.warm(client)
     assert await call(field, "OFFLINE s-1\n") == await call(field, "OFFLINE s-1\n") == "+OK\n"
     watch = await field.platform.next_watch()
-    watch.line(listing(42, endpoint(field.host), snapshot=True))
+    watch.line(host_list_json(42, endpoint(field.host), snapshot=True))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("waits") == b"OK"
     assert read(await call(field, "DUMP\n"))["relay_hosts_excluded"] == 1
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -66,7 +66,7 @@
     }
 
 
-def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> str:
+def host_list_json(index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> str:
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -19,7 +19,7 @@
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 
 ENDS = (
     io.Status.OK,
@@ -123,7 +123,7 @@
     for n in range(first, first + messages):
         if n % 4 == 0:
             new, old = f"s-{n}", f"s-{n - 4}"
-            watch.line(listing(n, endpoint(field.host, new), endpoint(field.host, old, "Gone")))
+            watch.line(host_list_json(n, endpoint(field.host, new), endpoint(field.host, old, "Gone")))
             await until(lambda: new in relay.listed and old not in relay.listed)  # noqa: B023
         client = await Client.connect(field.port)
         tries = 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
-from tests.sockets import Field, endpoint, listing, until
+from tests.sockets import Field, endpoint, host_list_json, until
 
 
 def enqueue(ref: str, klass: str = "safe", d: int = 8000) -> bytes:
@@ -50,7 +50,7 @@
     await until(lambda: field.relays[0].discovery.up_to_date)
     watch.call.break_off()
     again = await field.platform.next_watch()
-    again.line(listing(50, endpoint(field.host, status="Terminating")))
+    again.line(host_list_json(50, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
@@ -89,7 +89,7 @@
 async def test_an_indented_list_is_read(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(json.dumps(json.loads(listing(42, endpoint(field.host, status="Terminating"))), indent=2))
+    watch.line(json.dumps(json.loads(host_list_json(42, endpoint(field.host, status="Terminating"))), indent=2))
     await until(lambda: field.relays[0].discovery.index == 42)
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
     assert watch.call.connection.lost is False
@@ -112,7 +112,7 @@
 
 def test_an_object_without_an_end_takes_no_later_version_with_it_and_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     lines = ObjectSplitter()
-    whole = listing(8).encode()
+    whole = host_list_json(8).encode()
     assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
     monkeypatch.setattr(host_list, "MAX_VERSION_BYTES", 100)
     with pytest.raises(UnreadableListError):
@@ -123,13 +123,13 @@
     """The later line moved the version on: the hole, a drain perhaps, was never asked for."""
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(42))
+    watch.line(host_list_json(42))
     await until(lambda: field.relays[0].discovery.index == 42)
     watch.line("{spoilt}")
-    watch.line(listing(44))
+    watch.line(host_list_json(44))
     again = await field.platform.next_watch()
     assert again.call.target.endswith("since=42")
-    again.line(listing(44, endpoint(field.host, status="Terminating")))
+    again.line(host_list_json(44, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
@@ -139,7 +139,7 @@
     spoilt = {**endpoint(field.host, "s-9"), "zone": "nowhere"}
     for _ in range(2):
         watch = await field.platform.next_watch()
-        watch.line(listing(42, spoilt, endpoint(field.host, status="Terminating")))
+        watch.line(host_list_json(42, spoilt, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     assert relay.discovery.index == 41 and "s-9" not in relay.listed
@@ -148,8 +148,8 @@
 async def test_an_old_version_behind_a_newer_one_takes_nothing_back(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(43, endpoint(field.host, status="Terminating")))
-    watch.line(listing(42, endpoint(field.host)))
+    watch.line(host_list_json(43, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host)))
     again = await field.platform.next_watch()
     assert again.call.target.endswith("since=0")
     assert not field.relays[0].pacer.hosts["s-1"][1].usable
@@ -160,7 +160,7 @@
     client = await field.start()
     assert await client.enqueue("m1", dest=4) == "BUSY"
     watch = await field.platform.next_watch()
-    watch.line(listing(42, {**endpoint(field.host, "s-4"), "group": 4}))
+    watch.line(host_list_json(42, {**endpoint(field.host, "s-4"), "group": 4}))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("m2", dest=4) == b"OK"
 
@@ -175,7 +175,7 @@
     watch.call.break_off()
     again = await field.platform.next_watch()  # opened, and nothing has come on it
     assert await client.enqueue("m2", dest=4) == "BUSY"
-    again.line(listing(42, {**endpoint(field.host, "s-4"), "group": 4}))
+    again.line(host_list_json(42, {**endpoint(field.host, "s-4"), "group": 4}))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("m3", dest=4) == b"OK"
 
@@ -547,7 +547,7 @@
     net._connect = late  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: bool(net.opening))
-    watch.line(listing(42, endpoint(other)))
+    watch.line(host_list_json(42, endpoint(other)))
     await until(lambda: field.relays[0].discovery.index == 42)
     gate.set()
     call = await other.next_call()
@@ -585,7 +585,7 @@
     relay.hosts.on_record = later.append
     relay._probe(io.Probe("s-1", 1 << 62))
     await until(lambda: bool(later))
-    watch.line(listing(42, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     later.pop()(True)
     assert any(relay.hosts.idle.values())  # the connection rests, nothing was written on it
@@ -627,7 +627,7 @@
     field.facts["familyInfo"]["callsOut"] = 1
     client = await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(42, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: field.relays[0].discovery.index == 42)
     for n in range(5):
         assert await client.enqueue(f"m{n}") == b"OK"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,7 +21,7 @@
 from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from garnetrelay.relay import Relay
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 from tests.test_process import Process
 
 SOCKETS = 96  # a relay's limit: few enough to be filled soon
@@ -306,7 +306,7 @@
     await field.platform.start(port=port)
     watch = await field.platform.next_watch()
     assert (await field.platform.next_notice())["ref"] == "m1"
-    watch.line(listing(42, endpoint(field.host, "s-1"), endpoint(field.host, "s-2")))
+    watch.line(host_list_json(42, endpoint(field.host, "s-1"), endpoint(field.host, "s-2")))
     process.child.send_signal(signal.SIGHUP)
     await until(lambda: any(b"configuration read again" in line for line in said))
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -20,7 +20,7 @@
 from garnetrelay.store.reading import load
 from garnetrelay.store.storage import Folder
 from garnetrelay.store.store import Store
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 
 ROOT = Path(__file__).parent.parent
 
@@ -158,7 +158,7 @@
         watch = await field.platform.next_watch()
         assert watch.call.target.endswith("since=0")
         assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-        watch.line(listing(7, endpoint(host, "s-2"), snapshot=True))
+        watch.line(host_list_json(7, endpoint(host, "s-2"), snapshot=True))
         await process.says(b"whole list, version 7")
         assert await client.enqueue("m2") == b"OK"
         (await host.next_call()).answer(200)
@@ -253,7 +253,7 @@
         process.child.send_signal(signal.SIGHUP)
         os.write(go_on, b"x")
         watch = await moved.next_watch()
-        watch.line(listing(50, endpoint(field.host), snapshot=True))
+        watch.line(host_list_json(50, endpoint(field.host), snapshot=True))
         await process.says(b"whole list, version 50")
         assert await process.end(signal.SIGTERM) == 0
     finally:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 from garnetrelay.store.reading import load
 from garnetrelay.store.storage import Folder
 from starlingwick import interface as io
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 
 # ---- admission
 
@@ -597,7 +597,7 @@
     watch = await field.platform.next_watch()
     assert watch.call.target == "/api/targets?follow=1&since=41"
     watch.line('{"index":42,"snapshot":true,"endpoints":[{"name":"s-9"}]}')  # nor can that be read: what follows counts
-    watch.line(listing(43, endpoint(field.host, status="Terminating"), endpoint(other, "s-2")))
+    watch.line(host_list_json(43, endpoint(field.host, status="Terminating"), endpoint(other, "s-2")))
     await until(lambda: field.relays[0].discovery.index == 43)
     await client.enqueue("m1")
     (await other.next_call()).answer(200)
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -10,7 +10,7 @@
 from garnetrelay.discovery import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedPlatform, Watch
 from starlingwick.discovery_schedule import MAX_CALL_INTERVAL_NS, MAX_REOPEN_DELAY_NS
-from tests.sockets import Field, endpoint, listing, until
+from tests.sockets import Field, endpoint, host_list_json, until
 
 
 async def test_a_moved_watch_that_is_refused_is_asked_for_in_time_at_each_try(field: Field) -> None:
@@ -55,14 +55,14 @@
     """Its watch was dropped as the configuration came: what it told while the new one refused was missed."""
     other, old = await moved(field)
     (await other.next_call()).answer(503)
-    old.line(listing(42, endpoint(field.host, status="Terminating")))
+    old.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     assert not relay.pacer.discovery_schedule.subscribed  # the new address is asked on
     watch = await other.next_watch()
     assert watch.call.target.endswith("since=0")
     assert old.call.connection.lost is False
-    watch.line(listing(7, endpoint(field.host), snapshot=True))
+    watch.line(host_list_json(7, endpoint(field.host), snapshot=True))
     await until(lambda: relay.pacer.hosts["s-1"][1].usable and old.call.connection.lost)
     await other.stop()
 
@@ -77,7 +77,7 @@
     relay.reconfigure(dataclasses.replace(relay.config, discovery=Address.parse(other.address)))
     await other.next_call()  # no answer to this one yet
     first.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    Watch(first).line(listing(42, endpoint(field.host, status="Terminating")))
+    Watch(first).line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     await other.stop()
 
@@ -102,7 +102,7 @@
     watch = await field.platform.next_watch()
     watch.line("")
     beside = await field.platform.next_watch()
-    watch.line(listing(42, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
     await until(lambda: beside.call.connection.lost)
 
@@ -126,7 +126,7 @@
         stalled.call.raw(b"%x\r\n%s\r\n" % (len(begun), begun.encode()))
     beside = await other.next_watch()
     assert stalled.call.connection.lost is False
-    beside.line(listing(42, endpoint(field.host, status="Terminating"), snapshot=True))
+    beside.line(host_list_json(42, endpoint(field.host, status="Terminating"), snapshot=True))
     await until(lambda: stalled.call.connection.lost and first.connection.lost)
     await other.stop()
 
