--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -119,7 +119,7 @@
             return
         log.info("upgrade: process %d takes over", channel.peer[0])
         self.channel = channel
-        listener = await self._quieten()
+        listener = await self._quiesce()
         if not self._settled():
             self._resume()
             channel.close()
@@ -161,7 +161,7 @@
         finally:
             self.loop.remove_reader(channel.socket)
 
-    async def _quieten(self) -> socket.socket:
+    async def _quiesce(self) -> socket.socket:
         """No call begins any more, and no connection is taken up: what is under way comes to where it can pass."""
         relay = self.relay
         relay.post(io.Stopping(time.monotonic_ns()))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -739,14 +739,14 @@
     assert relay.handover_sender is not None
     begun: list[bool] = []
     relay.handover_sender.restart_process = lambda: begun.append(True)
-    quiet = relay.handover_sender._quieten
+    quiet = relay.handover_sender._quiesce
 
-    async def quieten() -> socket.socket:
+    async def quiesce() -> socket.socket:
         if told:
             relay.stop()
         return await quiet()
 
-    relay.handover_sender._quieten = quieten  # type: ignore[method-assign]
+    relay.handover_sender._quiesce = quiesce  # type: ignore[method-assign]
     door = HandoverSocket(field.state)
     channel = await asyncio.to_thread(door.connect)
     assert channel is not None
