--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -419,7 +419,7 @@
     """Its turn has not come, and the 3 s are over: it was read, and the relay ended without a word of it."""
     client = await field.start()
     relay = field.relays[0]
-    monkeypatch.setattr(relay, "_turn_soon", lambda: None)  # no turn comes in time
+    monkeypatch.setattr(relay, "_run_scheduled_tick", lambda: None)  # no turn comes in time
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(relay.new_requests))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
@@ -739,12 +739,12 @@
     assert relay.handover_sender is not None
     begun: list[bool] = []
     relay.handover_sender.restart_process = lambda: begun.append(True)
-    quiet = relay.handover_sender._quiesce
+    original_quiesce = relay.handover_sender._quiesce
 
     async def quiesce() -> socket.socket:
         if told:
             relay.stop()
-        return await quiet()
+        return await original_quiesce()
 
     relay.handover_sender._quiesce = quiesce  # type: ignore[method-assign]
     door = HandoverSocket(field.state)
