--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -33,7 +33,7 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-SLICE = 1000  # messages picked up in a round of the loop: some ten milliseconds
+MAX_SLICE_MESSAGES = 1000  # messages picked up in a round of the loop: some ten milliseconds
 
 
 class Recovery(ABC):
@@ -132,7 +132,7 @@
         """So many at once, and the others in later rounds of the loop."""
         if self.closed:
             return
-        self._restore([self.recovering.popleft() for _ in range(min(SLICE, len(self.recovering)))])
+        self._restore([self.recovering.popleft() for _ in range(min(MAX_SLICE_MESSAGES, len(self.recovering)))])
         if self.recovering:
             asyncio.get_running_loop().call_soon(self._recover_slice)
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -144,7 +144,7 @@
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was measured as the slice was taken up, and held to run from the turn."""
-    monkeypatch.setattr(recovery, "SLICE", 1)
+    monkeypatch.setattr(recovery, "MAX_SLICE_MESSAGES", 1)
     on_record(field, tried("k", 200))
     relay = await prepared(field)
     soon = relay._run_scheduled_tick
@@ -164,7 +164,7 @@
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The second slice comes a round later; it goes by its own time."""
-    monkeypatch.setattr(recovery, "SLICE", 1)
+    monkeypatch.setattr(recovery, "MAX_SLICE_MESSAGES", 1)
     on_record(field, tried("s", 200, 4000, "safe"), tried("k", 200))
     relay = await prepared(field)
     take_up = relay._restore
