--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -24,10 +24,10 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-STOP_AFTER = 3 * SECOND  # from SIGTERM to our end: SIGKILL comes no sooner than after 3.7 s
+STOP_TIMEOUT_NS = 3 * SECOND  # from SIGTERM to our end: SIGKILL comes no sooner than after 3.7 s
 DRAIN_AFTER = 0.6  # seconds after SIGTERM: new connections come for up to 0.4 s
 LAST_TURN = SECOND // 4  # before our end: nothing is read from then on, and clients read what they are answered
-LAST_RECORD = SECOND // 2  # behind STOP_AFTER, for records that answers wait for: still ahead of SIGKILL
+LAST_RECORD = SECOND // 2  # behind STOP_TIMEOUT_NS, for records that answers wait for: still ahead of SIGKILL
 
 
 class Shutdown(ABC):
@@ -65,7 +65,7 @@
         if self.predecessor is not None:
             self.predecessor.bye()
         log.info("stopping: %d messages held", len(self.pending))
-        at = time.monotonic_ns() + STOP_AFTER
+        at = time.monotonic_ns() + STOP_TIMEOUT_NS
         self.post(io.Stopping(at))
         loop = asyncio.get_running_loop()
         loop.call_later(DRAIN_AFTER, self._drain)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -422,7 +422,7 @@
     monkeypatch.setattr(relay, "_run_scheduled_tick", lambda: None)  # no turn comes in time
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(relay.new_requests))
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     relay.close()
@@ -448,7 +448,7 @@
         handler(request, reply)
 
     monkeypatch.setattr(relay.server, "handler", asking)
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     relay.close()
@@ -497,7 +497,7 @@
     monkeypatch.setattr(relay.journal, "when_recorded", later.append)
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(later))
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     for _ in range(20):
         await asyncio.sleep(0)
