--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -126,7 +126,7 @@
             relay.finish(message, None, 0, tell="dead" if now >= message.ends_at - MAX_TRANSIT_UNCERTAINTY_NS else None)
         elif self.written:
             relay.journal.record_outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
-        if message.over:
+        if message.ended:
             relay.pending.pop(message.ref, None)
         relay.post(
             io.Verdict(
--- a/garnetrelay/daemon.py
+++ b/garnetrelay/daemon.py
@@ -37,11 +37,11 @@
         return config, None, None
     from garnetrelay.handover import receiver  # only where it may be
 
-    ahead = receiver.read_folder(config.state)
-    handover = receiver.ask(config.state)
+    ahead = receiver.preload_journal(config.state)
+    handover = receiver.request_handover(config.state)
     if handover is None:
         return config, None, ahead
-    moved = receiver.discovery(handover.state.discovery, config.discovery, reload(os.environ).discovery)
+    moved = receiver.discovery_address(handover.state.discovery, config.discovery, reload(os.environ).discovery)
     return dataclasses.replace(config, discovery=moved), handover, ahead
 
 
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -49,13 +49,13 @@
     discovery: Discovery
     pending: dict[str, PendingMessage]  # by ref
     listed: dict[str, io.HostEntry]  # by host
-    gone: dict[str, None]  # hosts that were listed, the latest last
+    delisted: dict[str, None]  # hosts that were listed, the latest last
     inbox: list[io.Event]  # what the next turn will take up
     finished: asyncio.Event  # set: this process may end
     serving: bool
     stopping: bool
     tick_scheduled: bool
-    unreleased: int  # turns whose records are on their way to the disk
+    unrecorded_ticks: int  # turns whose records are on their way to the disk
 
     @property
     def recovering(self) -> Sized:
@@ -63,7 +63,7 @@
         ...
 
     @property
-    def syncing(self) -> SyncWorker | None:
+    def sync_worker(self) -> SyncWorker | None:
         """The journal's syncs, where the machine's power counts."""
         ...
 
--- a/garnetrelay/handover/protocol.py
+++ b/garnetrelay/handover/protocol.py
@@ -54,8 +54,8 @@
     index: int
     discovery: str
     endpoints: list[Endpoint]
-    gone: list[str]
-    memory: dict[str, Any]
+    delisted: list[str]
+    pacer_snapshot: dict[str, Any]
     fleet: dict[str, Any] | None = None  # this relay as a member: the new process goes on as it
 
 
@@ -63,7 +63,7 @@
     """A client's connection: what has come of its next command, and whether it has ever asked."""
 
     raw: bytes
-    asked: bool
+    has_sent_command: bool
 
 
 class Clients(msgspec.Struct, array_like=True, tag="clients"):
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -36,7 +36,7 @@
     idle: list[tuple[p.Idle, socket.socket]] = field(default_factory=list)
     calls: dict[str, tuple[p.Out, socket.socket]] = field(default_factory=dict)
 
-    def taken(self) -> None:
+    def confirm_taken(self) -> None:
         """This process serves."""
         try:
             self.channel.send(p.Taken())
@@ -56,7 +56,7 @@
         self.channel.close()
 
 
-def read_folder(folder: Path) -> Preloaded | None:
+def preload_journal(folder: Path) -> Preloaded | None:
     """What the process that serves has on record by now; None where none does. This takes its time while it serves:
     behind the hand-over only what came since is left to read."""
     door = Folder(folder)
@@ -71,7 +71,7 @@
             gc.enable()
 
 
-def ask(folder: Path) -> ReceivedHandover | None:
+def request_handover(folder: Path) -> ReceivedHandover | None:
     """The relay of the process that serves from a folder; None where none does, or where it dies of it: then a
     start from the folder is right. So it is where it does not give the relay away: then the claim says the rest."""
     door = HandoverSocket(folder)
@@ -156,6 +156,6 @@
             channel.close()
 
 
-def discovery(told: str, configured: Address, in_file: Address) -> Address:
+def discovery_address(told: str, configured: Address, in_file: Address) -> Address:
     """Where to watch: a SIGHUP has moved the old process to what the file says; else what this start was told."""
     return in_file if told == str(in_file) else configured
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -70,7 +70,7 @@
         self.loop.add_reader(self.listener, self._accept)
 
     @property
-    def passed(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether the relay is the new process's."""
         return self.state.owner is p.Owner.NEW
 
@@ -97,7 +97,7 @@
         self.task = None
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("upgrade failed", exc_info=error)
-            if self.passed:
+            if self.handed_over:
                 self._follow(self.state.lost())
 
     # ---- up to the freeze
@@ -168,7 +168,7 @@
         listener = await relay.server.stop_listening()
         end = time.monotonic() + QUIET_TIME
         await asyncio.sleep(0)
-        while self._unquiet() and time.monotonic() < end or relay.syncing is not None and relay.syncing.running:
+        while self._unquiet() and time.monotonic() < end or relay.sync_worker is not None and relay.sync_worker.running:
             await asyncio.sleep(STEP)
         for _, exchange in list(_out(relay.pending.values())):
             if exchange.connection is None:
@@ -179,7 +179,7 @@
 
     def _unquiet(self) -> bool:
         relay = self.relay
-        return bool(relay.tick_scheduled or relay.unreleased or relay.hosts.opening) or any(
+        return bool(relay.tick_scheduled or relay.unrecorded_ticks or relay.hosts.opening) or any(
             exchange.connection is None or not exchange.connection.can_hand_over
             for _, exchange in _out(relay.pending.values())
         )
@@ -277,7 +277,7 @@
             relay.discovery.index,
             str(relay.config.discovery),
             endpoints,
-            list(relay.gone),
+            list(relay.delisted),
             take_snapshot(relay.pacer),
             None if relay.fleet is None else relay.fleet.handover_state(),
         )
@@ -369,5 +369,5 @@
 def _passing(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
     """Calls that pass. That of a message which has ended meanwhile is not waited for: its connection closes."""
     for message, exchange in _out(messages):
-        if not message.over and exchange.connection is not None and exchange.connection.can_hand_over:
+        if not message.ended and exchange.connection is not None and exchange.connection.can_hand_over:
             yield message, exchange, exchange.connection
--- a/garnetrelay/pending.py
+++ b/garnetrelay/pending.py
@@ -23,7 +23,7 @@
     ends_at: int  # monotonic clock, nanoseconds: an answer behind that is none
     attempts: int = 0
     exchange: Exchange | None = None
-    over: bool = False
+    ended: bool = False
     sent_at: int = 0  # of the last attempt, monotonic clock
     zone: int = -1  # the same: its host's
 
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -47,7 +47,7 @@
     discovery: Discovery
     handover: ReceivedHandover | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
-    gone: dict[str, None]  # hosts that were listed, the latest last
+    delisted: dict[str, None]  # hosts that were listed, the latest last
     pending: dict[str, PendingMessage]  # by ref
     recovering: deque[Entry]  # picked up, and not yet taken up
     taken_up: list[Entry]  # and not yet with the Pacer: it hears of them in the coming turn
@@ -95,14 +95,14 @@
         for e in state.endpoints:
             entries.append(io.HostEntry(e.name, e.zone, e.kind, e.dest, io.Availability(e.availability), e.rate))
             addresses[e.name] = Address(e.host, e.port)
-        self.gone = dict.fromkeys(state.gone)
+        self.delisted = dict.fromkeys(state.delisted)
         # Another address may count its versions in a way of its own: it is asked for all.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
         update = ListUpdate(state.index, True, tuple(entries), addresses)
         self._place(update)
         self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
         self.tick()
-        restore_snapshot(self.pacer, state.memory)
+        restore_snapshot(self.pacer, state.pacer_snapshot)
 
     def _recover(self) -> None:
         """Pick up what an earlier life left. Messages that keep an order come before any newcomer of theirs, and calls
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -31,7 +31,7 @@
 from garnetrelay.recovery import Recovery
 from garnetrelay.recovery_stats import RecoveryStats
 from garnetrelay.shutdown import Shutdown
-from garnetrelay.socket_poll import POLL_AFTER, after_socket_poll
+from garnetrelay.socket_poll import MAX_POLL_AGE_NS, after_socket_poll
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
@@ -53,7 +53,7 @@
 SECOND = 1_000_000_000
 TEND_PAUSE = 0.005  # seconds between two steps of compaction while no turn comes
 BROKEN_PAUSE = 0.25  # seconds until a folder that takes no records is tried again
-MOST_GONE = 4096  # hosts that have left the list and are still known by name
+MAX_DELISTED_HOSTS = 4096  # hosts that have left the list and are still known by name
 NEAR_END = SECOND // 10  # before a message's time: an end that is due by the clock comes no earlier
 
 
@@ -76,7 +76,7 @@
         )
         self.class_numbers = {name: number for number, name in enumerate(config.class_names)}
         self.listed: dict[str, io.HostEntry] = {}  # by host
-        self.gone: dict[str, None] = {}  # hosts that were listed, the latest last
+        self.delisted: dict[str, None] = {}  # hosts that were listed, the latest last
         self.counts = Counters(config.class_names)
         self.operators: Operators | None = None
         self.fleet: Fleet | None = None
@@ -97,10 +97,10 @@
         self.lag = LoopLag()
         self.alarm: asyncio.TimerHandle | None = None
         self.ends: list[tuple[str, str, int]] = []  # of this turn: what the platform is told of each
-        self.unreleased = 0  # turns whose records are on their way to the disk
+        self.unrecorded_ticks = 0  # turns whose records are on their way to the disk
         self.closed = False
         self.tending: asyncio.TimerHandle | None = None
-        self.syncing: SyncWorker | None = None
+        self.sync_worker: SyncWorker | None = None
         self.serving = False
         self.stopping = False
         self.time_is_up = False
@@ -138,7 +138,7 @@
         if self.config.machine_durable:
             from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
-            self.syncing = SyncWorker(self.journal)
+            self.sync_worker = SyncWorker(self.journal)
         if self.config.operators is not None:
             from garnetrelay.operators.service import Operators  # only where staff may call
 
@@ -176,7 +176,7 @@
         if self.handover is not None:
             from garnetrelay.handover.receiver import PredecessorLink
 
-            self.handover.taken()
+            self.handover.confirm_taken()
             self.predecessor = PredecessorLink(self.handover.channel, self._exclude_as_told)
             self.handover = None
         return address
@@ -204,8 +204,8 @@
         for timer in (self.alarm, self.tending):
             if timer is not None:
                 timer.cancel()
-        if self.syncing is not None:
-            self.syncing.close()
+        if self.sync_worker is not None:
+            self.sync_worker.close()
         self.discovery.close()
         self.notices.close()
         if self.fleet is not None:
@@ -233,7 +233,7 @@
 
     def successor(self) -> HandoverSender | None:
         """The handover's sender once the relay has passed to another process; None before."""
-        return self.handover_sender if self.handover_sender is not None and self.handover_sender.passed else None
+        return self.handover_sender if self.handover_sender is not None and self.handover_sender.handed_over else None
 
     def gauges(self) -> Gauges:
         """Its figures that go by no class, as they are now."""
@@ -241,7 +241,7 @@
 
         return Gauges(
             attempts=self.hosts.calls_written,
-            in_flight=sum(not message.over for message in self.pending.values()) + len(self.recovering),
+            in_flight=sum(not message.ended for message in self.pending.values()) + len(self.recovering),
             hosts_known=len(self.listed),
             hosts_excluded=self.pacer.count_avoided_hosts(),
             reloads_ok=self.counts.reloads_ok,
@@ -254,7 +254,7 @@
 
     def knows_host(self, host: str) -> bool:
         """Whether the list names a host, or has named it."""
-        return host in self.listed or host in self.gone
+        return host in self.listed or host in self.delisted
 
     # ---- the start
 
@@ -271,7 +271,7 @@
         for idle, found in handover.idle:
             await self.hosts.adopt(found, idle.name, Address(idle.host, idle.port), True, None)
         for client, found in handover.clients:
-            await self.server.adopt(found, client.raw, client.asked)
+            await self.server.adopt(found, client.raw, client.has_sent_command)
         return await self.server.listen(handover.listener)
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
@@ -355,15 +355,15 @@
                 gone.append(entry.host)
                 continue
             self.listed[entry.host] = entry
-            self.gone.pop(entry.host, None)
+            self.delisted.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
             self.hosts.set_address(entry.host, update.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
-                self.gone[host] = None
-                if len(self.gone) > MOST_GONE:
-                    del self.gone[next(iter(self.gone))]
+                self.delisted[host] = None
+                if len(self.delisted) > MAX_DELISTED_HOSTS:
+                    del self.delisted[next(iter(self.delisted))]
             self.hosts.remove(host)
 
     def post(self, event: io.Event) -> None:
@@ -380,7 +380,7 @@
 
     def _run_scheduled_tick(self) -> None:
         """The turn; but where this process did not run since it last read, what has come meanwhile is read first."""
-        if time.monotonic_ns() - self.looked_at > POLL_AFTER:
+        if time.monotonic_ns() - self.looked_at > MAX_POLL_AGE_NS:
             after_socket_poll(self.tick)
         else:
             self.tick()
@@ -419,7 +419,7 @@
         self.new_requests.clear()
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
-        self.unreleased += 1
+        self.unrecorded_ticks += 1
         self.journal.when_recorded(functools.partial(self._let_out, ends, new_requests, self.hosts.gathered()))
         self._tend()
         if self.stopping:
@@ -434,10 +434,10 @@
         recorded: bool,
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
-        self.unreleased -= 1
+        self.unrecorded_ticks -= 1
         if self.closed:
             return
-        if self.time_is_up and not self.unreleased:
+        if self.time_is_up and not self.unrecorded_ticks:
             self.finished.set()
         for end in ends:
             self.notices.add(*end)
@@ -536,7 +536,7 @@
     def _ring(self, at: int, token: int) -> None:
         now = time.monotonic_ns()
         self.lag.was_late(at, now)
-        if now - self.looked_at > POLL_AFTER:
+        if now - self.looked_at > MAX_POLL_AGE_NS:
             after_socket_poll(self.post, io.Alarm(token))
         else:
             self.post(io.Alarm(token))
@@ -588,9 +588,9 @@
 
     def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
         """A message has ended with a result, None: delivered. ``tell``: what the platform hears even so."""
-        if message.over:
+        if message.ended:
             return
-        message.over = True
+        message.ended = True
         if self.recovery_stats.on_end(message.ref, time.monotonic_ns() >= message.ends_at - NEAR_END):
             log.info("%s", self.recovery_stats)
         by_class = (
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -41,7 +41,7 @@
     new_requests: Sized  # whose clients wait to hear whether they are taken on
     inbox: list[io.Event]
     tick_scheduled: bool
-    unreleased: int  # turns whose records are on their way to the disk
+    unrecorded_ticks: int  # turns whose records are on their way to the disk
     closed: bool  # the relay has passed to a new process
     stopping: bool
     time_is_up: bool
@@ -82,7 +82,7 @@
     def _time_is_up(self) -> None:
         """The end, once all that was promised is on record."""
         self.time_is_up = True
-        if self.unreleased and not self.closed:
+        if self.unrecorded_ticks and not self.closed:
             asyncio.get_running_loop().call_later(LAST_RECORD / SECOND, self.finished.set)
         else:
             self.finished.set()
@@ -97,7 +97,7 @@
             self.pending
             or self.recovering
             or self.notices.queue
-            or self.unreleased
+            or self.unrecorded_ticks
             or self.tick_scheduled
             or self.inbox
             or self.new_requests
--- a/garnetrelay/socket_poll.py
+++ b/garnetrelay/socket_poll.py
@@ -11,7 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-POLL_AFTER = 100_000_000  # nanoseconds without a look after which one comes first: under each wait that decides anything
+MAX_POLL_AGE_NS = (
+    100_000_000  # nanoseconds without a look after which one comes first: under each wait that decides anything
+)
 
 
 def after_socket_poll(what: Callable[..., Any], *arguments: Any) -> None:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -15,7 +15,7 @@
 
 from garnetrelay.rehearsal.http import Call
 from garnetrelay.rehearsal.scripted_peers import Watch
-from garnetrelay.relay import MOST_GONE
+from garnetrelay.relay import MAX_DELISTED_HOSTS
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry
@@ -32,7 +32,7 @@
     io.Status.CONNECT_FAILED,
 )
 # Seconds of traffic: the test of the Pacer alone lets these pass. Hosts that went are remembered up to a bound.
-BOUNDED = {"Destination.arrived", "Destination.sent", "Destination.served", "Pacer.expiry", "Relay.gone"}
+BOUNDED = {"Destination.arrived", "Destination.sent", "Destination.served", "Pacer.expiry", "Relay.delisted"}
 SPARE = 64  # what heaps keep of old times before they are cleaned, and such
 
 
@@ -148,5 +148,5 @@
     before = sizes(relay)
     await hand_in(field, watch, 400, 200)
     after = sizes(relay)
-    assert after["Relay.gone"] < MOST_GONE
+    assert after["Relay.delisted"] < MAX_DELISTED_HOSTS
     assert not grown(before, after).keys() - BOUNDED
