--- a/garnetrelay/__init__.py
+++ b/garnetrelay/__init__.py
@@ -1,1 +1,1 @@
-"""A relay that delivers messages to partner systems over real sockets; starlingwick decides."""
+"""A relay that delivers messages to partner systems over HTTP; the package ``starlingwick`` makes its decisions."""
--- a/garnetrelay/__main__.py
+++ b/garnetrelay/__main__.py
@@ -1,7 +1,7 @@
-"""The first moments of a relay's process, and its exit.
+"""Entry point of a relay's process, and its exit.
 
-Nearly all that a start takes is imports. SIGHUP ends a process that has not said what it does with it, so that is said
-ahead of them: nothing but the standard library's smallest modules is imported up here.
+Imports take nearly all of the start time. A SIGHUP ends a process that has not installed a handler for it, so the
+handler is installed before them: this module imports only the smallest modules of the standard library at its top.
 """
 
 from __future__ import annotations
@@ -12,23 +12,22 @@
 
 
 def main() -> int:
-    """The exit status."""
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, frame: early.append(number))
-    signal.pthread_sigmask(
-        signal.SIG_UNBLOCK, {signal.SIGHUP}
-    )  # whoever began us may hold it back, instead of ignoring it
-    gc.disable()  # what modules make stays: to look for what may go takes a tenth of their imports
+    """Run the relay; returns the exit status."""
+    early_sighups: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, frame: early_sighups.append(number))
+    # The parent process may have blocked SIGHUP instead of ignoring it.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    gc.disable()  # what modules create stays alive: collections would take a tenth of the import time
     from garnetrelay import daemon
 
     gc.enable()
-    return daemon.run(early)
+    return daemon.run(early_sighups)
 
 
 if __name__ == "__main__":
     status = main()
     import logging
 
-    # What this process leaves to close, the kernel closes: its end must not wait for it.
+    # The kernel closes whatever is still open: the exit need not wait for that.
     logging.shutdown()
     os._exit(status)
--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -1,8 +1,8 @@
-"""One call with a message: its last look, what goes on record of it, and what the Pacer hears of its outcome.
+"""One call for a message: the final check before it, its records in the journal, and its outcome for the Pacer.
 
-Owned by the core (``relay.py``), which begins one for each ``Send``. Guards against a first byte ahead of its attempt's
-record, against a call that its time or the Pacer has overtaken, and against an answer that comes behind its message's
-time.
+The relay (``relay.py``) creates one for each ``Send``. It prevents three faults: a first byte that goes out before the
+attempt is on record, a call that begins although its time limit has passed or the Pacer no longer allows it, and an
+answer that is accepted after the message's deadline.
 """
 
 from __future__ import annotations
@@ -28,9 +28,8 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-MAX_TRANSIT_UNCERTAINTY_NS = (
-    2 * SECOND // 5
-)  # between a request's sending and our reading it, at most: its client waits so long for a word
+# Longest time between a client's sending of a request and our reading of it; the client waits this long for an answer.
+MAX_TRANSIT_UNCERTAINTY_NS = 2 * SECOND // 5
 
 
 class AttemptingRelay(Protocol):
@@ -45,86 +44,90 @@
     pending: dict[str, PendingMessage]  # by ref
 
     def post(self, event: io.Event) -> None:
-        """Let the next turn take up an event."""
+        """Queue an event for the next tick."""
         ...
 
-    def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
-        """A message has ended with a result, None: delivered. ``tell``: what the platform hears even so."""
+    def finish(self, message: PendingMessage, result: str | None, wait_ms: int, notify_result: str | None = None) -> None:
+        """A message has ended with a result (None: delivered). ``notify_result``: the result that the platform is
+        notified of although the message was delivered."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One call with a message: what goes on record of it, and what the Pacer hears."""
+    """One call for a message, with its records in the journal and its outcome for the Pacer."""
 
     relay: AttemptingRelay
     message: PendingMessage
     host: str
     number: int
-    started: int  # monotonic clock, as is the next
+    started: int  # monotonic clock, nanoseconds, like the next field
     stop_at: int
-    written: bool = False  # it is on record
-    destination: int = -1  # where leases are on and this relay owns it
-    epoch: int | None = None  # the same: in which epoch, as it is on record
+    recorded: bool = False  # the journal has a record of this attempt
+    destination: int = -1  # set where leases are on and this relay owns the destination
+    epoch: int | None = None  # the epoch of that ownership, as recorded
 
     def exchange(self) -> net.Exchange:
-        """The exchange that carries this attempt out."""
+        """The exchange that carries out this attempt."""
         exchange = net.Exchange(self.host, self.stop_at, self.prepare, self.done, self.final_check, self.message.ref)
         if self.relay.owners is not None:
-            exchange.at_first_byte = self.fence
+            exchange.at_first_byte = self.check_lease
         return exchange
 
     def prepare(self, address: Address) -> bytes | None:
-        """The last look and the record, then the request."""
+        """Run the final check, record the attempt, and return the request; None if the attempt must not begin."""
         if not self.final_check():
             return None
         message, zones = self.message, self.relay.config.zone_names
         name = zones[message.zone] if 0 <= message.zone < len(zones) else ""
         if self.relay.owners is not None:
-            self.stamp(self.relay.owners)
-        self.written = self.relay.journal.record_attempt(message.ref, name, time.time_ns() // MS, self.epoch)
-        if self.written and self.relay.recovery_stats.on_try(message.ref):
+            self.set_epoch(self.relay.owners)
+        self.recorded = self.relay.journal.record_attempt(message.ref, name, time.time_ns() // MS, self.epoch)
+        if self.recorded and self.relay.recovery_stats.on_attempt(message.ref):
             log.info("%s", self.relay.recovery_stats)
-        return net.call_request(address, message.ref, message.key, message.body, self.stop_at) if self.written else None
+        return net.call_request(address, message.ref, message.key, message.body, self.stop_at) if self.recorded else None
 
     def final_check(self) -> bool:
-        """The last look: whether the call may still begin, by its time and by the Pacer."""
+        """Whether the call may still begin: its time limit has not passed, and the Pacer still allows it."""
         now = time.monotonic_ns()
         if now >= self.stop_at:
-            log.debug("attempt %s %d at %s does not begin: its time is up", self.message.ref, self.number, self.host)
+            log.debug("attempt %s %d at %s not started: time limit passed", self.message.ref, self.number, self.host)
             return False
         obstacle = self.relay.pacer.obstacle(now, self.message.ref, self.host)
         if obstacle is not None:
-            log.debug("attempt %s %d at %s does not begin: %s", self.message.ref, self.number, self.host, obstacle.value)
+            log.debug("attempt %s %d at %s not started: %s", self.message.ref, self.number, self.host, obstacle.value)
         return obstacle is None
 
-    def stamp(self, owners: Owners) -> None:
-        """The epoch that goes on record."""
+    def set_epoch(self, owners: Owners) -> None:
+        """Set the epoch to record, if this relay owns the host's destination."""
         entry = self.relay.listed.get(self.host)
         ownership = None if entry is None else owners.ownership(entry.dest)
         if entry is not None and ownership is not None:
             self.destination, self.epoch = entry.dest, ownership.epoch
 
-    def fence(self) -> None:
-        """The record took its time, or this process did not run: a lease that ended meanwhile is told. The call goes
-        out all the same, under this relay's own part of the limits: leases only report so far."""
+    def check_lease(self) -> None:
+        """Report a lease that ended while the record was written or while this process was suspended. The call goes out
+        all the same, under this relay's own share of the limits: leases only report so far."""
         if self.relay.owners is not None and self.epoch is not None:
             self.relay.owners.still_owned(self.destination, self.epoch)
 
     def done(self, outcome: Outcome) -> None:
-        """What became of it: on record, then with the Pacer."""
+        """Record the outcome, then report it to the Pacer."""
         relay, message = self.relay, self.message
         message.exchange = None
         log.debug("attempt %s %d at %s: %s", message.ref, self.number, self.host, outcome)
-        # The loop reads sockets before it looks at timers: an answer may lie there behind its time.
-        # Nobody waits for that any more, and the client is still owed an end.
+        # The loop reads sockets before it runs timers, so an answer may be read after the message's deadline. Nobody
+        # waits for that answer any more, and the client still needs to be notified of an end.
         now = time.monotonic_ns()
         finished = outcome.finished and now < message.ends_at
         if finished:
-            # Its end settles the attempt too. The client counts from its sending: if the answer came behind its time but
-            # ahead of ours, the end is still owed. A notice for a message that is over does no harm.
-            relay.finish(message, None, 0, tell="dead" if now >= message.ends_at - MAX_TRANSIT_UNCERTAINTY_NS else None)
-        elif self.written:
+            # The message's end also settles the attempt. The client counts its time from its sending: if the answer
+            # came after the client's deadline but before ours, the client still needs a notice. A notice for a message
+            # that has ended does no harm.
+            relay.finish(
+                message, None, 0, notify_result="dead" if now >= message.ends_at - MAX_TRANSIT_UNCERTAINTY_NS else None
+            )
+        elif self.recorded:
             relay.journal.record_outcome(message.ref, outcome.status in MAY_HAVE_RUN or outcome.status is io.Status.OK)
         if message.ended:
             relay.pending.pop(message.ref, None)
--- a/garnetrelay/counters.py
+++ b/garnetrelay/counters.py
@@ -1,4 +1,4 @@
-"""How many messages ended, and how, since the start of the process. No I/O."""
+"""Counters of ended messages, by class and kind of end, since the start of the process. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Counters:
-    """Messages by class and end, and configurations read again."""
+    """Messages by class and kind of end, and reloads of the configuration."""
 
     __slots__ = ("served", "refused", "failed", "reloads_ok", "reloads_failed")
 
--- a/garnetrelay/daemon.py
+++ b/garnetrelay/daemon.py
@@ -1,4 +1,4 @@
-"""One relay as a process: what it is told, its signals, its status at the end."""
+"""A relay as a process: its configuration, its signals and its exit status."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def reconfigure(relay: Relay) -> None:
-    """Take over the configuration as it is now; one that can't be used changes nothing."""
+    """Apply the current configuration; an invalid one changes nothing."""
     try:
         relay.reconfigure(reload(os.environ))
     except ConfigError as error:
@@ -31,30 +31,31 @@
         log.error("the old configuration stays: %s", error)
 
 
-def inherit(config: Config) -> tuple[Config, ReceivedHandover | None, Preloaded | None]:
-    """What another process that serves from this folder hands to this one, where staff may upgrade a relay."""
+def request_handover(config: Config) -> tuple[Config, ReceivedHandover | None, Preloaded | None]:
+    """Take over from another process that serves from this folder, if operators may upgrade the relay. Returns the
+    configuration with the discovery address to use, the handover, and what was read of the journal before it."""
     if config.operators is None:
         return config, None, None
-    from garnetrelay.handover import receiver  # only where it may be
+    from garnetrelay.handover import receiver  # only where operators may upgrade the relay
 
-    ahead = receiver.preload_journal(config.state)
+    preloaded = receiver.preload_journal(config.state)
     handover = receiver.request_handover(config.state)
     if handover is None:
-        return config, None, ahead
-    moved = receiver.discovery_address(handover.state.discovery, config.discovery, reload(os.environ).discovery)
-    return dataclasses.replace(config, discovery=moved), handover, ahead
+        return config, None, preloaded
+    discovery = receiver.discovery_address(handover.state.discovery, config.discovery, reload(os.environ).discovery)
+    return dataclasses.replace(config, discovery=discovery), handover, preloaded
 
 
-async def serve(config: Config, early: list[int]) -> None:
-    """Run until a signal has ended the relay. ``early`` holds the SIGHUPs that came before."""
-    relay = Relay(*inherit(config))
+async def serve(config: Config, early_sighups: list[int]) -> None:
+    """Run the relay until a signal ends it. ``early_sighups``: the SIGHUPs received before the loop handles them."""
+    relay = Relay(*request_handover(config))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, relay.stop)
     loop.add_signal_handler(signal.SIGHUP, reconfigure, relay)
     try:
         host, port = await relay.start()
-        if early:
+        if early_sighups:
             reconfigure(relay)
         log.info("%s serves on %s port %d", config.name, host, port)
         await relay.finished.wait()
@@ -62,9 +63,8 @@
         relay.close()
 
 
-def run(early: list[int]) -> int:
-    """Serve until the end; the exit status. ``early``: the SIGHUPs that came before, and those that come until the loop
-    minds them."""
+def run(early_sighups: list[int]) -> int:
+    """Serve until the end; returns the exit status. ``early_sighups`` is appended to until the loop handles SIGHUP."""
     level = os.environ.get("RELAY_LOG_LEVEL", "INFO").upper()
     logging.basicConfig(
         level=level if level in logging.getLevelNamesMapping() else "INFO",
@@ -73,10 +73,10 @@
     )
     try:
         config = load(os.environ)
-        # A length in a client's command may ask for any amount of memory: refuse the absurd at once.
-        most = config.memory_bytes + (512 << 20)
-        resource.setrlimit(resource.RLIMIT_AS, (most, resource.getrlimit(resource.RLIMIT_AS)[1]))
-        asyncio.run(serve(config, early))
+        # A length in a client's command may request any amount of memory: an absurd allocation fails at once.
+        max_address_space = config.memory_bytes + (512 << 20)
+        resource.setrlimit(resource.RLIMIT_AS, (max_address_space, resource.getrlimit(resource.RLIMIT_AS)[1]))
+        asyncio.run(serve(config, early_sighups))
     except ConfigError as error:
         print(f"garnetrelay: {error}", file=sys.stderr)
         return 2
--- a/garnetrelay/ownership.py
+++ b/garnetrelay/ownership.py
@@ -1,4 +1,5 @@
-"""What the relay asks of leases. A relay without leases has None in its place and imports nothing of them."""
+"""The interface between the relay and its leases. Without leases the relay has None in its place and imports none of
+their modules."""
 
 from __future__ import annotations
 
@@ -6,20 +7,20 @@
 
 
 class Ownership(NamedTuple):
-    """This relay is the one that may act for a destination."""
+    """The right of this relay to act for a destination."""
 
     epoch: int
-    until: int  # nanoseconds by ``garnetrelay.fleet.clock``: from then on it must not act
+    until: int  # nanoseconds by ``garnetrelay.fleet.clock``: from then on the relay must not act for it
 
 
 class Owners(Protocol):
-    """Which destinations this relay owns. Each answer holds for the moment of the question."""
+    """Which destinations this relay owns. Each answer holds only at the moment of the call."""
 
     def ownership(self, destination: int) -> Ownership | None:
-        """In which epoch and until when; None: another relay may be the owner."""
+        """The epoch and the end of the ownership; None: another relay may be the owner."""
         ...
 
     def still_owned(self, destination: int, epoch: int) -> bool:
-        """The last look before a first byte: whether an attempt that was put on record under an epoch still goes out
-        under it. Where not, it is fenced: counted and logged."""
+        """Whether the relay still owns the destination in the epoch that an attempt was recorded with, checked just
+        before the attempt's first byte. If not, the attempt is fenced: counted and logged."""
         ...
--- a/garnetrelay/pending.py
+++ b/garnetrelay/pending.py
@@ -1,6 +1,6 @@
-"""The record of one message that this relay has taken on and that has not ended, and of one that may be. No I/O.
+"""A message that this relay has accepted and that has not ended, and a request that may become one. No I/O.
 
-Owned by the core (``relay.py``), which keeps one for each such message; a handover (``handover/``) reads them.
+The relay (``relay.py``) keeps one record for each such message; a handover (``handover/``) reads them.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """A message from its acceptance until its end is told and its last attempt has an outcome."""
+    """A message from its acceptance until it has ended and its last attempt has an outcome."""
 
     ref: str
     klass: str
     key: str | None
     body: bytes
-    ends_at: int  # monotonic clock, nanoseconds: an answer behind that is none
+    ends_at: int  # deadline by the monotonic clock, nanoseconds: a later answer does not count
     attempts: int = 0
     exchange: Exchange | None = None
     ended: bool = False
-    sent_at: int = 0  # of the last attempt, monotonic clock
-    zone: int = -1  # the same: its host's
+    sent_at: int = 0  # start of the last attempt by the monotonic clock, nanoseconds
+    zone: int = -1  # zone of the last attempt's host
 
 
 @dataclass(slots=True)
 class NewRequest:
-    """A message whose client waits to hear whether it is taken on."""
+    """A request whose client waits to be told whether its message is accepted."""
 
     request: Request
     reply: Reply
     deadline: int  # wall clock, milliseconds
-    ends_at: int  # the same by the monotonic clock, nanoseconds
+    ends_at: int  # the same deadline by the monotonic clock, nanoseconds
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -1,8 +1,8 @@
-"""The start of a relay: what an earlier life or the process before left is taken up.
+"""The start of a relay: restores what a previous run left in the journal, or what the previous process handed over.
 
-Owned here: in which order messages come back to the Pacer, and what may be said of an attempt whose outcome nobody
-recorded. Guards against newcomers that pass ahead of an order, and against a loop that is busy for as long as a long
-journal takes: messages come in slices while clients are answered.
+Decides in which order messages return to the Pacer, and what to assume about an attempt whose outcome was not recorded.
+It prevents new requests from overtaking restored messages in a class that keeps order. Messages are restored in slices
+while clients are answered, so that a long journal does not block the loop.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from garnetrelay.discovery.client import Discovery
 from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.pending import PendingMessage
-from garnetrelay.recorded_times import newest_time, ran_ago
+from garnetrelay.recorded_times import newest_attempt_ms, ran_ago
 from garnetrelay.recovery_stats import RecoveryStats
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
@@ -33,11 +33,11 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-MAX_SLICE_MESSAGES = 1000  # messages picked up in a round of the loop: some ten milliseconds
+MAX_SLICE_MESSAGES = 1000  # messages restored in one iteration of the loop: some ten milliseconds
 
 
 class Recovery(ABC):
-    """The part of a relay that starts it. ``Relay`` owns what is declared here, and says what is abstract."""
+    """The part of a relay that starts it. ``Relay`` sets the attributes and implements the abstract methods."""
 
     config: Config
     settings: io.Settings
@@ -45,50 +45,50 @@
     journal: Store
     reader: ListReader
     discovery: Discovery
-    handover: ReceivedHandover | None  # from the process before; None behind the start, and where there was none
+    handover: ReceivedHandover | None  # from the previous process; None once started, or if there was none
     class_numbers: dict[str, int]  # by a class's name
-    delisted: dict[str, None]  # hosts that were listed, the latest last
+    delisted: dict[str, None]  # hosts that have left the list, the latest last
     pending: dict[str, PendingMessage]  # by ref
-    recovering: deque[Entry]  # picked up, and not yet taken up
-    taken_up: list[Entry]  # and not yet with the Pacer: it hears of them in the coming turn
-    clock_is_sure: bool  # no time that the journal has lies ahead of the wall clock
+    recovering: deque[Entry]  # read from the journal, not yet restored
+    restored: list[Entry]  # reported to the Pacer in the next tick
+    clock_trusted: bool  # no time in the journal is ahead of the wall clock
     recovery_stats: RecoveryStats
-    ends: list[tuple[str, str, int]]  # of this turn: what the platform is told of each
+    tick_notices: list[tuple[str, str, int]]  # ref, result and wait of each end decided in this tick
     inbox: list[io.Event]
     closed: bool
 
     @abstractmethod
     def post(self, event: io.Event) -> None:
-        """Let the next turn take up an event."""
+        """Queue an event for the next tick."""
 
     @abstractmethod
     def _schedule_tick(self) -> None:
-        """Let a turn come."""
+        """Make sure that a tick will run."""
 
     @abstractmethod
     def tick(self) -> None:
-        """Decide on all that has come."""
+        """Let the Pacer decide on all queued events."""
 
     @abstractmethod
-    def _place(self, update: ListUpdate) -> None:
-        """Where each host listens now."""
+    def _apply_list_update(self, update: ListUpdate) -> None:
+        """Update the hosts' addresses."""
 
     @abstractmethod
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
-        """End a message with a result that the platform is told."""
+        """End a message with a result that the platform is notified of."""
 
-    def _read_known(self) -> None:
+    def _load_known_hosts(self) -> None:
         try:
             update = self.reader.read(self.config.known_hosts)
         except ValueError as error:
-            log.warning("the list in the configuration can't be read, starting without one: %s", error)
+            log.warning("the list of hosts in the configuration can't be read, starting without one: %s", error)
             return
         self.discovery.index = update.index
-        self._place(update)
+        self._apply_list_update(update)
         self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
 
-    def _inherit(self, state: State) -> None:
-        """The list as the process before had it, and what it knew."""
+    def _restore_handover(self, state: State) -> None:
+        """Restore the list of hosts and the Pacer's snapshot from the previous process."""
         from starlingwick.snapshot import restore_snapshot
 
         entries, addresses = [], {}
@@ -96,73 +96,73 @@
             entries.append(io.HostEntry(e.name, e.zone, e.kind, e.dest, io.Availability(e.availability), e.rate))
             addresses[e.name] = Address(e.host, e.port)
         self.delisted = dict.fromkeys(state.delisted)
-        # Another address may count its versions in a way of its own: it is asked for all.
+        # A discovery service at another address may number its versions differently: it is asked for the whole list.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
         update = ListUpdate(state.index, True, tuple(entries), addresses)
-        self._place(update)
+        self._apply_list_update(update)
         self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
         self.tick()
         restore_snapshot(self.pacer, state.pacer_snapshot)
 
     def _recover(self) -> None:
-        """Pick up what an earlier life left. Messages that keep an order come before any newcomer of theirs, and calls
-        that are out before any other; the rest goes to the Pacer in slices, soonest deadline first, while clients are
-        answered."""
-        passed = {} if self.handover is None else self.handover.calls
-        self._look_at_the_clock()
+        """Restore what a previous run left. Messages of classes that keep order come first, ahead of any new request of
+        theirs, and so do those whose calls were handed over in flight. The others follow in slices, soonest deadline
+        first, while clients are answered."""
+        calls = {} if self.handover is None else self.handover.calls
+        self._check_wall_clock()
         first: list[Entry] = []
         rest: list[Entry] = []
         for entry in list(self.journal.entries.values()):
             if entry.ended is not None:
-                self.ends.append((entry.ref, entry.ended, entry.wait_ms))
+                self.tick_notices.append((entry.ref, entry.ended, entry.wait_ms))
             elif entry.klass not in self.class_numbers:
                 log.error("journal: message %s has the unknown class %s", entry.ref, entry.klass)
                 self._end(entry.ref, "dead", 0)
-            elif entry.ref in passed or self.settings.classes[self.class_numbers[entry.klass]].in_turn:
+            elif entry.ref in calls or self.settings.classes[self.class_numbers[entry.klass]].in_turn:
                 first.append(entry)
             else:
                 rest.append(entry)
         rest.sort(key=lambda entry: entry.deadline)
         if self.journal.entries:
-            log.info("picked up %d messages and %d notices", len(first) + len(rest), len(self.ends))
+            log.info("picked up %d messages and %d notices", len(first) + len(rest), len(self.tick_notices))
         self.recovering.extend(rest)
         self._restore(first)
 
     def _recover_slice(self) -> None:
-        """So many at once, and the others in later rounds of the loop."""
+        """Restore one slice, and schedule the next in a later iteration of the loop."""
         if self.closed:
             return
         self._restore([self.recovering.popleft() for _ in range(min(MAX_SLICE_MESSAGES, len(self.recovering)))])
         if self.recovering:
             asyncio.get_running_loop().call_soon(self._recover_slice)
 
-    def _look_at_the_clock(self) -> None:
-        ahead = newest_time(self.journal.entries.values()) - time.time_ns() // MS
-        self.clock_is_sure = ahead <= 0
+    def _check_wall_clock(self) -> None:
+        ahead = newest_attempt_ms(self.journal.entries.values()) - time.time_ns() // MS
+        self.clock_trusted = ahead <= 0
         if ahead > 0:
             log.warning(
-                "the clock was set back by %d ms or more: no keyed message that may have run is sent again", ahead
+                "the wall clock was set back by %d ms or more: keyed messages that may have run are not sent again", ahead
             )
 
     def _restore(self, entries: list[Entry]) -> None:
         now_ms = time.time_ns() // MS
         for entry in entries:
             if not entry.attempts:
-                self.recovery_stats.find(entry.ref)
+                self.recovery_stats.on_found(entry.ref)
             ends_at = time.monotonic_ns() + (entry.deadline - now_ms) * MS
             self.pending[entry.ref] = PendingMessage(
                 entry.ref, entry.klass, entry.key, entry.body, ends_at, entry.attempts
             )
         if entries:
-            self.taken_up += entries
+            self.restored += entries
             self._schedule_tick()
 
     def _recovered_event(self, entry: Entry, now: int) -> io.Recovered:
-        """As the Pacer hears of it in a turn. ``now``: the turn's time by the wall clock. What passes between taking a
-        message up and its turn would lengthen its window for repeats, and its time."""
-        passed = None if self.handover is None else self.handover.calls.get(entry.ref)
-        out = None if passed is None else passed[0]  # its attempt is out still
-        if out is None and entry.ran_at is None and entry.trying_at is not None:  # no outcome came: it may have run
+        """The event that reports a restored message to the Pacer. ``now`` is the tick's time by the wall clock: measured
+        at the restore instead, the message's repeat window and time limit would be extended by the time in between."""
+        handed_over = None if self.handover is None else self.handover.calls.get(entry.ref)
+        call = None if handed_over is None else handed_over[0]  # its attempt is still in flight
+        if call is None and entry.ran_at is None and entry.trying_at is not None:  # no outcome recorded: it may have run
             entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
         zones = self.config.zone_names
         return io.Recovered(
@@ -172,8 +172,8 @@
             key=entry.key,
             patience=entry.deadline * MS - now,
             attempts=entry.attempts,
-            ran_ago=ran_ago(entry, now, self.clock_is_sure),
-            ran_zone=zones.index(entry.ran_zone) if entry.ran_zone in zones else -1 if out is None else out.zone,
-            host=None if out is None else out.name,
-            sent_at=0 if out is None else out.started,
+            ran_ago=ran_ago(entry, now, self.clock_trusted),
+            ran_zone=zones.index(entry.ran_zone) if entry.ran_zone in zones else -1 if call is None else call.zone,
+            host=None if call is None else call.name,
+            sent_at=0 if call is None else call.started,
         )
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -1,8 +1,8 @@
-"""Drives the Pacer: what happens on the sockets becomes its events, its actions become calls and answers.
+"""The core of a relay: turns socket activity into events for the Pacer, and carries out the actions that it returns.
 
-The only file that talks to the Pacer, but for an attempt's last look (``attempt.py``). It keeps each held message's body
-and attempt, and writes to the journal before anything that must not be forgotten: an answer to a client, an attempt's
-first byte.
+Apart from the final check before an attempt's first byte (``attempt.py``), this is the only module that calls the Pacer.
+It keeps the body and the attempt of each pending message. It writes to the journal before anything that depends on the
+record: an answer to a client, or an attempt's first byte.
 """
 
 from __future__ import annotations
@@ -51,16 +51,18 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-TEND_PAUSE = 0.005  # seconds between two steps of compaction while no turn comes
-BROKEN_PAUSE = 0.25  # seconds until a folder that takes no records is tried again
+MAINTENANCE_INTERVAL_S = 0.005  # between two steps of compaction while no tick runs
+WRITE_RETRY_INTERVAL_S = 0.25  # until the next write to a folder that accepts no records
 MAX_DELISTED_HOSTS = 4096  # hosts that have left the list and are still known by name
-NEAR_END = SECOND // 10  # before a message's time: an end that is due by the clock comes no earlier
+DEADLINE_MARGIN_NS = SECOND // 10  # an end this close to a message's deadline, or later, counts as ended at the deadline
 
 
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, handover: ReceivedHandover | None = None, ahead: Preloaded | None = None) -> None:
+    def __init__(
+        self, config: Config, handover: ReceivedHandover | None = None, preloaded: Preloaded | None = None
+    ) -> None:
         self.config = config
         self.handover = handover
         self.settings = config.settings
@@ -70,42 +72,42 @@
             config.journal_bytes,
             config.machine_durable,
             None if handover is None else handover.claim,
-            ahead,
+            preloaded,
             config.settings.limits.most_tries,
             config.fleet is not None and config.fleet.leases is not None,
         )
         self.class_numbers = {name: number for number, name in enumerate(config.class_names)}
         self.listed: dict[str, io.HostEntry] = {}  # by host
-        self.delisted: dict[str, None] = {}  # hosts that were listed, the latest last
+        self.delisted: dict[str, None] = {}  # hosts that have left the list, the latest last
         self.counts = Counters(config.class_names)
         self.operators: Operators | None = None
         self.fleet: Fleet | None = None
         self.owners: Owners | None = None  # None: no leases
         self.handover_sender: HandoverSender | None = None
         self.predecessor: PredecessorLink | None = None
-        self.dests: set[int] = set()  # all that the list has ever named
+        self.dests: set[int] = set()  # every destination that the list has ever named
         self.pending: dict[str, PendingMessage] = {}
         self.recovery_stats = RecoveryStats()
-        self.recovering: deque[Entry] = deque()  # picked up, and not yet taken up
-        self.taken_up: list[Entry] = []  # and not yet with the Pacer: it hears of them in the coming turn
-        self.clock_is_sure = True  # no time that the journal has lies ahead of the wall clock
+        self.recovering: deque[Entry] = deque()  # read from the journal, not yet restored
+        self.restored: list[Entry] = []  # reported to the Pacer in the next tick
+        self.clock_trusted = True  # no time in the journal is ahead of the wall clock
         self.new_requests: dict[str, NewRequest] = {}
         self.inbox: list[io.Event] = []
         self.tick_scheduled = False
-        self.looked_at = 0  # when the last batch began
-        self.flush_due = False
+        self.batch_started_at = 0  # when the first event of the latest batch was read
+        self.flush_scheduled = False
         self.lag = LoopLag()
         self.alarm: asyncio.TimerHandle | None = None
-        self.ends: list[tuple[str, str, int]] = []  # of this turn: what the platform is told of each
-        self.unrecorded_ticks = 0  # turns whose records are on their way to the disk
+        self.tick_notices: list[tuple[str, str, int]] = []  # ref, result and wait of each end decided in this tick
+        self.unrecorded_ticks = 0  # ticks whose records are still being written
         self.closed = False
-        self.tending: asyncio.TimerHandle | None = None
+        self.maintenance_timer: asyncio.TimerHandle | None = None
         self.sync_worker: SyncWorker | None = None
         self.serving = False
         self.stopping = False
-        self.time_is_up = False
+        self.stop_deadline_passed = False
         self.finished = asyncio.Event()
-        # Clients and hosts share the descriptors: each may have what the other does not use of its own part.
+        # Clients and hosts share one budget of descriptors: each side may use what the other leaves of its share.
         self.hosts = net.Hosts(
             config.settings,
             self._remaining_host_connections,
@@ -117,15 +119,15 @@
         self.server.on_closed = self._end_if_idle
         self.reader = ListReader(config)
         self.discovery = Discovery(config.discovery, self.reader, 0, self.on_list_update)
-        self.notices = Notices(config.discovery, self._told)
+        self.notices = Notices(config.discovery, self._on_notice_acknowledged)
 
     def _remaining_host_connections(self) -> int:
-        """How many more connections to hosts there may be."""
+        """How many more connections to hosts may be opened."""
         clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
     def _remaining_client_connections(self) -> int:
-        """How many more connections of clients there may be."""
+        """How many more connections from clients may be accepted."""
         hosts = max(self.config.host_sockets, self.hosts.count)
         return self.config.shared_sockets - hosts - len(self.server.connections)
 
@@ -133,59 +135,59 @@
         return self.hosts.count > self.config.host_sockets and self.hosts.close_longest_idle()
 
     async def start(self) -> tuple[str, int]:
-        """Pick up what an earlier life left, then listen; the address that clients may use."""
-        gc.freeze()  # what was read stays: no collection has to look at it again
+        """Recover what a previous process left, then listen; returns the address for clients."""
+        gc.freeze()  # what has been loaded stays alive: garbage collection need not scan it again
         if self.config.machine_durable:
-            from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
+            from garnetrelay.store.durability import SyncWorker  # starts a thread: only where it is configured
 
             self.sync_worker = SyncWorker(self.journal)
         if self.config.operators is not None:
-            from garnetrelay.operators.service import Operators  # only where staff may call
+            from garnetrelay.operators.service import Operators  # only where operator commands are configured
 
             self.operators = Operators(self)
             await self.operators.start(self.config.operators)
             self.inbox += self.operators.excluded()
         if self.config.fleet is not None:
-            from garnetrelay.fleet.service import Fleet  # only where relays know each other
+            from garnetrelay.fleet.service import Fleet  # only where relays form a fleet
 
-            passed = None if self.handover is None else self.handover.state.fleet
+            fleet_state = None if self.handover is None else self.handover.state.fleet
             self.fleet = Fleet(
-                self.config.fleet, self.config.name, self.config.state, self.config.machine_durable, passed
+                self.config.fleet, self.config.name, self.config.state, self.config.machine_durable, fleet_state
             )
             await self.fleet.start()
             self.owners = self.fleet.leases
         if self.handover is None:
-            self._read_known()
+            self._load_known_hosts()
         else:
-            self._inherit(self.handover.state)
+            self._restore_handover(self.handover.state)
         if self.settings.discovery is io.Discovery.AUTOMATIC:
-            self.inbox.append(io.WatchMissing())  # changes come by themselves, but on a watch
+            self.inbox.append(io.WatchMissing())  # changes are pushed, but only on an open watch
         self._recover()
         self.tick()
         listen = self.config.listen
         if self.handover is None:
             address = await self.server.start(listen.host, listen.port, self.config.operators is not None)
         else:
-            address = await self._adopt(self.handover)
+            address = await self._adopt_connections(self.handover)
         self.serving = True
         self._recover_slice()
         if self.config.operators is not None:
-            from garnetrelay.handover.sender import HandoverSender  # staff may upgrade it
+            from garnetrelay.handover.sender import HandoverSender  # only where operators may upgrade the relay
 
             self.handover_sender = HandoverSender(self)
         if self.handover is not None:
             from garnetrelay.handover.receiver import PredecessorLink
 
             self.handover.confirm_taken()
-            self.predecessor = PredecessorLink(self.handover.channel, self._exclude_as_told)
+            self.predecessor = PredecessorLink(self.handover.channel, self._exclude_for_predecessor)
             self.handover = None
         return address
 
     def reconfigure(self, config: Config) -> None:
-        """SIGHUP: go on with what can change in a running relay, the address of discovery. The list that we
-        have stays in force until the new address brings its own."""
+        """Apply what may change while the relay runs (SIGHUP): the address of discovery. The current list of hosts
+        stays in force until the new address sends its own."""
         self.counts.reloads_ok += 1
-        if self.closed:  # the relay has passed to a new process, which reads its own
+        if self.closed:  # handed over to a new process, which reads its own configuration
             return
         if self.fleet is not None:
             self.fleet.read_secrets()
@@ -199,9 +201,9 @@
         self.notices.move(config.discovery)
 
     def retire(self) -> None:
-        """Decide and tell nothing any more: the relay passes to a new process."""
+        """Stop all decisions and outgoing messages: a new process takes over the relay."""
         self.closed = True
-        for timer in (self.alarm, self.tending):
+        for timer in (self.alarm, self.maintenance_timer):
             if timer is not None:
                 timer.cancel()
         if self.sync_worker is not None:
@@ -212,8 +214,8 @@
             self.fleet.close()
 
     def close(self) -> None:
-        """End at once: what is held waits in the journal."""
-        if self.recovery_stats.left:
+        """End at once; pending messages stay in the journal."""
+        if self.recovery_stats.remaining:
             log.info("%s", self.recovery_stats)
         if self.fleet is not None and self.stopping:
             self.fleet.leave()
@@ -225,19 +227,19 @@
         self.hosts.close()
         self.journal.close()
 
-    # ---- what staff ask (``operators.service.OperatedRelay``)
+    # ---- operator commands (``operators.service.OperatedRelay``)
 
     def draining(self) -> bool:
-        """Whether the listener closes what clients have open, to end."""
+        """Whether the server is closing clients' connections in order to end."""
         return self.server.draining
 
     def successor(self) -> HandoverSender | None:
-        """The handover's sender once the relay has passed to another process; None before."""
+        """The handover's sender once another process has taken over the relay; None before."""
         return self.handover_sender if self.handover_sender is not None and self.handover_sender.handed_over else None
 
     def gauges(self) -> Gauges:
-        """Its figures that go by no class, as they are now."""
-        from garnetrelay.operators.metrics import Gauges  # only where staff may call
+        """The current metrics that have no class label."""
+        from garnetrelay.operators.metrics import Gauges  # only where operator commands are configured
 
         return Gauges(
             attempts=self.hosts.calls_written,
@@ -253,29 +255,29 @@
         )
 
     def knows_host(self, host: str) -> bool:
-        """Whether the list names a host, or has named it."""
+        """Whether the list names a host, or named it earlier."""
         return host in self.listed or host in self.delisted
 
-    # ---- the start
+    # ---- start
 
-    async def _adopt(self, handover: ReceivedHandover) -> tuple[str, int]:
-        """Connections and the listener, as the process before left them."""
-        for call, found in handover.calls.values():
+    async def _adopt_connections(self, handover: ReceivedHandover) -> tuple[str, int]:
+        """Take over the connections and the listener of the previous process."""
+        for call, connection in handover.calls.values():
             message = self.pending.get(call.ref)
             if message is None:
-                found.close()
+                connection.close()
                 continue
             attempt = Attempt(self, message, call.name, message.attempts - 1, call.started, call.stop_at, True)
             message.exchange, message.sent_at, message.zone = attempt.exchange(), call.started, call.zone
-            await self.hosts.adopt(found, call.name, Address(call.host, call.port), call.used, message.exchange)
-        for idle, found in handover.idle:
-            await self.hosts.adopt(found, idle.name, Address(idle.host, idle.port), True, None)
-        for client, found in handover.clients:
-            await self.server.adopt(found, client.raw, client.has_sent_command)
+            await self.hosts.adopt(connection, call.name, Address(call.host, call.port), call.used, message.exchange)
+        for idle, connection in handover.idle:
+            await self.hosts.adopt(connection, idle.name, Address(idle.host, idle.port), True, None)
+        for client, connection in handover.clients:
+            await self.server.adopt(connection, client.raw, client.has_sent_command)
         return await self.server.listen(handover.listener)
 
-    def _exclude_as_told(self, host: str, out: bool) -> str:
-        """Staff called the process before; why it can't be done, or nothing."""
+    def _exclude_for_predecessor(self, host: str, out: bool) -> str:
+        """Execute an operator command that the previous process forwarded; returns the error, or ''."""
         from garnetrelay.operators.commands import CommandRefusedError
 
         assert self.operators is not None
@@ -285,31 +287,30 @@
             return str(refused)
         return ""
 
-    # ---- events in
+    # ---- incoming events
 
     def on_request(self, request: Request, reply: Reply) -> None:
-        """A client hands in a message. It is answered within the coming turn."""
+        """A client submits a message. It is answered within the next tick."""
         if request.klass not in self.class_numbers:
             raise RejectedError(f"unknown class '{request.klass[:40]}'")
         if request.dest not in self.dests:
-            if (
-                not self.discovery.up_to_date
-            ):  # the list that we started with may be old: that it does not name it says little
+            # The list from the start may be outdated: a destination that it lacks may exist.
+            if not self.discovery.up_to_date:
                 self.counts.refused[request.klass] += 1
                 reply.busy(0)
                 return
             raise RejectedError(f"unknown destination {request.dest}")
         klass = self.settings.classes[self.class_numbers[request.klass]]
         if klass.repeat is io.Repeat.KEYED and request.key is None:
-            raise RejectedError("'k' is missing")  # without its key no host could drop a repeat
+            raise RejectedError("'k' is missing")  # without a key no host could recognize a repeat
         if request.patience_ms * MS > 2 * klass.deadline:
             raise RejectedError("'d' is far over the class's deadline")
-        if request.patience_ms <= 0:  # it has lain unread for as long as it might be delivered
+        if request.patience_ms <= 0:  # it waited unread until its time limit had passed
             self.counts.refused[request.klass] += 1
             reply.busy(0)
             return
         if request.ref in self.pending or request.ref in self.journal.entries:
-            reply.ok()  # it is taken on already; its end may still be on its way to the platform
+            reply.ok()  # already accepted; the notice of its end may not be acknowledged yet
             return
         if request.ref in self.new_requests:
             reply.busy(0)
@@ -335,31 +336,31 @@
         if update is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
             return
-        self._place(update)
+        self._apply_list_update(update)
         scope = io.ListScope.WHOLE if update.whole else io.ListScope.CHANGES
         self.post(io.Roster(scope, update.entries, update.current))
 
     def exclude(self, host: str, out: bool) -> None:
-        """Staff took a host out, or put it back: no call begins before the Pacer has heard of it."""
+        """An operator excluded a host, or included it again. No call begins before the Pacer has handled the event."""
         log.info("%s is %s by hand", host, "out" if out else "back")
         if out:
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, update: ListUpdate) -> None:
-        """Where each host listens now. Connections to those that drain or went are closed."""
+    def _apply_list_update(self, update: ListUpdate) -> None:
+        """Update the hosts' addresses. Connections to hosts that drain or have left the list are closed."""
         named = {entry.host for entry in update.entries}
-        gone = [host for host in self.listed if host not in named] if update.whole else []
+        removed = [host for host in self.listed if host not in named] if update.whole else []
         for entry in update.entries:
             if entry.availability is io.Availability.DELETED:
-                gone.append(entry.host)
+                removed.append(entry.host)
                 continue
             self.listed[entry.host] = entry
             self.delisted.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
             self.hosts.set_address(entry.host, update.addresses[entry.host], draining)
-        for host in gone:
+        for host in removed:
             if self.listed.pop(host, None) is not None:
                 self.delisted[host] = None
                 if len(self.delisted) > MAX_DELISTED_HOSTS:
@@ -367,106 +368,110 @@
             self.hosts.remove(host)
 
     def post(self, event: io.Event) -> None:
-        """One batch holds all that is ready: the turn runs when the loop has read what lies there."""
+        """Queue an event for the next tick, which runs once the loop has read everything that is ready on the
+        sockets: all of it forms one batch."""
         self.inbox.append(event)
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
         if not self.tick_scheduled:
             self.tick_scheduled = True
-            self.looked_at = time.monotonic_ns()
-            self.lag.round_begins(self.looked_at)
+            self.batch_started_at = time.monotonic_ns()
+            self.lag.on_batch_start(self.batch_started_at)
             asyncio.get_running_loop().call_soon(self._run_scheduled_tick)
 
     def _run_scheduled_tick(self) -> None:
-        """The turn; but where this process did not run since it last read, what has come meanwhile is read first."""
-        if time.monotonic_ns() - self.looked_at > MAX_POLL_AGE_NS:
+        """Run the tick. If this process was suspended since it last read its sockets, they are read again first."""
+        if time.monotonic_ns() - self.batch_started_at > MAX_POLL_AGE_NS:
             after_socket_poll(self.tick)
         else:
             self.tick()
 
     def _flush_soon(self) -> None:
-        """See that what was noted outside a turn is written soon; nothing waits for it."""
-        if not self.tick_scheduled and not self.flush_due:
-            self.flush_due = True
+        """Schedule a write of records that were made outside a tick; nothing depends on them."""
+        if not self.tick_scheduled and not self.flush_scheduled:
+            self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flush_due = False
+        self.flush_scheduled = False
         self.journal.flush()
 
-    # ---- a turn
+    # ---- the tick
 
     def tick(self) -> None:
-        """Decide on all that has come, put it on record by one write, and only then let anything out: what is
-        owed by the clock first, then answers to clients, then calls."""
+        """Let the Pacer decide on all queued events, put the decisions on record in one write, and only then send
+        anything out: notices first, then answers to clients, then calls."""
         self.tick_scheduled = False
         if self.closed:
             return
         events, self.inbox = self.inbox, []
         now = time.monotonic_ns()
-        if self.lag.news(now):
+        if self.lag.changed(now):
             events.insert(0, io.Lagging(self.lag.value))
-        if self.taken_up:
-            taken_up, self.taken_up = self.taken_up, []
-            wall = time.time_ns()  # behind ``now``: what passes between the two closes windows early, never late
-            events += [self._recovered_event(entry, wall) for entry in taken_up]
+        if self.restored:
+            restored, self.restored = self.restored, []
+            wall = (
+                time.time_ns()
+            )  # read after ``now``: time that passes in between closes repeat windows early, never late
+            events += [self._recovered_event(entry, wall) for entry in restored]
         actions = self.pacer.handle(now, events)
         new_requests = self._accept_new_requests({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
         self.hosts.gather()
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
         self.new_requests.clear()
-        # What leaves now depends on what was noted in this turn: it goes once that is on record.
-        ends, self.ends = self.ends, []
+        # What is sent now depends on the records of this tick: it is released once they are written.
+        notices, self.tick_notices = self.tick_notices, []
         self.unrecorded_ticks += 1
-        self.journal.when_recorded(functools.partial(self._let_out, ends, new_requests, self.hosts.gathered()))
-        self._tend()
+        self.journal.when_recorded(functools.partial(self._release, notices, new_requests, self.hosts.gathered()))
+        self._maintain_journal()
         if self.stopping:
             self._end_if_idle()
-        self.lag.round_ends(time.monotonic_ns())
+        self.lag.on_batch_end(time.monotonic_ns())
 
-    def _let_out(
+    def _release(
         self,
-        ends: list[tuple[str, str, int]],
+        notices: list[tuple[str, str, int]],
         new_requests: list[NewRequest],
         calls: list[net.PreparedCall],
         recorded: bool,
     ) -> None:
-        """What a turn has decided, on record or not: notices of ends are owed in any case."""
+        """Send what a tick has decided, or refuse it if it could not be recorded. Notices of ends are sent in any
+        case."""
         self.unrecorded_ticks -= 1
         if self.closed:
             return
-        if self.time_is_up and not self.unrecorded_ticks:
+        if self.stop_deadline_passed and not self.unrecorded_ticks:
             self.finished.set()
-        for end in ends:
-            self.notices.add(*end)
+        for notice in notices:
+            self.notices.add(*notice)
         self.notices.send()
         for new_request in new_requests:
             self._answer(new_request, recorded)
         self.hosts.release(calls, recorded)
 
-    def _tend(self) -> None:
-        """A small step of compaction, and another soon where there is more to do."""
+    def _maintain_journal(self) -> None:
+        """Run one small step of compaction, and schedule another where more is left."""
         if self.closed:
             return
         self.journal.maintain()
-        if self.journal.needs_maintenance and self.tending is None:
-            pause = BROKEN_PAUSE if self.journal.write_failed else TEND_PAUSE
-            self.tending = asyncio.get_running_loop().call_later(pause, self._tend_again)
+        if self.journal.needs_maintenance and self.maintenance_timer is None:
+            pause = WRITE_RETRY_INTERVAL_S if self.journal.write_failed else MAINTENANCE_INTERVAL_S
+            self.maintenance_timer = asyncio.get_running_loop().call_later(pause, self._on_maintenance_timer)
 
-    def _tend_again(self) -> None:
-        self.tending = None
-        self._tend()
+    def _on_maintenance_timer(self) -> None:
+        self.maintenance_timer = None
+        self._maintain_journal()
 
     def _accept_new_requests(self, ends: set[str]) -> list[NewRequest]:
-        """Note those that the Pacer did not end in this turn: they are taken on, once that is on record."""
-        noted = []
+        """Record the new requests that the Pacer did not end in this tick: they are accepted once that is written."""
+        accepted = []
         for ref, new_request in self.new_requests.items():
             request = new_request.request
             if ref in ends:
                 continue
-            # Others of this turn may have taken the room that there was when it came.
+            # Other requests of this tick may have used the space that was free when it arrived.
             if not new_request.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
                 new_request.reply.busy(0)
@@ -476,11 +481,11 @@
                 Entry(ref, request.klass, request.dest, request.key, new_request.deadline, request.body)
             )
             self.pending[ref] = PendingMessage(ref, request.klass, request.key, request.body, new_request.ends_at)
-            noted.append(new_request)
-        return noted
+            accepted.append(new_request)
+        return accepted
 
     def _answer(self, new_request: NewRequest, recorded: bool) -> None:
-        """Tell a client that its message is taken on, or that it could not be put on record."""
+        """Tell a client that its message is accepted, or refuse it because it could not be recorded."""
         ref = new_request.request.ref
         if recorded:
             new_request.reply.ok()
@@ -491,12 +496,12 @@
         new_request.reply.busy(0)
         self.post(io.Withdrawn(ref))
 
-    def _carry_out(self, action: io.Action) -> None:
+    def _execute(self, action: io.Action) -> None:
         match action:
             case io.Send():
                 self._send(action)
             case io.Refuse(ref, hold_off):
-                log.debug("message %s is refused, come again after %d ms", ref, hold_off // MS)
+                log.debug("message %s refused, client should retry after %d ms", ref, hold_off // MS)
                 new_request = self.new_requests.get(ref)
                 if new_request is not None:
                     self.counts.refused[new_request.request.klass] += 1
@@ -504,7 +509,7 @@
                 else:
                     self._end(ref, "bounced", hold_off // MS)
             case io.Fail(ref):
-                log.debug("message %s fails", ref)
+                log.debug("message %s failed", ref)
                 new_request = self.new_requests.get(ref)
                 if new_request is not None:
                     self.counts.failed[new_request.request.klass] += 1
@@ -512,7 +517,7 @@
                 else:
                     self._end(ref, "dead", 0)
             case io.Cancel(ref, attempt):
-                log.debug("attempt %s %d is called off", ref, attempt)
+                log.debug("attempt %s %d cancelled", ref, attempt)
                 message = self.pending.get(ref)
                 if message is not None and message.exchange is not None and message.attempts == attempt + 1:
                     message.exchange.give_up(io.Status.CANCELLED)
@@ -529,14 +534,14 @@
 
     def _set_alarm(self, after: int, token: int) -> None:
         if self.alarm is not None:
-            self.alarm.cancel()  # only the newest counts
+            self.alarm.cancel()  # a newer alarm replaces it
         at = self.pacer.now + after
-        self.alarm = asyncio.get_running_loop().call_at(at / SECOND, self._ring, at, token)
+        self.alarm = asyncio.get_running_loop().call_at(at / SECOND, self._on_alarm, at, token)
 
-    def _ring(self, at: int, token: int) -> None:
+    def _on_alarm(self, at: int, token: int) -> None:
         now = time.monotonic_ns()
-        self.lag.was_late(at, now)
-        if now - self.looked_at > MAX_POLL_AGE_NS:
+        self.lag.on_late_timer(at, now)
+        if now - self.batch_started_at > MAX_POLL_AGE_NS:
             after_socket_poll(self.post, io.Alarm(token))
         else:
             self.post(io.Alarm(token))
@@ -545,7 +550,7 @@
 
     def _send(self, send: io.Send) -> None:
         message = self.pending.get(send.call)
-        if message is None:  # it was not taken on after all: the Pacer hears of that too
+        if message is None:  # it was not accepted after all: the Pacer needs an outcome for this attempt too
             self.post(io.Verdict(send.call, 0, send.host, io.Status.ABANDONED, 0, True, 0, False, None))
             return
         entry = self.listed.get(send.host)
@@ -569,9 +574,9 @@
 
         self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, final_check))
 
-    # ---- ends
+    # ---- ends of messages
 
-    def _told(self, ref: str) -> None:
+    def _on_notice_acknowledged(self, ref: str) -> None:
         """The platform has acknowledged a notice."""
         self.journal.record_notice_acknowledged(ref)
         self._flush_soon()
@@ -584,20 +589,21 @@
                 del self.pending[ref]
         elif ref in self.journal.entries:
             self.journal.record_end(ref, result, wait_ms)
-            self.ends.append((ref, result, wait_ms))
+            self.tick_notices.append((ref, result, wait_ms))
 
-    def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
-        """A message has ended with a result, None: delivered. ``tell``: what the platform hears even so."""
+    def finish(self, message: PendingMessage, result: str | None, wait_ms: int, notify_result: str | None = None) -> None:
+        """A message has ended with a result (None: delivered). ``notify_result``: the result that the platform is
+        notified of although the message was delivered."""
         if message.ended:
             return
         message.ended = True
-        if self.recovery_stats.on_end(message.ref, time.monotonic_ns() >= message.ends_at - NEAR_END):
+        if self.recovery_stats.on_end(message.ref, time.monotonic_ns() >= message.ends_at - DEADLINE_MARGIN_NS):
             log.info("%s", self.recovery_stats)
         by_class = (
             self.counts.served if result is None else (self.counts.failed if result == "dead" else self.counts.refused)
         )
         by_class[message.klass] += 1
-        told = result or tell
-        self.journal.record_end(message.ref, told, wait_ms)
-        if told is not None:
-            self.ends.append((message.ref, told, wait_ms))
+        notified = result or notify_result
+        self.journal.record_end(message.ref, notified, wait_ms)
+        if notified is not None:
+            self.tick_notices.append((message.ref, notified, wait_ms))
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -1,7 +1,7 @@
-"""The end of a relay that was told to stop: what comes in which second, and when it may go.
+"""The shutdown of a relay after SIGTERM: its schedule, and the conditions under which the process may end.
 
-Owned here: the times from SIGTERM on. Guards against a request that is read and left without an answer, against an answer
-whose record is still on its way, and against an end while anything is held or owed that has time left.
+It prevents three faults: a request that is read and never answered, an answer that is lost because its record is still
+being written, and an end while messages or notices are pending and time is left for them.
 """
 
 from __future__ import annotations
@@ -24,40 +24,40 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-STOP_TIMEOUT_NS = 3 * SECOND  # from SIGTERM to our end: SIGKILL comes no sooner than after 3.7 s
-DRAIN_AFTER = 0.6  # seconds after SIGTERM: new connections come for up to 0.4 s
-LAST_TURN = SECOND // 4  # before our end: nothing is read from then on, and clients read what they are answered
-LAST_RECORD = SECOND // 2  # behind STOP_TIMEOUT_NS, for records that answers wait for: still ahead of SIGKILL
+STOP_TIMEOUT_NS = 3 * SECOND  # from SIGTERM to the end of the process: SIGKILL comes no sooner than after 3.7 s
+DRAIN_DELAY_S = 0.6  # after SIGTERM: new connections arrive for up to 0.4 s
+LAST_TICK_MARGIN_NS = SECOND // 4  # before the end: nothing is read after it, so clients have time to read their answers
+RECORD_GRACE_NS = SECOND // 2  # beyond STOP_TIMEOUT_NS, for records that answers depend on: still before SIGKILL
 
 
 class Shutdown(ABC):
-    """The part of a relay that ends it. ``Relay`` owns what is declared here, and says what is abstract."""
+    """The part of a relay that ends it. ``Relay`` sets the attributes and implements the abstract methods."""
 
     server: Server
     notices: Notices
-    predecessor: PredecessorLink | None  # the process before, while it has something to say
+    predecessor: PredecessorLink | None  # the previous process, while it may still forward operator commands
     pending: dict[str, PendingMessage]  # by ref
-    recovering: Sized  # picked up, and not yet with the Pacer
-    new_requests: Sized  # whose clients wait to hear whether they are taken on
+    recovering: Sized  # read from the journal, not yet restored
+    new_requests: Sized  # whose clients wait to be told whether they are accepted
     inbox: list[io.Event]
     tick_scheduled: bool
-    unrecorded_ticks: int  # turns whose records are on their way to the disk
-    closed: bool  # the relay has passed to a new process
+    unrecorded_ticks: int  # ticks whose records are still being written
+    closed: bool  # the relay was handed over to a new process
     stopping: bool
-    time_is_up: bool
+    stop_deadline_passed: bool
     finished: asyncio.Event  # set: this process may end
 
     @abstractmethod
     def post(self, event: io.Event) -> None:
-        """Let the next turn take up an event."""
+        """Queue an event for the next tick."""
 
     @abstractmethod
     def tick(self) -> None:
-        """Decide on all that has come."""
+        """Let the Pacer decide on all queued events."""
 
     def stop(self) -> None:
-        """SIGTERM: serve on while new connections come, then end calls, then ourselves."""
-        if self.closed:  # the relay has passed to a new process
+        """Handle SIGTERM: keep serving while new connections arrive, then let calls end, then end the process."""
+        if self.closed:  # the relay was handed over to a new process
             self.finished.set()
         if self.stopping or self.closed:
             return
@@ -68,22 +68,22 @@
         at = time.monotonic_ns() + STOP_TIMEOUT_NS
         self.post(io.Stopping(at))
         loop = asyncio.get_running_loop()
-        loop.call_later(DRAIN_AFTER, self._drain)
-        loop.call_at((at - LAST_TURN) / SECOND, self._last_tick)
-        loop.call_at(at / SECOND, self._time_is_up)
+        loop.call_later(DRAIN_DELAY_S, self._drain)
+        loop.call_at((at - LAST_TICK_MARGIN_NS) / SECOND, self._last_tick)
+        loop.call_at(at / SECOND, self._on_stop_deadline)
 
     def _last_tick(self) -> None:
-        """What has been read is answered, and nothing more is read: a request that we read and leave without an answer
-        is lost, one that lies unread its client hands in again."""
+        """Answer what has been read, and read nothing more: a request that is read and not answered is lost, while the
+        client submits one that was left unread again."""
         if not self.closed:
             self.server.end()
             self.tick()
 
-    def _time_is_up(self) -> None:
-        """The end, once all that was promised is on record."""
-        self.time_is_up = True
+    def _on_stop_deadline(self) -> None:
+        """End the process once all that clients were told is on record."""
+        self.stop_deadline_passed = True
         if self.unrecorded_ticks and not self.closed:
-            asyncio.get_running_loop().call_later(LAST_RECORD / SECOND, self.finished.set)
+            asyncio.get_running_loop().call_later(RECORD_GRACE_NS / SECOND, self.finished.set)
         else:
             self.finished.set()
 
@@ -92,7 +92,8 @@
         self._end_if_idle()
 
     def _end_if_idle(self) -> None:
-        """The end, unless anything is held, owed, on its way, or may yet come on a connection that is open."""
+        """Let the process end if no message, notice, record or request is outstanding and none can still arrive on an
+        open connection."""
         if self.server.draining and not (
             self.pending
             or self.recovering
--- a/tests/handover/test_passed_list.py
+++ b/tests/handover/test_passed_list.py
@@ -21,5 +21,5 @@
     config = dataclasses.replace(field.config(), discovery=Address.parse(address))
     relay = Relay(config)
     field.relays.append(relay)
-    relay._inherit(State(43, "127.0.0.1:1", [], [], take_snapshot(relay.pacer), None))
+    relay._restore_handover(State(43, "127.0.0.1:1", [], [], take_snapshot(relay.pacer), None))
     assert relay.discovery.index == index
