--- a/garnetrelay/handover/__init__.py
+++ b/garnetrelay/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A relay passes to a new process of the program while it serves. Imported only where staff may call."""
+"""Handover of a running relay to a new process of the program. Imported only where operators may upgrade the relay."""
--- a/garnetrelay/handover/channel.py
+++ b/garnetrelay/handover/channel.py
@@ -1,7 +1,7 @@
-"""The socket between the two processes: frames with descriptors, and who is at the other end.
+"""The socket between the two processes of a handover: frames with file descriptors, and the identity of the peer.
 
-The listener stands in the state folder under mode 0600; the other end's user is checked besides. Frames are sent and read
-with a time limit and without the loop: what passes, passes between two turns.
+The listening socket is in the state folder with mode 0600; the peer's user is checked as well. Frames are sent and
+received with a time limit and block the loop: a handover runs between two ticks.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from garnetrelay.handover.protocol import HEAD, Frame, ProtocolError, decode, encode, lengths
 
-NAME = "upgrade"
-FRAME_TIME = 2.0  # seconds in which a frame goes or comes whole
+SOCKET_NAME = "upgrade"
+FRAME_TIMEOUT_S = 2.0  # for sending or receiving one whole frame
 _CREDENTIALS = struct.Struct("3i")
 
 
 class ChannelError(OSError):
-    """The other side is gone, silent, or says what can't be understood."""
+    """The other process has closed the connection, does not respond, or sent a malformed frame."""
 
 
 class Channel:
@@ -29,36 +29,36 @@
 
     def __init__(self, connection: socket.socket) -> None:
         self.socket = connection
-        connection.settimeout(FRAME_TIME)
+        connection.settimeout(FRAME_TIMEOUT_S)
 
     @property
     def peer(self) -> tuple[int, int]:
-        """Process and user at the other end, as the kernel knows them."""
+        """Process ID and user ID of the other end, as reported by the kernel."""
         raw = self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
         process, user, _ = _CREDENTIALS.unpack(raw)
         return process, user
 
     def send(self, frame: Frame, descriptors: list[int] | None = None) -> None:
-        """ChannelError where it can't go."""
+        """Send a frame; ChannelError if that fails."""
         head, body = encode(frame, len(descriptors or ()))
         try:
-            socket.send_fds(self.socket, [head], descriptors or [])  # a few bytes go whole
+            socket.send_fds(self.socket, [head], descriptors or [])  # so few bytes are never sent in part
             self.socket.sendall(body)
         except OSError as error:
             raise ChannelError(f"sending: {error}") from None
 
-    def receive(self, patience: float = FRAME_TIME) -> tuple[Frame, list[int]]:
-        """The next frame, with its descriptors; ChannelError where none comes."""
+    def receive(self, timeout: float = FRAME_TIMEOUT_S) -> tuple[Frame, list[int]]:
+        """The next frame, with its descriptors; ChannelError if none arrives."""
         descriptors: list[int] = []
         try:
-            self.socket.settimeout(patience)
+            self.socket.settimeout(timeout)
             head, descriptors, _, _ = socket.recv_fds(self.socket, HEAD.size, 64)
-            self.socket.settimeout(FRAME_TIME)
-            head += self._exactly(HEAD.size - len(head))
+            self.socket.settimeout(FRAME_TIMEOUT_S)
+            head += self._receive_exactly(HEAD.size - len(head))
             length, count = lengths(head)
-            body = self._exactly(length)
+            body = self._receive_exactly(length)
             if len(descriptors) != count:
-                raise ProtocolError(f"{len(descriptors)} descriptors of {count}")
+                raise ProtocolError(f"got {len(descriptors)} of {count} descriptors")
             for descriptor in descriptors:
                 os.set_inheritable(descriptor, False)
             return decode(body), descriptors
@@ -67,36 +67,37 @@
                 os.close(descriptor)
             raise ChannelError(f"receiving: {error}") from None
 
-    def waiting(self) -> bool:
-        """Whether something lies there, or the end."""
+    def has_input(self) -> bool:
+        """Whether data, or the end of the stream, can be read at once."""
         poll = select.poll()
         poll.register(self.socket, select.POLLIN)
         return bool(poll.poll(0))
 
-    def _exactly(self, length: int) -> bytes:
+    def _receive_exactly(self, length: int) -> bytes:
         data = bytearray()
         while len(data) < length:
             piece = self.socket.recv(min(length - len(data), 1 << 20))
             if not piece:
-                raise ChannelError("its end")
+                raise ChannelError("connection closed by the other process")
             data += piece
         return bytes(data)
 
     def close(self) -> None:
-        """Close the socket; descriptors that were received stay open."""
+        """Close the socket; received descriptors stay open."""
         self.socket.close()
 
 
 class HandoverSocket:
-    """The folder's socket. Its path may be longer than a socket's name can be: it is named through the folder."""
+    """The Unix socket in the state folder. Its path may be longer than a socket address allows, so the address goes
+    through a descriptor of the folder."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-        self._name = f"/proc/self/fd/{self._folder}/{NAME}"
+        self._name = f"/proc/self/fd/{self._folder}/{SOCKET_NAME}"
         self.listener: socket.socket | None = None
 
     def listen(self) -> socket.socket:
-        """Take the place of whoever listened before."""
+        """Listen, replacing the socket of any earlier process."""
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._name)
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -115,10 +116,10 @@
         return listener
 
     def connect(self) -> Channel | None:
-        """A channel to the process that serves; None where there is none."""
+        """A channel to the process that serves; None if there is none."""
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            connection.settimeout(FRAME_TIME)
+            connection.settimeout(FRAME_TIMEOUT_S)
             connection.connect(self._name)
         except OSError:
             connection.close()
@@ -130,7 +131,7 @@
         return channel
 
     def close(self) -> None:
-        """Stop listening; the folder's socket stays for whoever listens next."""
+        """Stop listening; the socket's file stays in the folder for the next process to replace."""
         if self.listener is not None:
             self.listener.close()
         os.close(self._folder)
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -1,6 +1,6 @@
-"""What the old process's side of an upgrade needs of the relay that it passes on.
+"""What the old process's side of a handover needs of the relay that it hands over.
 
-``Relay`` fits it without naming it: so the upgrade does not import the core that starts it.
+``Relay`` implements it without importing it, so the handover does not import the core that starts it.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from starlingwick.control import Pacer
 
 if TYPE_CHECKING:
-    from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
+    from garnetrelay.store.durability import SyncWorker  # starts a thread: only where it is configured
 
 
-class PassingFleet(Protocol):
+class HandoverFleet(Protocol):
     """This relay as a member of its fleet."""
 
     def handover_state(self) -> dict[str, Any] | None:
-        """What the new process goes on with as the same member; None where it has no part in the fleet now."""
+        """The state with which the new process continues as the same member; None if the relay is not a member now."""
         ...
 
 
 class Predecessor(Protocol):
-    """The process that this one took the relay from."""
+    """The process that this one took the relay over from."""
 
     def bye(self) -> None:
         """Tell it that this process's end is no failure."""
         ...
 
 
-class PassingRelay(Protocol):
-    """A relay that can be given to another process. All of it is read on the loop's thread."""
+class HandoverRelay(Protocol):
+    """A relay that can be handed over to another process. All of it is used on the loop's thread."""
 
     config: Config
     pacer: Pacer
@@ -49,42 +49,42 @@
     discovery: Discovery
     pending: dict[str, PendingMessage]  # by ref
     listed: dict[str, io.HostEntry]  # by host
-    delisted: dict[str, None]  # hosts that were listed, the latest last
-    inbox: list[io.Event]  # what the next turn will take up
+    delisted: dict[str, None]  # hosts that have left the list, the latest last
+    inbox: list[io.Event]  # events of the next tick
     finished: asyncio.Event  # set: this process may end
     serving: bool
     stopping: bool
     tick_scheduled: bool
-    unrecorded_ticks: int  # turns whose records are on their way to the disk
+    unrecorded_ticks: int  # ticks whose records are still being written
 
     @property
     def recovering(self) -> Sized:
-        """What a start has picked up and not yet given to the Pacer."""
+        """Messages read from the journal at the start and not yet restored."""
         ...
 
     @property
     def sync_worker(self) -> SyncWorker | None:
-        """The journal's syncs, where the machine's power counts."""
+        """Syncs the journal to disk; None unless records must survive a power loss of the machine."""
         ...
 
     @property
-    def fleet(self) -> PassingFleet | None:
-        """None where relays do not know each other."""
+    def fleet(self) -> HandoverFleet | None:
+        """None where relays do not form a fleet."""
         ...
 
     @property
     def predecessor(self) -> Predecessor | None:
-        """None where this process began from the folder."""
+        """None where this process started from the folder."""
         ...
 
     def post(self, event: io.Event) -> None:
-        """Let the next turn take up an event."""
+        """Queue an event for the next tick."""
         ...
 
     def tick(self) -> None:
-        """Decide on all that has come."""
+        """Let the Pacer decide on all queued events."""
         ...
 
     def retire(self) -> None:
-        """Decide and tell nothing any more."""
+        """Stop all decisions and outgoing messages."""
         ...
--- a/garnetrelay/handover/protocol.py
+++ b/garnetrelay/handover/protocol.py
@@ -1,11 +1,11 @@
-"""What two processes say to each other as a relay passes from one to the other, and who owns it when. No I/O.
+"""The messages between the two processes of a handover, and the state machines that decide who owns the relay. No I/O.
 
-A frame is a length (4 bytes, big-endian), a count of descriptors that come with it (4 bytes), and a MessagePack array
-that begins with the frame's kind. The version is agreed first: the new process names those that it speaks.
+A frame is a length (4 bytes, big-endian), the number of descriptors that come with it (4 bytes), and a MessagePack array
+that begins with the frame's kind. The version is agreed on first: the new process names those that it speaks.
 
     new  HELLO         old  STATE (claim, listener), CLIENTS, IDLE, CALLS in any number, END
-    new  TAKEN         old  EXCLUDE, answered by DONE, as often as staff call the old process
-    new  BYE           it stops as asked: what ends behind that is no failure
+    new  TAKEN         old  EXCLUDE, answered by DONE, for each operator command that the old process receives
+    new  BYE           the new process stops as it was told to: its end after that is no failure
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 VERSION = 1
 HEAD = struct.Struct(">II")
-MOST_FRAME = 64 << 20  # bytes; the list of hosts and what is known of them make most of it
-MOST_DESCRIPTORS = 64  # in one frame; Linux takes 253
+MAX_FRAME_BYTES = 64 << 20  # most of it is the list of hosts and what the Pacer knows of them
+MAX_DESCRIPTORS = 64  # in one frame; Linux accepts 253
 
 
 class Hello(msgspec.Struct, array_like=True, tag="hello"):
-    """The new process can read the configuration, and asks for the relay."""
+    """The new process has read its configuration and asks for the relay."""
 
     versions: list[int]
 
 
 class Refused(msgspec.Struct, array_like=True, tag="refused"):
-    """It does not get it: it ends, and the old one serves on."""
+    """The request is refused: the new process ends, and the old one keeps serving."""
 
-    why: str
+    reason: str
 
 
 class Endpoint(msgspec.Struct, array_like=True):
-    """A line of the list of hosts."""
+    """An entry of the list of hosts."""
 
     name: str
     zone: int
@@ -49,30 +49,30 @@
 
 
 class State(msgspec.Struct, array_like=True, tag="state"):
-    """All that stands in no file and is no connection. With it come the claim on the folder and the listener."""
+    """All state that is neither in a file nor a connection. The claim on the folder and the listener come with it."""
 
     index: int
     discovery: str
     endpoints: list[Endpoint]
     delisted: list[str]
     pacer_snapshot: dict[str, Any]
-    fleet: dict[str, Any] | None = None  # this relay as a member: the new process goes on as it
+    fleet: dict[str, Any] | None = None  # this relay's state as a member, which the new process continues
 
 
-class Client(msgspec.Struct, array_like=True):
-    """A client's connection: what has come of its next command, and whether it has ever asked."""
+class ClientConnection(msgspec.Struct, array_like=True):
+    """A client's connection: the bytes received of its next command, and whether it has sent any command yet."""
 
     raw: bytes
     has_sent_command: bool
 
 
 class Clients(msgspec.Struct, array_like=True, tag="clients"):
-    """With a descriptor for each."""
+    """Connections of clients, with a descriptor for each."""
 
-    clients: list[Client]
+    clients: list[ClientConnection]
 
 
-class Idle(msgspec.Struct, array_like=True):
+class IdleConnection(msgspec.Struct, array_like=True):
     """A connection to a host that may carry a call."""
 
     name: str
@@ -81,13 +81,13 @@
 
 
 class IdleHosts(msgspec.Struct, array_like=True, tag="idle"):
-    """With a descriptor for each."""
+    """Idle connections to hosts, with a descriptor for each."""
 
-    hosts: list[Idle]
+    hosts: list[IdleConnection]
 
 
-class Out(msgspec.Struct, array_like=True):
-    """A call that is written whole, and has no answer yet. Times are nanoseconds of the monotonic clock."""
+class CallInFlight(msgspec.Struct, array_like=True):
+    """A call that is written in full and not yet answered. Times are nanoseconds of the monotonic clock."""
 
     ref: str
     name: str
@@ -100,13 +100,13 @@
 
 
 class Calls(msgspec.Struct, array_like=True, tag="calls"):
-    """With a descriptor for each."""
+    """Calls in flight, with a descriptor for each."""
 
-    calls: list[Out]
+    calls: list[CallInFlight]
 
 
 class End(msgspec.Struct, array_like=True, tag="end"):
-    """That was all: the new process owns it."""
+    """Everything has been sent: the new process owns the relay."""
 
 
 class Taken(msgspec.Struct, array_like=True, tag="taken"):
@@ -114,14 +114,14 @@
 
 
 class Exclude(msgspec.Struct, array_like=True, tag="exclude"):
-    """Staff called the old process."""
+    """An operator command that the old process forwards."""
 
     host: str
     out: bool
 
 
 class Done(msgspec.Struct, array_like=True, tag="done"):
-    """It is in force, or why not."""
+    """The command is in effect, or the reason why not."""
 
     error: str = ""
 
@@ -137,25 +137,25 @@
 
 
 class ProtocolError(ValueError):
-    """The other side says what can't be understood."""
+    """A malformed frame."""
 
 
 def encode(frame: Frame, descriptors: int = 0) -> tuple[bytes, bytes]:
-    """A frame's head, which the descriptors go with, and its body."""
+    """A frame's head, which is sent with the descriptors, and its body."""
     body = _encoder.encode(frame)
     return HEAD.pack(len(body), descriptors), body
 
 
 def lengths(head: bytes) -> tuple[int, int]:
-    """Of the body, and the count of descriptors; ProtocolError where they can't be."""
+    """The length of the body and the number of descriptors; ProtocolError if they exceed the limits."""
     length, descriptors = HEAD.unpack(head)
-    if length > MOST_FRAME or descriptors > MOST_DESCRIPTORS:
-        raise ProtocolError(f"a frame of {length} bytes and {descriptors} descriptors")
+    if length > MAX_FRAME_BYTES or descriptors > MAX_DESCRIPTORS:
+        raise ProtocolError(f"frame of {length} bytes with {descriptors} descriptors exceeds the limits")
     return length, descriptors
 
 
 def decode(body: bytes) -> Frame:
-    """A frame; ProtocolError where it can't be understood."""
+    """A frame; ProtocolError if it is malformed."""
     try:
         frame: Frame = _decoder.decode(body)
         return frame
@@ -164,109 +164,110 @@
 
 
 class Owner(Enum):
-    """Whose the relay is."""
+    """Which process owns the relay."""
 
     OLD = auto()
     NEW = auto()
 
 
-class Step(Enum):
+class SenderStep(Enum):
     """What the old process does next."""
 
-    SERVE = auto()  # as if nothing had been
-    GIVE = auto()
+    SERVE = auto()  # as if no handover had been requested
+    TRANSFER = auto()
     REFUSE = auto()
     WAIT = auto()
-    ANSWER_STAFF = auto()  # it has nothing else any more
-    START_ANEW = auto()  # from the folder, as after a kill
-    END_OTHER = auto()  # the new process first, then as START_ANEW
+    SERVE_OPERATORS = auto()  # its only remaining task
+    RESTART = auto()  # from the folder, as after a kill
+    KILL_NEW_PROCESS = auto()  # then as RESTART
     END = auto()
 
 
 @dataclass(slots=True)
 class SenderState:
-    """The old process's side: told what happens, it says whose the relay is and what to do."""
+    """The old process's state machine: told what happens, it tracks who owns the relay and returns the next step."""
 
     owner: Owner = Owner.OLD
     taken: bool = False
-    over: bool = False
+    bye_received: bool = False
 
-    def hello(self, versions: list[int], ready: bool) -> Step:
-        """The new process asks. ``ready``: this one is not stopping, and its folder takes records."""
-        return Step.GIVE if VERSION in versions and ready else Step.REFUSE
+    def on_hello(self, versions: list[int], ready: bool) -> SenderStep:
+        """The new process asks for the relay. ``ready``: this one is not stopping, and its folder accepts records."""
+        return SenderStep.TRANSFER if VERSION in versions and ready else SenderStep.REFUSE
 
-    def given(self) -> Step:
-        """All has been sent, or a part: from the freeze on nothing here may decide or write."""
+    def on_transfer(self) -> SenderStep:
+        """The transfer begins, and may break off halfway: from here on this process may neither decide nor write."""
         self.owner = Owner.NEW
-        return Step.WAIT
+        return SenderStep.WAIT
 
-    def on_taken(self) -> Step:
-        """The new process serves: only staff's calls are left to this one."""
+    def on_taken(self) -> SenderStep:
+        """The new process serves: only operator commands are left to this one."""
         self.taken = True
-        return Step.ANSWER_STAFF
+        return SenderStep.SERVE_OPERATORS
 
-    def on_bye(self) -> Step:
+    def on_bye(self) -> SenderStep:
         """The new process stops as it was told to: this one may end."""
-        self.over = True
-        return Step.END
+        self.bye_received = True
+        return SenderStep.END
 
-    def lost(self) -> Step:
-        """The other side is gone, or says what can't be understood."""
+    def on_lost(self) -> SenderStep:
+        """The other process is gone, or sent a malformed frame."""
         if self.owner is Owner.OLD:
-            return Step.SERVE
-        return Step.END if self.over else Step.START_ANEW
+            return SenderStep.SERVE
+        return SenderStep.END if self.bye_received else SenderStep.RESTART
 
-    def overdue(self) -> Step:
-        """It has not said for long that it serves."""
+    def on_timeout(self) -> SenderStep:
+        """The new process has sent nothing within the time limit."""
         if self.owner is Owner.OLD:
-            return Step.SERVE
-        return Step.END if self.taken else Step.END_OTHER
+            return SenderStep.SERVE
+        return SenderStep.END if self.taken else SenderStep.KILL_NEW_PROCESS
 
-    def stop(self) -> Step:
+    def on_stop(self) -> SenderStep:
         """This process is told to end."""
-        return Step.SERVE if self.owner is Owner.OLD else Step.END
+        return SenderStep.SERVE if self.owner is Owner.OLD else SenderStep.END
 
 
-class Turn(Enum):
+class ReceiverStep(Enum):
     """What the new process does next."""
 
     READ = auto()  # the next frame
-    TAKE_UP = auto()  # all is here, and it is ours
-    FROM_FOLDER = auto()  # drop what has come, and start as if nobody had served
+    TAKE_OVER = auto()  # everything has arrived, and this process owns it
+    START_FROM_FOLDER = auto()  # drop what has arrived, and start as if no other process had served
     SERVE = auto()
 
 
 @dataclass(slots=True)
 class ReceiverState:
-    """The new process's side. What has come before END is not ours: the old process may still be the owner, or
-    nobody, and then the folder is."""
+    """The new process's state machine. What arrives before END is not yet owned: the relay may still belong to the old
+    process, or to none, and then only the folder counts."""
 
     owner: Owner = Owner.OLD
     has_state: bool = False
 
-    def heard(self, frame: Frame, descriptors: int) -> Turn:
-        """A frame has come, with so many descriptors."""
+    def on_frame(self, frame: Frame, descriptors: int) -> ReceiverStep:
+        """A frame has arrived with this number of descriptors."""
         if isinstance(frame, End):
             if not self.has_state:
-                return Turn.FROM_FOLDER
+                return ReceiverStep.START_FROM_FOLDER
             self.owner = Owner.NEW
-            return Turn.TAKE_UP
+            return ReceiverStep.TAKE_OVER
         if isinstance(frame, State):
             if self.has_state or descriptors != 2:
-                return Turn.FROM_FOLDER
+                return ReceiverStep.START_FROM_FOLDER
             self.has_state = True
-            return Turn.READ
+            return ReceiverStep.READ
         counts = {Clients: "clients", IdleHosts: "hosts", Calls: "calls"}
         listed = counts.get(type(frame))
         if not self.has_state or listed is None or len(getattr(frame, listed)) != descriptors:
-            return Turn.FROM_FOLDER
-        return Turn.READ
+            return ReceiverStep.START_FROM_FOLDER
+        return ReceiverStep.READ
 
-    def lost(self) -> Turn:
-        """The old process is gone, silent, or says what can't be understood."""
-        return Turn.SERVE if self.owner is Owner.NEW else Turn.FROM_FOLDER
+    def on_lost(self) -> ReceiverStep:
+        """The old process is gone, does not respond, or sent a malformed frame."""
+        return ReceiverStep.SERVE if self.owner is Owner.NEW else ReceiverStep.START_FROM_FOLDER
 
 
-def bears(limit: int, old: int, new: int, held: int) -> bool:
-    """Whether a limit of memory bears both processes: what each has by now, and what is held once more (bytes)."""
-    return old + new + held <= limit
+def fits_memory(limit: int, old: int, new: int, pending: int) -> bool:
+    """Whether a memory limit allows both processes: their current sizes, and a second copy of the pending messages
+    (bytes)."""
+    return old + new + pending <= limit
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -1,4 +1,4 @@
-"""The new process's side: asks for the relay, and takes up what comes."""
+"""The new process's side of a handover: asks for the relay, and receives its state and connections."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 from garnetrelay.config.deployment import Address
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, HandoverSocket
+from garnetrelay.handover.channel import FRAME_TIMEOUT_S, Channel, ChannelError, HandoverSocket
 from garnetrelay.store.preload import Preloaded, preload_folder
 from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
 
 log = logging.getLogger(__name__)
 
-GIVE_TIME = 4.0  # seconds from our hello to the last frame
+TRANSFER_START_TIMEOUT_S = 4.0  # from HELLO to the first frame of the answer
 
 
 @dataclass(slots=True)
 class ReceivedHandover:
-    """A relay as it passed to this process."""
+    """A relay as the old process handed it over."""
 
     channel: Channel
     state: p.State
     claim: int
     listener: socket.socket
-    clients: list[tuple[p.Client, socket.socket]] = field(default_factory=list)
-    idle: list[tuple[p.Idle, socket.socket]] = field(default_factory=list)
-    calls: dict[str, tuple[p.Out, socket.socket]] = field(default_factory=dict)
+    clients: list[tuple[p.ClientConnection, socket.socket]] = field(default_factory=list)
+    idle: list[tuple[p.IdleConnection, socket.socket]] = field(default_factory=list)
+    calls: dict[str, tuple[p.CallInFlight, socket.socket]] = field(default_factory=dict)
 
     def confirm_taken(self) -> None:
-        """This process serves."""
+        """Tell the old process that this one serves."""
         try:
             self.channel.send(p.Taken())
-        except ChannelError as error:  # it is gone already: nothing is owed to it
-            log.warning("upgrade: the old process does not hear: %s", error)
+        except ChannelError as error:  # it is gone already and needs no confirmation
+            log.warning("upgrade: the old process can't be told that this one serves: %s", error)
 
     def discard(self) -> None:
-        """Let go of all: the other side died before it had sent everything."""
+        """Close everything: the old process died before it had sent all."""
         for connection in (
             self.listener,
             *(s for _, s in self.clients),
@@ -57,73 +57,76 @@
 
 
 def preload_journal(folder: Path) -> Preloaded | None:
-    """What the process that serves has on record by now; None where none does. This takes its time while it serves:
-    behind the hand-over only what came since is left to read."""
-    door = Folder(folder)
-    if not door.is_locked():
+    """Read the journal while another process still serves from the folder; None if none does. After the handover only
+    the records written since are left to read."""
+    storage = Folder(folder)
+    if not storage.is_locked():
         return None
     collecting = gc.isenabled()
-    gc.disable()  # all that is made stays
+    gc.disable()  # everything that is created here stays alive
     try:
-        return preload_folder(door, segment_number)
+        return preload_folder(storage, segment_number)
     finally:
         if collecting:
             gc.enable()
 
 
 def request_handover(folder: Path) -> ReceivedHandover | None:
-    """The relay of the process that serves from a folder; None where none does, or where it dies of it: then a
-    start from the folder is right. So it is where it does not give the relay away: then the claim says the rest."""
-    door = HandoverSocket(folder)
+    """Ask the process that serves from a folder for its relay. None if there is no such process, if it dies or breaks
+    off the handover, or if it refuses: this process then starts from the folder, and the claim on the folder shows
+    whether it may."""
+    handover_socket = HandoverSocket(folder)
     try:
-        channel = door.connect()
+        channel = handover_socket.connect()
     finally:
-        door.close()
+        handover_socket.close()
     if channel is None:
         return None
-    found: ReceivedHandover | None = None
-    taking, patience = p.ReceiverState(), GIVE_TIME
+    handover: ReceivedHandover | None = None
+    state, timeout = p.ReceiverState(), TRANSFER_START_TIMEOUT_S
     try:
         channel.send(p.Hello([p.VERSION]))
-        while taking.owner is p.Owner.OLD:
-            frame, descriptors = channel.receive(patience)
-            patience = FRAME_TIME
+        while state.owner is p.Owner.OLD:
+            frame, descriptors = channel.receive(timeout)
+            timeout = FRAME_TIMEOUT_S
             if isinstance(frame, p.Refused):
-                raise ChannelError(f"refused: {frame.why}")
-            if taking.heard(frame, len(descriptors)) is p.Turn.FROM_FOLDER:
+                raise ChannelError(f"refused: {frame.reason}")
+            if state.on_frame(frame, len(descriptors)) is p.ReceiverStep.START_FROM_FOLDER:
                 for descriptor in descriptors:
                     os.close(descriptor)
-                raise ChannelError(f"{type(frame).__name__} out of turn")
-            found = _take(channel, found, frame, descriptors)
-        return found
+                raise ChannelError(f"unexpected frame {type(frame).__name__}")
+            handover = _add_frame(channel, handover, frame, descriptors)
+        return handover
     except ChannelError as error:
         log.warning("upgrade: starting from the folder: %s", error)
-        if found is not None:
-            found.discard()
+        if handover is not None:
+            handover.discard()
         else:
             channel.close()
         return None
 
 
-def _take(channel: Channel, found: ReceivedHandover | None, frame: p.Frame, descriptors: list[int]) -> ReceivedHandover:
-    """Keep what a frame brought; its order and counts have been checked."""
+def _add_frame(
+    channel: Channel, handover: ReceivedHandover | None, frame: p.Frame, descriptors: list[int]
+) -> ReceivedHandover:
+    """Add a frame's content to the handover; the caller has checked its order and counts."""
     if isinstance(frame, p.State):
         claim, listener = descriptors
         return ReceivedHandover(channel, frame, claim, socket.socket(fileno=listener))
-    assert found is not None
+    assert handover is not None
     sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
     match frame:
         case p.Clients(clients):
-            found.clients += zip(clients, sockets, strict=True)
+            handover.clients += zip(clients, sockets, strict=True)
         case p.IdleHosts(hosts):
-            found.idle += zip(hosts, sockets, strict=True)
+            handover.idle += zip(hosts, sockets, strict=True)
         case p.Calls(calls):
-            found.calls.update((call.ref, (call, connection)) for call, connection in zip(calls, sockets, strict=True))
-    return found
+            handover.calls.update((call.ref, (call, connection)) for call, connection in zip(calls, sockets, strict=True))
+    return handover
 
 
 class PredecessorLink:
-    """What the old process still has to say: hosts that staff take out there."""
+    """The connection to the old process, which forwards operator commands that exclude or include hosts."""
 
     def __init__(self, channel: Channel, exclude: Callable[[str, bool], str]) -> None:
         self._loop = asyncio.get_running_loop()
@@ -139,23 +142,24 @@
             frame, _ = channel.receive()
             if isinstance(frame, p.Exclude):
                 channel.send(p.Done(self._exclude(frame.host, frame.out)))
-        except ChannelError:  # it has ended, as it is to
-            self._drop()
+        except ChannelError:  # the old process has ended, as expected
+            self._disconnect()
 
     def bye(self) -> None:
-        """This process stops: its end is no failure."""
+        """Tell the old process that this one stops and that its end is no failure."""
         if self._channel is not None:
             with contextlib.suppress(ChannelError):
                 self._channel.send(p.Bye())
-            self._drop()
+            self._disconnect()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         channel, self._channel = self._channel, None
         if channel is not None:
             self._loop.remove_reader(channel.socket)
             channel.close()
 
 
-def discovery_address(told: str, configured: Address, in_file: Address) -> Address:
-    """Where to watch: a SIGHUP has moved the old process to what the file says; else what this start was told."""
-    return in_file if told == str(in_file) else configured
+def discovery_address(previous: str, configured: Address, in_file: Address) -> Address:
+    """The address of discovery to use: that in the file if a SIGHUP has moved the old process to it, else the one that
+    this process was started with."""
+    return in_file if previous == str(in_file) else configured
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -1,4 +1,4 @@
-"""The old process's side: hands the relay over at one moment, then answers staff until it is ended."""
+"""The old process's side of a handover: hands the relay over at one moment, then only serves operators until it ends."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 if TYPE_CHECKING:
     from garnetrelay.delivery.http import hosts as net
     from garnetrelay.fronts.resp import server as front
-    from garnetrelay.handover.interface import PassingRelay
+    from garnetrelay.handover.interface import HandoverRelay
     from garnetrelay.pending import PendingMessage
 
 log = logging.getLogger(__name__)
 
-HELLO_TIME = 1.0  # seconds for the first frame of whoever connects
-QUIET_TIME = 0.1  # seconds for answers that have come in part to come whole
-STEP = 0.005
-TAKEN_TIME = 6.0  # seconds from the last frame until the new process must serve
-STAFF_TIME = 10.0  # seconds that this process goes on answering staff behind that
-BATCH = 32  # connections in a frame: so many are open on both sides at most
+HELLO_TIMEOUT_S = 1.0  # for the first frame on a new connection
+QUIESCE_TIMEOUT_S = 0.1  # for answers that have arrived in part to complete
+QUIESCE_POLL_S = 0.005
+TAKEN_TIMEOUT_S = 6.0  # from the last frame until the new process must serve
+OPERATOR_PERIOD_S = 10.0  # for which this process serves operators after that
+MAX_FRAME_CONNECTIONS = 32  # in one frame: at most so many are open in both processes at once
 
-OVER_BODY = 3000  # bytes that a held message takes besides its body, at most
+MESSAGE_OVERHEAD_BYTES = 3000  # upper bound of a pending message's memory besides its body
 
 T = TypeVar("T")
 
 
-def resident(process: int) -> int:
-    """The memory that a process has (bytes); 0 where that can't be told."""
+def resident_bytes(process: int) -> int:
+    """The resident memory of a process; 0 if it can't be read."""
     try:
         pages = Path(f"/proc/{process}/statm").read_text().split()[1]
         return int(pages) * os.sysconf("SC_PAGE_SIZE")
@@ -49,35 +49,35 @@
 
 
 def restart_process() -> None:
-    """Begin this very process again, as it was begun: its descriptors close with it, the folder has the rest."""
+    """Execute this program again with the same arguments: its descriptors are closed, and it recovers from the folder."""
     logging.shutdown()
-    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the new text says what it does with it
+    signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the restarted program has installed a handler
     os.execv(sys.executable, sys.orig_argv)
 
 
 class HandoverSender:
-    """Waits for a new process, and gives it the relay."""
+    """Waits for a new process, and hands the relay over to it."""
 
-    def __init__(self, relay: PassingRelay) -> None:
+    def __init__(self, relay: HandoverRelay) -> None:
         self.relay = relay
         self.loop = asyncio.get_running_loop()
         self.state = p.SenderState()
         self.channel: Channel | None = None
         self.task: asyncio.Task[None] | None = None
         self.restart_process = restart_process
-        self.door = HandoverSocket(relay.config.state)
-        self.listener = self.door.listen()
+        self.handover_socket = HandoverSocket(relay.config.state)
+        self.listener = self.handover_socket.listen()
         self.loop.add_reader(self.listener, self._accept)
 
     @property
     def handed_over(self) -> bool:
-        """Whether the relay is the new process's."""
+        """Whether the new process owns the relay."""
         return self.state.owner is p.Owner.NEW
 
     def close(self) -> None:
-        """Stop listening for a new process; a handover under way is broken off."""
+        """Stop listening for a new process; a handover in progress is cancelled."""
         self.loop.remove_reader(self.listener)
-        self.door.close()
+        self.handover_socket.close()
         if self.task is not None:
             self.task.cancel()
 
@@ -91,26 +91,26 @@
             channel.close()
             return
         self.task = self.loop.create_task(self._serve(channel))
-        self.task.add_done_callback(self._ended)
+        self.task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.task = None
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("upgrade failed", exc_info=error)
             if self.handed_over:
-                self._follow(self.state.lost())
+                self._execute(self.state.on_lost())
 
-    # ---- up to the freeze
+    # ---- before the transfer
 
     async def _serve(self, channel: Channel) -> None:
         try:
-            await self._readable(channel, HELLO_TIME)
+            await self._wait_readable(channel, HELLO_TIMEOUT_S)
             frame, _ = channel.receive()
             if not isinstance(frame, p.Hello):
-                raise ChannelError(f"{type(frame).__name__} in place of a hello")
-            why = self._unready(channel)
-            if self.state.hello(frame.versions, not why) is p.Step.REFUSE:
-                channel.send(p.Refused(why or f"this process speaks version {p.VERSION} of the upgrade"))
+                raise ChannelError(f"expected Hello, got {type(frame).__name__}")
+            reason = self._refusal_reason(channel)
+            if self.state.on_hello(frame.versions, not reason) is p.SenderStep.REFUSE:
+                channel.send(p.Refused(reason or f"this process speaks version {p.VERSION} of the handover protocol"))
                 channel.close()
                 return
         except (ChannelError, TimeoutError) as error:
@@ -120,34 +120,34 @@
         log.info("upgrade: process %d takes over", channel.peer[0])
         self.channel = channel
         listener = await self._quiesce()
-        if not self._settled():
+        if not self._run_final_ticks():
             self._resume()
             channel.close()
             self.channel = None
             await self.relay.server.listen(listener)
             return
-        step = self._give(channel, listener)
-        self._follow(step)
-        if step is p.Step.WAIT:
-            await self._attend(channel)
+        step = self._transfer(channel, listener)
+        self._execute(step)
+        if step is p.SenderStep.WAIT:
+            await self._follow_new_process(channel)
 
-    def _unready(self, channel: Channel) -> str:
-        """Why not, if so."""
+    def _refusal_reason(self, channel: Channel) -> str:
+        """Why the relay can't be handed over now; '' if it can."""
         relay = self.relay
         if relay.stopping or not relay.serving or relay.recovering:
-            return "it is starting or stopping"
+            return "the old process is starting or stopping"
         if relay.journal.write_failed:
-            return "its folder takes no records"
-        ours, theirs = resident(os.getpid()), resident(channel.peer[0])
-        held = sum(len(message.body) + OVER_BODY for message in relay.pending.values())
-        if not p.bears(relay.config.memory_bytes, ours, theirs, held):
+            return "the old process's folder accepts no records"
+        ours, theirs = resident_bytes(os.getpid()), resident_bytes(channel.peer[0])
+        pending = sum(len(message.body) + MESSAGE_OVERHEAD_BYTES for message in relay.pending.values())
+        if not p.fits_memory(relay.config.memory_bytes, ours, theirs, pending):
             return (
-                f"{relay.config.memory_bytes >> 20} MB do not bear both processes: this one has {ours >> 20}, the "
-                f"new one {theirs >> 20}, and needs {held >> 20} more"
+                f"{relay.config.memory_bytes >> 20} MB are too little for both processes: the old one uses "
+                f"{ours >> 20}, the new one {theirs >> 20} and needs {pending >> 20} more"
             )
         return ""
 
-    async def _readable(self, channel: Channel, patience: float) -> None:
+    async def _wait_readable(self, channel: Channel, timeout: float) -> None:
         ready: asyncio.Future[None] = self.loop.create_future()
 
         def wake() -> None:
@@ -156,36 +156,38 @@
 
         self.loop.add_reader(channel.socket, wake)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 await ready
         finally:
             self.loop.remove_reader(channel.socket)
 
     async def _quiesce(self) -> socket.socket:
-        """No call begins any more, and no connection is taken up: what is under way comes to where it can pass."""
+        """Begin no call and accept no connection any more, and bring calls in flight to a point where they can be
+        handed over; those that do not get there in time are given up."""
         relay = self.relay
         relay.post(io.Stopping(time.monotonic_ns()))
         listener = await relay.server.stop_listening()
-        end = time.monotonic() + QUIET_TIME
+        end = time.monotonic() + QUIESCE_TIMEOUT_S
         await asyncio.sleep(0)
-        while self._unquiet() and time.monotonic() < end or relay.sync_worker is not None and relay.sync_worker.running:
-            await asyncio.sleep(STEP)
-        for _, exchange in list(_out(relay.pending.values())):
+        while self._is_busy() and time.monotonic() < end or relay.sync_worker is not None and relay.sync_worker.running:
+            await asyncio.sleep(QUIESCE_POLL_S)
+        for _, exchange in list(_calls_in_flight(relay.pending.values())):
             if exchange.connection is None:
                 exchange.abandon()
             elif not exchange.connection.can_hand_over:
                 exchange.give_up(io.Status.CANCELLED)
         return listener
 
-    def _unquiet(self) -> bool:
+    def _is_busy(self) -> bool:
         relay = self.relay
         return bool(relay.tick_scheduled or relay.unrecorded_ticks or relay.hosts.opening) or any(
             exchange.connection is None or not exchange.connection.can_hand_over
-            for _, exchange in _out(relay.pending.values())
+            for _, exchange in _calls_in_flight(relay.pending.values())
         )
 
-    def _settled(self) -> bool:
-        """The last turns; whether all that they decided is on record. From here on nothing waits for the loop."""
+    def _run_final_ticks(self) -> bool:
+        """Run the last ticks; returns whether all their decisions are on record. From here on nothing waits for the
+        loop."""
         for _ in range(8):
             self.relay.tick()
             if not self.relay.inbox:
@@ -196,13 +198,13 @@
         log.error("upgrade: not now, the folder takes no records")
         self.relay.post(io.Stopping(NEVER))
 
-    # ---- the freeze
+    # ---- the transfer
 
-    def _give(self, channel: Channel, listener: socket.socket) -> p.Step:
+    def _transfer(self, channel: Channel, listener: socket.socket) -> p.SenderStep:
         relay = self.relay
-        step = self.state.given()
+        step = self.state.on_transfer()
         if relay.predecessor is not None:
-            relay.predecessor.bye()  # the process before this one must not take its end for a death
+            relay.predecessor.bye()  # else it would take this process's end for a crash
         relay.retire()
         claim = relay.journal.hand_over()
         try:
@@ -211,23 +213,24 @@
             claim = -1
             for clients in _batches(relay.server.connections_to_hand_over()):
                 channel.send(
-                    p.Clients([p.Client(bytes(one.raw), one.has_sent_command) for one in clients]), _descriptors(clients)
+                    p.Clients([p.ClientConnection(bytes(one.raw), one.has_sent_command) for one in clients]),
+                    _descriptors(clients),
                 )
                 for one in clients:
                     one.close_after_handover()
             for idle in _batches(relay.hosts.connections_to_hand_over()):
                 channel.send(
-                    p.IdleHosts([p.Idle(one.host, one.address.host, one.address.port) for one in idle]),
+                    p.IdleHosts([p.IdleConnection(one.host, one.address.host, one.address.port) for one in idle]),
                     _descriptors(idle),
                 )
                 for connection in idle:
                     connection.close_after_handover()
-            for calls in _batches(_passing(relay.pending.values())):
+            for calls in _batches(_calls_to_hand_over(relay.pending.values())):
                 connections = [connection for _, _, connection in calls]
                 channel.send(
                     p.Calls(
                         [
-                            p.Out(
+                            p.CallInFlight(
                                 message.ref,
                                 connection.host,
                                 connection.address.host,
@@ -246,13 +249,13 @@
                     connection.close_after_handover()
             channel.send(p.End())
         except ChannelError as error:
-            log.error("upgrade: broken off: %s", error)
-            step = self.state.lost()
+            log.error("upgrade: the transfer failed: %s", error)
+            step = self.state.on_lost()
         finally:
             if claim >= 0:
                 os.close(claim)
             listener.close()
-        relay.hosts.close()  # what does not pass ends here
+        relay.hosts.close()  # connections that are not handed over are closed
         relay.pending.clear()
         return step
 
@@ -282,62 +285,62 @@
             None if relay.fleet is None else relay.fleet.handover_state(),
         )
 
-    # ---- behind it
+    # ---- after the transfer
 
-    async def _attend(self, channel: Channel) -> None:
-        """Until this process is ended: hear that the new one serves, or that it is gone."""
-        patience = TAKEN_TIME
+    async def _follow_new_process(self, channel: Channel) -> None:
+        """Wait until the new process serves, and then until this process may end; recover if the new one fails."""
+        timeout = TAKEN_TIMEOUT_S
         while True:
             try:
-                await self._readable(channel, patience)
-                if not channel.waiting():
-                    continue  # a call of staff has read it
-                self._hear(channel.receive()[0])
+                await self._wait_readable(channel, timeout)
+                if not channel.has_input():
+                    continue  # an operator command has read it already
+                self._on_frame(channel.receive()[0])
             except TimeoutError:
-                self._follow(self.state.overdue())
+                self._execute(self.state.on_timeout())
                 return
             except ChannelError as error:
                 log.warning("upgrade: the new process is gone: %s", error)
-                self._follow(self.state.lost())
+                self._execute(self.state.on_lost())
                 return
-            if self.state.over:
-                self._follow(p.Step.END)
+            if self.state.bye_received:
+                self._execute(p.SenderStep.END)
                 return
-            patience = STAFF_TIME
+            timeout = OPERATOR_PERIOD_S
 
-    def _hear(self, frame: p.Frame) -> None:
+    def _on_frame(self, frame: p.Frame) -> None:
         if isinstance(frame, p.Taken):
             self.state.on_taken()
             log.info("upgrade: the new process serves")
         elif isinstance(frame, p.Bye):
             self.state.on_bye()
         else:
-            raise ChannelError(f"{type(frame).__name__} out of turn")
+            raise ChannelError(f"unexpected frame {type(frame).__name__}")
 
-    def _follow(self, step: p.Step) -> None:
+    def _execute(self, step: p.SenderStep) -> None:
         match step:
-            case p.Step.END:
+            case p.SenderStep.END:
                 self.relay.finished.set()
-            case p.Step.END_OTHER:
+            case p.SenderStep.KILL_NEW_PROCESS:
                 assert self.channel is not None
                 log.error("upgrade: the new process does not come to serve: it is ended")
                 try:
                     os.kill(self.channel.peer[0], signal.SIGKILL)
-                    self.channel.receive()  # its end
+                    self.channel.receive()  # returns once the process has ended
                 except (ChannelError, ProcessLookupError):
                     pass
                 self.restart_process()
-            case p.Step.START_ANEW if self.relay.stopping:  # it was told to end while it handed over
-                log.error("upgrade: broken off, and this process was told to end: the folder keeps the rest")
+            case p.SenderStep.RESTART if self.relay.stopping:  # it was told to end during the handover
+                log.error("upgrade: failed while this process was told to end: the folder keeps what is pending")
                 self.relay.finished.set()
-            case p.Step.START_ANEW:
+            case p.SenderStep.RESTART:
                 log.error("upgrade: starting anew from the folder")
                 self.restart_process()
             case _:
                 pass
 
     def exclude(self, host: str, out: bool) -> str:
-        """Staff call this process, and the relay is the other's: pass it on; why it can't be done, or nothing."""
+        """Forward an operator command to the new process, which owns the relay; returns the error, or ''."""
         assert self.channel is not None
         try:
             self.channel.send(p.Exclude(host, out))
@@ -345,29 +348,32 @@
                 frame, _ = self.channel.receive()
                 if isinstance(frame, p.Done):
                     return frame.error
-                self._hear(frame)
+                self._on_frame(frame)
         except ChannelError:
             return "the new process does not answer"
 
 
-def _batches(found: Iterable[T]) -> Iterator[list[T]]:
-    every = list(found)
-    for start in range(0, len(every), BATCH):
-        yield every[start : start + BATCH]
+def _batches(items: Iterable[T]) -> Iterator[list[T]]:
+    every = list(items)
+    for start in range(0, len(every), MAX_FRAME_CONNECTIONS):
+        yield every[start : start + MAX_FRAME_CONNECTIONS]
 
 
 def _descriptors(connections: Iterable[front.Connection] | Iterable[net.Connection]) -> list[int]:
     return [connection.descriptor for connection in connections]
 
 
-def _out(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange]]:
+def _calls_in_flight(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange]]:
     for message in list(messages):
         if message.exchange is not None:
             yield message, message.exchange
 
 
-def _passing(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
-    """Calls that pass. That of a message which has ended meanwhile is not waited for: its connection closes."""
-    for message, exchange in _out(messages):
+def _calls_to_hand_over(
+    messages: Iterable[PendingMessage],
+) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
+    """Calls that the new process takes over. The call of a message that has ended meanwhile is not among them: its
+    connection is closed."""
+    for message, exchange in _calls_in_flight(messages):
         if not message.ended and exchange.connection is not None and exchange.connection.can_hand_over:
             yield message, exchange, exchange.connection
--- a/tests/handover/cut.py
+++ b/tests/handover/cut.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from garnetrelay import __main__ as program
-from garnetrelay.handover.channel import FRAME_TIME, Channel
+from garnetrelay.handover.channel import FRAME_TIMEOUT_S, Channel
 from garnetrelay.handover.protocol import Frame
 
 OLD = (
@@ -59,8 +59,8 @@
         send(self, frame, descriptors)
         reached("send", frame, "after")
 
-    def receives(self: Channel, patience: float = FRAME_TIME) -> tuple[Frame, list[int]]:
-        found = receive(self, patience)
+    def receives(self: Channel, timeout: float = FRAME_TIMEOUT_S) -> tuple[Frame, list[int]]:
+        found = receive(self, timeout)
         reached("receive", found[0], "after")
         return found
 
--- a/tests/handover/test_ownership.py
+++ b/tests/handover/test_ownership.py
@@ -9,13 +9,13 @@
 import pytest
 
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.protocol import Owner, ReceiverState, SenderState, Step, Turn
+from garnetrelay.handover.protocol import Owner, ReceiverState, ReceiverStep, SenderState, SenderStep
 
 STATE = p.State(0, "", [], [], {})
 SENT: tuple[tuple[p.Frame, int], ...] = (
     (STATE, 2),
-    (p.Clients([p.Client(b"", True)]), 1),
-    (p.Calls([p.Out("pay", "h", "h", 1, 0, 0, 1, True)]), 1),
+    (p.Clients([p.ClientConnection(b"", True)]), 1),
+    (p.Calls([p.CallInFlight("pay", "h", "h", 1, 0, 0, 1, True)]), 1),
     (p.End(), 0),
 )
 CALL = 2  # the frame that the attempt goes with
@@ -63,14 +63,14 @@
     return SenderState(world.old_owner, world.taken, world.over)
 
 
-def follow(world: World, step: Step) -> World:
+def follow(world: World, step: SenderStep) -> World:
     """What the old process does by what it was told."""
     match step:
-        case Step.START_ANEW:  # it waits for the claim like any start
+        case SenderStep.RESTART:  # it waits for the claim like any start
             return replace(world, anew=True)
-        case Step.END_OTHER:
+        case SenderStep.KILL_NEW_PROCESS:
             return replace(world, new=False, down=(), anew=True)
-        case Step.END:
+        case SenderStep.END:
             return replace(world, old=False, up=())
     return world
 
@@ -88,9 +88,9 @@
     if old_at_work and "hello" in world.up:
         up = tuple(frame for frame in world.up if frame != "hello")
         for ready in (True, False):
-            if giver(world).hello([p.VERSION], ready) is Step.GIVE:
+            if giver(world).on_hello([p.VERSION], ready) is SenderStep.TRANSFER:
                 side = giver(world)
-                side.given()
+                side.on_transfer()
                 yield replace(world, up=up, given=0, old_owner=side.owner)
             else:
                 yield replace(world, up=up, refused=True)
@@ -98,7 +98,7 @@
         if world.new:
             yield replace(world, given=world.given + 1, down=(*world.down, world.given))
         else:
-            yield follow(world, giver(world).lost())
+            yield follow(world, giver(world).on_lost())
     if old_at_work and world.given == len(SENT):
         if world.up[:1] == ("taken",):
             side = giver(world)
@@ -108,10 +108,10 @@
             side = giver(world)
             yield follow(replace(world, up=world.up[1:], over=True), side.on_bye())
         elif not world.new:
-            yield follow(world, giver(world).lost())
+            yield follow(world, giver(world).on_lost())
         if not world.up:
-            yield follow(world, giver(world).overdue())
-        yield follow(world, giver(world).stop())
+            yield follow(world, giver(world).on_timeout())
+        yield follow(world, giver(world).on_stop())
     # The new process.
     if not world.new or world.folder:
         return
@@ -125,14 +125,14 @@
     elif world.down:
         frame, descriptors = SENT[world.down[0]]
         reader = taker(world)
-        turn = reader.heard(frame, descriptors)
+        turn = reader.on_frame(frame, descriptors)
         after = replace(world, down=world.down[1:], new_owner=reader.owner, has_state=reader.has_state)
-        yield replace(after, folder=True) if turn is Turn.FROM_FOLDER else after
+        yield replace(after, folder=True) if turn is ReceiverStep.START_FROM_FOLDER else after
     elif world.new_owner is Owner.NEW and not world.serves:
         yield replace(world, serves=True, up=(*world.up, "taken") if world.old else ())
     elif world.serves and "bye" not in world.up and not world.over:
         yield replace(world, new=False, up=(*world.up, "bye") if world.old else ())  # told to stop, it says so
-    elif not world.old and taker(world).lost() is Turn.FROM_FOLDER:
+    elif not world.old and taker(world).on_lost() is ReceiverStep.START_FROM_FOLDER:
         yield replace(world, folder=True)
 
 
@@ -197,22 +197,22 @@
 class KeepsGiving(SenderState):
     """Thinks that it still has what it has given."""
 
-    def lost(self) -> Step:
-        return Step.SERVE
+    def on_lost(self) -> SenderStep:
+        return SenderStep.SERVE
 
 
 class StartsTooSoon(SenderState):
     """Starts anew although the new process may only be slow."""
 
-    def overdue(self) -> Step:
-        return Step.START_ANEW
+    def on_timeout(self) -> SenderStep:
+        return SenderStep.RESTART
 
 
 class TakesEarly(ReceiverState):
     """Owns the relay as soon as the claim is here."""
 
-    def heard(self, frame: p.Frame, descriptors: int) -> Turn:
-        turn = super().heard(frame, descriptors)
+    def on_frame(self, frame: p.Frame, descriptors: int) -> ReceiverStep:
+        turn = super().on_frame(frame, descriptors)
         if self.has_state:
             self.owner = Owner.NEW
         return turn
@@ -221,8 +221,8 @@
 class HoldsOn(ReceiverState):
     """Waits for more where the old process has died on the way."""
 
-    def lost(self) -> Turn:
-        return Turn.READ
+    def on_lost(self) -> ReceiverStep:
+        return ReceiverStep.READ
 
 
 @pytest.mark.parametrize(
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -120,9 +120,9 @@
     client = await relay.start()
     assert await client.enqueue("safe") == b"OK"
     await field.host.next_call()
-    door = HandoverSocket(field.state)
-    channel = door.connect()
-    door.close()
+    handover_socket = HandoverSocket(field.state)
+    channel = handover_socket.connect()
+    handover_socket.close()
     assert channel is not None
     if after != "connect":
         channel.send(p.Hello([p.VERSION]))
@@ -143,9 +143,9 @@
 
 async def test_another_version_is_refused(field: Field, relay: Upgraded) -> None:
     client = await relay.start()
-    door = HandoverSocket(field.state)
-    channel = door.connect()
-    door.close()
+    handover_socket = HandoverSocket(field.state)
+    channel = handover_socket.connect()
+    handover_socket.close()
     assert channel is not None
     channel.send(p.Hello([p.VERSION + 1]))
     frame, _ = channel.receive()
@@ -164,16 +164,16 @@
 
 
 def test_each_state_says_who_owns_the_relay() -> None:
-    giving = p.SenderState()
-    assert giving.hello([2], True) is giving.hello([1], False) is p.Step.REFUSE
-    assert giving.hello([1, 2], True) is p.Step.GIVE
-    assert giving.lost() is giving.overdue() is giving.stop() is p.Step.SERVE
-    assert giving.given() is p.Step.WAIT and giving.owner is p.Owner.NEW
-    assert giving.lost() is p.Step.START_ANEW and giving.overdue() is p.Step.END_OTHER
-    giving.on_taken()
-    assert giving.lost() is p.Step.START_ANEW and giving.overdue() is giving.stop() is p.Step.END
-    giving.on_bye()
-    assert giving.lost() is p.Step.END
+    state = p.SenderState()
+    assert state.on_hello([2], True) is state.on_hello([1], False) is p.SenderStep.REFUSE
+    assert state.on_hello([1, 2], True) is p.SenderStep.TRANSFER
+    assert state.on_lost() is state.on_timeout() is state.on_stop() is p.SenderStep.SERVE
+    assert state.on_transfer() is p.SenderStep.WAIT and state.owner is p.Owner.NEW
+    assert state.on_lost() is p.SenderStep.RESTART and state.on_timeout() is p.SenderStep.KILL_NEW_PROCESS
+    state.on_taken()
+    assert state.on_lost() is p.SenderStep.RESTART and state.on_timeout() is state.on_stop() is p.SenderStep.END
+    state.on_bye()
+    assert state.on_lost() is p.SenderStep.END
 
 
 def test_waits_and_slots_pass_on() -> None:
@@ -229,9 +229,9 @@
 
 def hello(field: Field) -> p.Frame:
     """What a new process is answered."""
-    door = HandoverSocket(field.state)
-    channel = door.connect()
-    door.close()
+    handover_socket = HandoverSocket(field.state)
+    channel = handover_socket.connect()
+    handover_socket.close()
     assert channel is not None
     channel.send(p.Hello([p.VERSION]))
     frame, descriptors = channel.receive(20)
@@ -247,7 +247,7 @@
     await field.host.next_call()  # it has something to wait for
     await relay.send(signal.SIGTERM, b"stopping")
     frame = await asyncio.to_thread(hello, field)
-    assert isinstance(frame, p.Refused) and "stopping" in frame.why
+    assert isinstance(frame, p.Refused) and "stopping" in frame.reason
 
 
 async def test_folder_that_takes_no_records_is_not_handed_over(field: Field) -> None:
@@ -256,7 +256,7 @@
     await field.start()
     field.relays[0].journal.write_failed = True
     frame = await asyncio.to_thread(hello, field)
-    assert isinstance(frame, p.Refused) and "no records" in frame.why
+    assert isinstance(frame, p.Refused) and "no records" in frame.reason
 
 
 async def test_limit_of_memory_that_does_not_bear_both(field: Field) -> None:
@@ -264,7 +264,7 @@
     field.limits["memory_mb"] = 20
     await field.start()
     frame = await asyncio.to_thread(hello, field)
-    assert isinstance(frame, p.Refused) and "MB do not bear both" in frame.why
+    assert isinstance(frame, p.Refused) and "MB are too little for both processes" in frame.reason
 
 
 async def test_of_two_upgrades_at_once_one_comes_about(field: Field, relay: Upgraded) -> None:
