--- a/benchmarks/capacity/leases.py
+++ b/benchmarks/capacity/leases.py
@@ -39,7 +39,7 @@
     "session": Session("relay-620", LARGE),
     "number": 1 << 24,  # of requests: a year of them at one in two seconds
     "boot": LARGE,
-    "terms": SETTINGS.fingerprint,
+    "fingerprint": SETTINGS.fingerprint,
     "count": 14,
     "digest": LARGE,
     "controller": 4,
