--- a/garnetrelay/delivery/__init__.py
+++ b/garnetrelay/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""How messages go out: one package a transport."""
+"""Outgoing delivery of messages, one subpackage per transport."""
--- a/garnetrelay/delivery/http/__init__.py
+++ b/garnetrelay/delivery/http/__init__.py
@@ -1,1 +1,1 @@
-"""Calls and probes over HTTP/1.1."""
+"""Calls and probes to hosts over HTTP/1.1."""
--- a/garnetrelay/delivery/http/answers.py
+++ b/garnetrelay/delivery/http/answers.py
@@ -1,7 +1,8 @@
-"""Reads a host's answers: what an HTTP/1.1 response, whole, in part or spoilt, says of a call.
+"""Maps a host's HTTP/1.1 response, whether complete, partial or malformed, to the outcome of a call.
 
-``httptools`` (llhttp, strict) does the parsing. What it must not be trusted with stands here: bounds on a
-head and a body, what comes behind an answer, and a first line with 200, which is true whatever follows it.
+``httptools`` (llhttp, strict) does the parsing. This module adds what the parser does not check: size limits for
+head and body, data after the end of a response, and a status line with 200, which counts as delivered whatever
+follows it.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 
 from starlingwick import interface as io
 
-MOST_HEAD = 16 * 1024
-MOST_ANSWER = 64 * 1024  # beyond this an answer is not worth reading for its connection's sake
-MOST_REPORT = 200  # a report is a few figures
-DELIVERED = re.compile(  # a whole first line with 200, behind any number of 1xx answers
+MAX_HEAD_BYTES = 16 * 1024
+MAX_ANSWER_BYTES = 64 * 1024  # a longer answer is not read to its end just to reuse the connection
+MAX_REPORT_BYTES = 200  # a load report is a few numbers
+STATUS_LINE_200 = re.compile(  # a complete status line with 200, after any number of 1xx responses
     rb"(?:HTTP/1\.[01] 1\d\d[^\n]*+\n(?:[^\r\n][^\n]*+\n)*+\r?\n)*+HTTP/1\.[01] 200(?: [^\n]*)?\r?\n"
 )
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How an exchange ended. ``wait`` is the told wait in nanoseconds."""
+    """How an exchange ended. ``wait`` is the wait from X-Backoff-Ms, in nanoseconds."""
 
     status: io.Status
     wait: int = 0
@@ -35,7 +36,7 @@
 
 
 def parse_report(text: str) -> io.Report | None:
-    """The report in a load header or a probe's body; None where there is none or it can't be read."""
+    """Parses the load report of an X-Server-Load header or a probe's body. None: there is none, or it is malformed."""
     values: dict[str, float] = {}
     for part in text.strip().split(","):
         name, _, value = part.partition("=")
@@ -49,16 +50,20 @@
     return io.Report(left=left or 0.0, limit=limit or 0.0)
 
 
-def read_outcome(status: int, told: str, full: str, report: io.Report | None) -> Outcome:
-    """What an answer's first line and headers say of a call: ``told`` and ``full`` are the values of
-    X-Backoff-Ms and X-Egress-Full, empty where there are none."""
+def read_outcome(status: int, backoff_ms: str, egress_full: str, report: io.Report | None) -> Outcome:
+    """Derives the outcome of a call from the status code and headers of its response. ``backoff_ms`` and
+    ``egress_full`` are the values of X-Backoff-Ms and X-Egress-Full, empty if the header is missing."""
     match status:
         case 200:
             return Outcome(io.Status.OK, finished=True, report=report)
         case 429:
-            wait = int(told) * 1_000_000 if told.isascii() and told.isdigit() and len(told) < 10 else 0
+            wait = (
+                int(backoff_ms) * 1_000_000
+                if backoff_ms.isascii() and backoff_ms.isdigit() and len(backoff_ms) < 10
+                else 0
+            )
             return Outcome(io.Status.FULL, wait=wait, report=report)
-        case 503 if full == "1":
+        case 503 if egress_full == "1":
             return Outcome(io.Status.MOOT, no_slot=True, report=report)
         case 503:
             return Outcome(io.Status.FULL, report=report)
@@ -66,16 +71,16 @@
             return Outcome(io.Status.MOOT, report=report)
         case 410:
             return Outcome(io.Status.MOOT, finished=True, report=report)
-    return Outcome(io.Status.ERROR, report=report)  # 500, and whatever else: it may have run
+    return Outcome(io.Status.ERROR, report=report)  # 500 and any other status: the call may have run
 
 
 class AnswerReader:
-    """The answers on one connection, one at a time: ``begin`` before each call, then ``feed``."""
+    """Reads the responses on one connection, one at a time: ``begin`` before each call, then ``feed``."""
 
     __slots__ = (
         "_parser",
         "_values",
-        "_framed",
+        "_has_length",
         "_informational",
         "_head",
         "_body",
@@ -85,7 +90,7 @@
         "complete",
         "keep",
         "broken",
-        "pending",
+        "in_progress",
     )
 
     def __init__(self) -> None:
@@ -93,63 +98,63 @@
         self.begin()
 
     def begin(self) -> None:
-        """A call is about to be written: nothing of its answer has come."""
-        self._values: dict[bytes, str] = {}  # the headers that mean something, as far as they have come
-        self._framed = False  # its length is told: it does not end with its connection
+        """Resets the state before a call is written."""
+        self._values: dict[bytes, str] = {}  # the relevant headers received so far
+        self._has_length = False  # Content-Length or Transfer-Encoding given: the response does not end at EOF
         self._informational = False
-        self._head = b""  # raw, while no head has come whole
-        self._body = b""  # as much of it as a report may have
+        self._head = b""  # raw bytes, until a head is complete
+        self._body = b""  # at most as much as a load report may have
         self.received = 0
-        self.status = 0  # of the answer, once its head is whole
-        self.outcome: Outcome | None = None  # what the head says, once that is whole
+        self.status = 0  # of the response, once its head is complete
+        self.outcome: Outcome | None = None  # derived from the head, once that is complete
         self.complete = False
-        self.keep = False  # whole, and nothing behind it: the connection may carry another call
-        self.broken = False  # it can't be read, or is longer than anything that is worth reading
-        self.pending = False  # a head has begun and is not whole, or a body is still coming
+        self.keep = False  # complete and nothing after it: the connection may carry another call
+        self.broken = False  # malformed, or over the size limits
+        self.in_progress = False  # a head or a body has begun and is not complete
 
     def close(self) -> None:
-        """Let the parser go: it and this object hold each other."""
+        """Drops the parser, which is in a reference cycle with this object."""
         self._parser = None
 
     def feed(self, data: bytes) -> None:
-        """Take in what has come; what it adds up to stands in the attributes."""
+        """Parses received bytes and updates the attributes."""
         if self._parser is None or self.broken:
             return
         self.received += len(data)
-        headless = self.outcome is None
+        head_incomplete = self.outcome is None
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.keep = False
-            self.broken = not self.complete  # behind a whole answer it takes nothing back
-        if headless:
-            self._head = (self._head + data)[:MOST_HEAD] if self.outcome is None or self._head else data
-            if self.outcome is None and self.received > MOST_HEAD:
+            self.broken = not self.complete  # an error after a complete response does not invalidate it
+        if head_incomplete:
+            self._head = (self._head + data)[:MAX_HEAD_BYTES] if self.outcome is None or self._head else data
+            if self.outcome is None and self.received > MAX_HEAD_BYTES:
                 self.broken = True
-            if self.outcome is None and not self.pending and not self.broken:
-                self._head, self.received = b"", 0  # 1xx answers, whole: the answer may take its time
-        if not self.complete and self.received > MOST_ANSWER + MOST_HEAD:
+            if self.outcome is None and not self.in_progress and not self.broken:
+                self._head, self.received = b"", 0  # only complete 1xx responses so far: the final one may take long
+        if not self.complete and self.received > MAX_ANSWER_BYTES + MAX_HEAD_BYTES:
             self.broken = True
 
     def end(self) -> None:
-        """The host sends nothing more: an answer without a length ends here."""
-        if self.outcome is not None and not self.complete and not self._framed and not self.broken:
+        """Handles EOF from the host, which ends a response without a length."""
+        if self.outcome is not None and not self.complete and not self._has_length and not self.broken:
             self._finish()
 
     @property
     def delivered(self) -> bool:
-        """A whole first line with 200 has come: true, whatever becomes of the rest."""
+        """Whether a complete status line with 200 has been received, whatever follows it."""
         if self.outcome is not None:
             return self.outcome.status is io.Status.OK
-        return DELIVERED.match(self._head) is not None
+        return STATUS_LINE_200.match(self._head) is not None
 
-    # ---- the parser calls these
+    # ---- parser callbacks
 
     def on_message_begin(self) -> None:
         if self.complete:
-            self.keep = False  # a second answer to one call: the next could not be told from it
+            self.keep = False  # a second response to one call could be taken for the response to the next
         else:
-            self.pending = True
+            self.in_progress = True
             self._informational = False
             self._values = {}
 
@@ -160,7 +165,7 @@
         if name in (b"x-server-load", b"x-backoff-ms", b"x-egress-full"):
             self._values[name] = value.decode("latin-1").strip()
         elif name in (b"content-length", b"transfer-encoding"):
-            self._framed = True
+            self._has_length = True
 
     def on_headers_complete(self) -> None:
         if self.complete or self._parser is None:
@@ -168,7 +173,7 @@
         status = self._parser.get_status_code()
         if 100 <= status < 200 and status != 101:
             self._informational = True
-            self._framed = False
+            self._has_length = False
             return
         self.status = status
         load = self._values.get(b"x-server-load")
@@ -180,13 +185,13 @@
         )
 
     def on_body(self, body: bytes) -> None:
-        if not self.complete and len(self._body) < MOST_REPORT:
-            self._body += body[:MOST_REPORT]
+        if not self.complete and len(self._body) < MAX_REPORT_BYTES:
+            self._body += body[:MAX_REPORT_BYTES]
 
     def on_message_complete(self) -> None:
         if self.complete or self._parser is None:
             return
-        self.pending = False
+        self.in_progress = False
         if self._informational:
             self._informational = False
         else:
@@ -195,9 +200,9 @@
 
     def _finish(self) -> None:
         self.complete = True
-        self.pending = False
+        self.in_progress = False
         outcome = self.outcome
-        if outcome is not None and outcome.report is None and 0 < len(self._body) < MOST_REPORT:
+        if outcome is not None and outcome.report is None and 0 < len(self._body) < MAX_REPORT_BYTES:
             report = parse_report(self._body.decode("latin-1"))
             if report is not None:
                 self.outcome = dataclasses.replace(outcome, report=report)
