--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -150,7 +150,7 @@
         self._stop_timer()
         if self.exchange is not None:
             self.at_eof = True
-            self._finish(self._unread(), keep=False)
+            self._finish(self._partial_outcome(), keep=False)
         self.reader.close()
 
     def eof_received(self) -> bool:
@@ -160,7 +160,7 @@
             self.reader.end()
             self._process_answer()
             if self.exchange is not None:
-                self._finish(self._unread(), keep=False)
+                self._finish(self._partial_outcome(), keep=False)
         return False
 
     @property
@@ -221,13 +221,13 @@
         """Act on what has been parsed of the answer so far."""
         reader = self.reader
         if reader.complete:
-            self._finish(self._classified(reader.outcome or self._unread()), reader.keep and not self.at_eof)
+            self._finish(self._classified(reader.outcome or self._partial_outcome()), reader.keep and not self.at_eof)
             return
         if reader.delivered and self.exchange is not None:
             # The status line is enough. The connection stays busy until the rest of the answer has been read.
             self.exchange.end(reader.outcome or Outcome(io.Status.OK, finished=True))
         if reader.broken:
-            self._finish(self._unread(), keep=False)
+            self._finish(self._partial_outcome(), keep=False)
         elif not reader.in_progress:
             self._stop_timer()
         elif self.timer is None:
@@ -246,7 +246,7 @@
             self.timer.cancel()
             self.timer = None
 
-    def _unread(self) -> Outcome:
+    def _partial_outcome(self) -> Outcome:
         """The outcome of an answer that is not read to its end. It counts only whether bytes were received, and a 200."""
         if self.reader.delivered:
             return self.reader.outcome or Outcome(io.Status.OK, finished=True)
@@ -254,7 +254,7 @@
         return Outcome(io.Status.RESET if self.at_eof or not self.reader.received else io.Status.SPOILT)
 
     def _on_answer_overdue(self) -> None:
-        self._finish(self._unread(), keep=False)
+        self._finish(self._partial_outcome(), keep=False)
 
     def _finish(self, outcome: Outcome, keep: bool) -> None:
         exchange, self.exchange = self.exchange, None
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -146,7 +146,7 @@
 
         return wrong
 
-    replaced(hosts.Connection, "_unread", make)
+    replaced(hosts.Connection, "_partial_outcome", make)
 
 
 def attempts_not_recorded() -> None:
