--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -342,7 +342,7 @@
             connection = idle.pop()  # the most recently used, so that the others reach the idle limit
             self.idle_by_age.pop(connection, None)
             if connection.usable:
-                self._go(connection, exchange)
+                self._prepare_and_start(connection, exchange)
                 return
             connection.abort()
         address = self.addresses.get(exchange.host)
@@ -390,14 +390,14 @@
         if exchange.ended:
             self.keep_or_close(connection)
         else:
-            self._go(connection, exchange)
+            self._prepare_and_start(connection, exchange)
 
     def _on_connect_done(self, task: asyncio.Task[None]) -> None:
         self.opening.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("opening a connection failed", exc_info=error)
 
-    def _go(self, connection: Connection, exchange: Exchange) -> None:
+    def _prepare_and_start(self, connection: Connection, exchange: Exchange) -> None:
         # The host's address may have changed during the connect: who listens at the old one now is unknown.
         moved = self.addresses.get(exchange.host) != connection.address
         request = None if moved else exchange.prepare(connection.address)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -96,13 +96,13 @@
 async def test_the_window_closes_while_its_connection_comes_up(field: Field, clock: SetClock) -> None:
     on_record(field, tried("k", 200))
     relay = await prepared(field)
-    go = relay.hosts._go
+    go = relay.hosts._prepare_and_start
 
     def late(connection: hosts.Connection, exchange: hosts.Exchange) -> None:
         clock.advance(WINDOW)
         go(connection, exchange)
 
-    relay.hosts._go = late  # type: ignore[method-assign]
+    relay.hosts._prepare_and_start = late  # type: ignore[method-assign]
     await relay.start()
     await one_end(field, "k")
     assert clock.passed
