--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -69,7 +69,7 @@
         """The exchange that carries this attempt out."""
         exchange = net.Exchange(self.host, self.stop_at, self.prepare, self.done, self.final_check, self.message.ref)
         if self.relay.owners is not None:
-            exchange.at_first_byte = self.fence
+            exchange.before_first_byte = self.fence
         return exchange
 
     def prepare(self, address: Address) -> bytes | None:
--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -56,7 +56,7 @@
         "opening",
         "timer",
         "ref",
-        "at_first_byte",
+        "before_first_byte",
     )
 
     def __init__(
@@ -70,7 +70,7 @@
     ) -> None:
         self.ref = ref  # of the message that is sent; None: a probe
         self.final_check = final_check
-        self.at_first_byte: Callable[[], None] | None = None  # called just before the first byte is written
+        self.before_first_byte: Callable[[], None] | None = None  # called just before the first byte is written
         self.host = host
         self.stop_at = stop_at
         self.prepare = prepare
@@ -411,8 +411,8 @@
 
     def _start(self, connection: Connection, exchange: Exchange, request: bytes, recorded: bool) -> None:
         if recorded and not exchange.ended and self._may_start(connection, exchange):
-            if exchange.at_first_byte is not None:
-                exchange.at_first_byte()
+            if exchange.before_first_byte is not None:
+                exchange.before_first_byte()
             connection.start(exchange, request)
         else:
             self.keep_or_close(connection)
