--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -29,7 +29,7 @@
 LINGER_S = 1.0  # seconds without a byte in which a client that is shut out may still read why
 LONGEST_LINGER = 5.0  # for one that goes on sending what nobody reads
 ACCEPTED_AT_ONCE = 4  # connections taken up in a round of the loop: each is a descriptor already
-MOST_TOLD = 16  # connections kept beyond the room there is, until they have read that there is none
+MAX_REJECTED_CONNECTIONS = 16  # connections kept beyond the room there is, until they have read that there is none
 LAST_READ = 0.25  # seconds in which a client reads its last answer: it waits 0.4 for one at most
 QUIET_LOOKS, QUIET_PAUSE = 5, 0.01  # at a queue of connections, seconds apart, ahead of its end
 ROUNDS = 3  # of the loop, from taking a connection up until it is made: a task's first step, then what that calls soon
@@ -500,12 +500,12 @@
         """Whether there is room for one more connection. None: not even to tell it that there is none."""
         if self.remaining_capacity() > 0 or self.close_longest_idle() or self.free_descriptor():
             return True
-        return False if self.remaining_capacity() > -MOST_TOLD else None
+        return False if self.remaining_capacity() > -MAX_REJECTED_CONNECTIONS else None
 
     @property
     def rejected_count(self) -> int:
         """Connections beyond the room: they hold the descriptors that are kept for them, and take nobody's part."""
-        return min(len(self.lingering), MOST_TOLD)
+        return min(len(self.lingering), MAX_REJECTED_CONNECTIONS)
 
     def close_longest_idle(self) -> bool:
         """Make room: by one that is shut out and has been told, by one that never asked, or by one that has
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -53,7 +53,7 @@
     while relay._client_room() > 0:
         found.append(await Client.connect(port))
         assert await found[-1].ask("PING") == b"PONG"
-    while len(relay.server.lingering) < clients.MOST_TOLD:
+    while len(relay.server.lingering) < clients.MAX_REJECTED_CONNECTIONS:
         found.append(await Client.connect(port))
         assert str(await found[-1].read()).startswith("BUSY")
     return found
@@ -162,7 +162,7 @@
     await field.start()
     relay = field.relays[0]
     crowd = await fill(relay, field.port)
-    assert relay.config.host_sockets <= clients.MOST_TOLD
+    assert relay.config.host_sockets <= clients.MAX_REJECTED_CONNECTIONS
     assert await crowd[0].enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
