--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -85,13 +85,13 @@
         self.lost = False
         self.closing = False
         self.at_end = False  # the client sends nothing more
-        self.heard_at = 0.0  # when the last byte came, or the last request was answered
+        self.last_active_at = 0.0  # when the last byte came, or the last request was answered
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.heard_at = self.server.now()
+        self.last_active_at = self.server.now()
         if self.passed is not None:
             self._go_on(*self.passed)
             return
@@ -184,7 +184,7 @@
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self.server.now()
+        self.last_active_at = self.server.now()
         for start in range(0, len(data), SLICE):
             if self.closing:
                 return  # shut out: what it still sends is read and thrown away
@@ -258,7 +258,7 @@
         if ready and self.transport is not None and not self.lost:
             self.transport.write(b"".join(ready))
         if not self.replies and not self.closing and not self.lost:
-            self.heard_at = self.server.now()
+            self.last_active_at = self.server.now()
             self.server.idle.pop(self, None)  # to the end: it has been idle for the shortest time
             self.server.idle[self] = None
         if self.server.ended:
@@ -299,7 +299,7 @@
         """One that is still sending at full speed reads the error only once it has sent all."""
         self.timer = None
         now = self.server.now()
-        if now < min(self.heard_at + LINGER_S, since + LONGEST_LINGER):
+        if now < min(self.last_active_at + LINGER_S, since + LONGEST_LINGER):
             self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, since)
         elif self.transport is not None:
             self.transport.abort()
@@ -511,13 +511,13 @@
         """Make room: by one that is shut out and has been told, by one that never asked, or by one that has
         had no request open for long. Its client opens another when it needs one."""
         for connection in self.lingering:
-            if connection.transport is not None and self.now() >= connection.heard_at + LINGER_S / 4:
+            if connection.transport is not None and self.now() >= connection.last_active_at + LINGER_S / 4:
                 connection.transport.abort()
                 self.forget(connection)
                 return True
         for waiting, time in ((self.without_command, MIN_IDLE_WITHOUT_COMMAND_S), (self.idle, MIN_IDLE_S)):
             for connection in waiting:
-                if self.now() < connection.heard_at + time:
+                if self.now() < connection.last_active_at + time:
                     break
                 if connection.make_room():
                     self.connections.discard(connection)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -220,7 +220,7 @@
     silent = [await Client.connect(field.port) for _ in range(relay._client_room())]
     await until(lambda: relay._client_room() == 0)
     first = next(iter(relay.server.without_command))
-    await until(lambda: relay.server.now() > first.heard_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
+    await until(lambda: relay.server.now() > first.last_active_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
     assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
     assert await usual.ask("PING") == b"PONG"
