--- a/garnetrelay/fronts/__init__.py
+++ b/garnetrelay/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""How messages come in: one package a protocol."""
+"""Listeners that accept messages from clients, one subpackage per protocol."""
--- a/garnetrelay/fronts/resp/requests.py
+++ b/garnetrelay/fronts/resp/requests.py
@@ -1,21 +1,21 @@
-"""A client's command as a request: its words, checked. No I/O."""
+"""Parses and validates a client's ENQUEUE command. No I/O."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
 
-MOST_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 HEADER_WORD = re.compile("[!-~]+")
 
 
 class RejectedError(ValueError):
-    """A request that cannot be understood; the text goes to the client."""
+    """A malformed request; the text is sent to the client."""
 
 
 @dataclass(slots=True)
 class Request:
-    """A message that a client hands in. (Not frozen: making one would cost three times as much.)"""
+    """A message that a client submits. Not frozen, since that would make construction three times as slow."""
 
     ref: str
     klass: str
@@ -26,7 +26,7 @@
 
 
 def parse_enqueue(words: list[bytes]) -> Request:
-    """A request from the words of its command."""
+    """Parse the arguments of an ENQUEUE command."""
     if len(words) != 5:
         raise RejectedError("wrong number of arguments for 'ENQUEUE'")
     values: dict[str, str] = {}
@@ -35,7 +35,7 @@
         if not equals:
             raise RejectedError(f"'{part[:40]}' is not name=value")
         values[name] = value
-    if len(words[4]) > MOST_BODY:
+    if len(words[4]) > MAX_BODY_BYTES:
         raise RejectedError("body over 64 KiB")
     for name in ("c", "d", "dest"):
         if name not in values:
@@ -51,14 +51,14 @@
     )
 
 
-def _text(word: bytes, most: int, what: str) -> str:
-    if not word.isascii() or len(word) > most:
+def _text(word: bytes, max_bytes: int, what: str) -> str:
+    if not word.isascii() or len(word) > max_bytes:
         raise RejectedError(f"unreadable {what}")
     return word.decode("ascii")
 
 
 def _header_word(text: str, what: str) -> str:
-    # It goes into an HTTP header unchanged: a space or a control character there would be another header.
+    # The text goes into an HTTP header unchanged: a space or control character could start another header.
     if HEADER_WORD.fullmatch(text) is None:
         raise RejectedError(f"unreadable {what}")
     return text
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -1,4 +1,4 @@
-"""The RESP2 server that clients talk to: reads commands, answers each in its turn, decides nothing."""
+"""The RESP2 server for clients: reads commands and answers them in order. The relay decides on each request."""
 
 from __future__ import annotations
 
@@ -14,32 +14,30 @@
 
 import hiredis
 
-from garnetrelay.fronts.resp.requests import MOST_BODY, RejectedError, parse_enqueue
+from garnetrelay.fronts.resp.requests import MAX_BODY_BYTES, RejectedError, parse_enqueue
 from garnetrelay.fronts.resp.requests import Request as Request
 
 log = logging.getLogger(__name__)
 
-MOST_COMMAND = MOST_BODY + 16 * 1024  # a command with all its framing
-MOST_OPEN = 64  # commands of one connection without an answer: usual clients have one
-COMMAND_TIMEOUT_S = 2.0  # seconds for a connection's first command, or for any to come whole once it has begun
-MIN_IDLE_S = 2.0  # seconds without an open request after which a connection may make room for another
-MIN_IDLE_WITHOUT_COMMAND_S = (
-    0.1  # the same for one that has never asked: usual clients ask as soon as they have connected
-)
-LINGER_S = 1.0  # seconds without a byte in which a client that is shut out may still read why
-LONGEST_LINGER = 5.0  # for one that goes on sending what nobody reads
-ACCEPTED_AT_ONCE = 4  # connections taken up in a round of the loop: each is a descriptor already
-MAX_REJECTED_CONNECTIONS = 16  # connections kept beyond the room there is, until they have read that there is none
-LAST_READ = 0.25  # seconds in which a client reads its last answer: it waits 0.4 for one at most
-QUIET_LOOKS, QUIET_PAUSE = 5, 0.01  # at a queue of connections, seconds apart, ahead of its end
-ROUNDS = 3  # of the loop, from taking a connection up until it is made: a task's first step, then what that calls soon
-LAST_DATA = struct.Struct("=52xI")  # of TCP_INFO: milliseconds since the kernel took in the last data
-COMPLAINTS = 10  # log lines a second about what clients send
-SLICE = 16 * 1024  # bytes parsed at a time: what one command leaves unread stays small
+MAX_COMMAND_BYTES = MAX_BODY_BYTES + 16 * 1024  # a command including its framing
+MAX_OPEN_REQUESTS = 64  # unanswered commands per connection: usual clients have one
+COMMAND_TIMEOUT_S = 2.0  # for a connection's first command, or for any command to be completed once it has begun
+MIN_IDLE_S = 2.0  # a connection without an open request for this long may be closed in favour of a new one
+MIN_IDLE_WITHOUT_COMMAND_S = 0.1  # the same before the first command: usual clients send one as soon as they connect
+LINGER_S = 1.0  # time without a received byte in which a rejected client may still read the reason
+MAX_LINGER_S = 5.0  # for a rejected client that goes on sending
+ACCEPT_BATCH = 4  # connections accepted per tick of the loop: each already takes a descriptor
+MAX_REJECTED_CONNECTIONS = 16  # connections over the limit that stay open until the client has read the rejection
+LAST_ANSWER_READ_S = 0.25  # time for a client to read its last answer: it waits at most 0.4 s for one
+EMPTY_QUEUE_CHECKS, EMPTY_QUEUE_CHECK_GAP_S = 5, 0.01  # checks of the listen queue before the listener closes
+ACCEPT_TICKS = 3  # ticks from accept to connection_made: a task's first step, then the callbacks that it schedules
+TCP_INFO_LAST_DATA = struct.Struct("=52xI")  # tcpi_last_data_recv: milliseconds since the kernel received data
+MAX_CLIENT_LOGS_PER_S = 10  # log lines about what clients send
+PARSE_CHUNK_BYTES = 16 * 1024  # bytes parsed at a time, so that little is left unparsed after a command
 
 
 class Reply:
-    """The place of one answer in a connection's order."""
+    """One answer in a connection's queue, which is written in the order of the requests."""
 
     __slots__ = ("_connection", "data")
 
@@ -49,7 +47,7 @@
 
     @property
     def client_connected(self) -> bool:
-        """Whether its client is still there to hear it."""
+        """Whether the client can still receive the answer."""
         return not self._connection.lost
 
     def ok(self) -> None:
@@ -75,52 +73,52 @@
 class Connection(asyncio.Protocol):
     """One client's connection."""
 
-    def __init__(self, server: Server, passed: tuple[bytes, bool] | None = None) -> None:
+    def __init__(self, server: Server, inherited: tuple[bytes, bool] | None = None) -> None:
         self.server = server
-        self.passed = passed  # from another process: what had come of a command, and whether it has ever asked
-        self.has_sent_command = passed is not None and passed[1]
+        self.inherited = inherited  # from another process: bytes of an incomplete command, value of has_sent_command
+        self.has_sent_command = inherited is not None and inherited[1]
         self.reader = hiredis.Reader(protocolError=RejectedError, replyError=RejectedError)
-        self.raw = bytearray()  # of a command that has not come whole
+        self.raw = bytearray()  # the bytes of an incomplete command
         self.replies: deque[Reply] = deque()
         self.lost = False
         self.closing = False
-        self.at_end = False  # the client sends nothing more
-        self.last_active_at = 0.0  # when the last byte came, or the last request was answered
+        self.at_eof = False  # the client sends nothing more
+        self.last_active_at = 0.0  # when the last byte was received, or the last request answered
         self.timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.last_active_at = self.server.now()
-        if self.passed is not None:
-            self._go_on(*self.passed)
+        if self.inherited is not None:
+            self._resume(*self.inherited)
             return
         admitted = self.server.admit()
         self.server.connections.add(self)
-        if self.server.ended:  # it was taken up just as the end came
+        if self.server.ended:  # accepted just before the server ended
             self.end()
             return
         if admitted is None:
             self.transport.abort()
         elif not admitted:
-            # Not an error: the request that is on its way has failed for good behind one.
-            self._shut(lambda reply: reply.busy(0), f"too many connections: {self.server.counts}")
+            # BUSY, not an error: after an error the client treats the request that it is sending as failed for good.
+            self._reject(lambda reply: reply.busy(0), f"too many connections: {self.server.connection_counts}")
         else:
             self.server.without_command[self] = None
-            self._expect_command()
+            self._start_command_timer()
 
-    def _go_on(self, raw: bytes, asked: bool) -> None:
-        """Where the other process left it: it was admitted there."""
+    def _resume(self, raw: bytes, has_sent_command: bool) -> None:
+        """Continue where the previous process stopped; the connection was admitted there."""
         self.server.connections.add(self)
-        (self.server.idle if asked else self.server.without_command)[self] = None
-        if raw or not asked:
-            self._expect_command()
+        (self.server.idle if has_sent_command else self.server.without_command)[self] = None
+        if raw or not has_sent_command:
+            self._start_command_timer()
         if raw:
             self.data_received(raw)
 
     @property
     def can_hand_over(self) -> bool:
-        """Whether another process can read on from here: no answer is owed or on its way."""
+        """Whether another process can take over: no answer is outstanding or still being written."""
         return (
             not self.closing
             and not self.replies
@@ -135,21 +133,21 @@
         return int(self.transport.get_extra_info("socket").fileno())
 
     def close_after_handover(self) -> None:
-        """Another process has the connection: close it here without a word."""
+        """Close this process's copy of a connection that another process has taken over, without writing to it."""
         self.closing = True
         self._stop_timer()
-        self.server.forget(self)
+        self.server.untrack(self)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
         self._stop_timer()
-        self.server.forget(self)
+        self.server.untrack(self)
 
     def eof_received(self) -> bool:
-        """The client sends nothing more. It may read on: what is owed to it is written before we close too."""
-        self.at_end = True
+        """The client sends nothing more but may still read: outstanding answers are written before the close."""
+        self.at_eof = True
         self._stop_timer()
         if self.replies and not self.closing:
             return True
@@ -157,24 +155,24 @@
             self._close(self.transport)
         return False
 
-    def _expect_command(self) -> None:
-        """A connection that says nothing, half of a command, or a byte now and then, is not kept: the time
-        runs from its beginning."""
-        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_S, self._overdue)
+    def _start_command_timer(self) -> None:
+        """Limit the time until a command is complete. It counts from the beginning, so that a connection that sends
+        nothing, half a command or a byte now and then is closed."""
+        self.timer = asyncio.get_running_loop().call_later(COMMAND_TIMEOUT_S, self._on_command_overdue)
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
-    def _overdue(self) -> None:
+    def _on_command_overdue(self) -> None:
         self.timer = None
-        if self.replies:  # it reads its answers so slowly that we do not read it: a request is open
-            self._expect_command()
+        if self.replies:  # a request is open; reading is paused while the client reads its answers too slowly
+            self._start_command_timer()
         else:
             self.fail("no whole command in time")
 
-    # A client that reads nothing must not fill our memory with answers: stop reading its commands.
+    # Stop reading commands while the client does not read its answers, which would fill the memory.
     def pause_writing(self) -> None:
         if self.transport is not None:
             self.transport.pause_reading()
@@ -185,44 +183,44 @@
 
     def data_received(self, data: bytes) -> None:
         self.last_active_at = self.server.now()
-        for start in range(0, len(data), SLICE):
+        for start in range(0, len(data), PARSE_CHUNK_BYTES):
             if self.closing:
-                return  # shut out: what it still sends is read and thrown away
-            self._take(data[start : start + SLICE])
+                return  # rejected: anything it still sends is read and discarded
+            self._parse(data[start : start + PARSE_CHUNK_BYTES])
         if self.server.draining and not self.closing:
             self.close_between_requests()
 
-    def _take(self, piece: bytes) -> None:
-        if not self.raw and (piece[:1] != b"*" or len(piece) > 2 and piece[2:3] not in b"\r0123456789"):
+    def _parse(self, chunk: bytes) -> None:
+        if not self.raw and (chunk[:1] != b"*" or len(chunk) > 2 and chunk[2:3] not in b"\r0123456789"):
             self.fail("a command is an array of bulk strings")
             return
-        self.raw += piece
+        self.raw += chunk
         try:
-            self.reader.feed(piece)
+            self.reader.feed(chunk)
             while (words := self.reader.gets()) is not False:
-                self._command(words)
+                self._handle_command(words)
                 if self.closing:
                     return
         except (RejectedError, hiredis.HiredisError, MemoryError) as error:
-            self.fail(f"Protocol error: {error}")  # framing is lost: nothing behind it can be read
+            self.fail(f"Protocol error: {error}")  # the framing is lost: nothing after it can be parsed
             return
-        if len(self.raw) > MOST_COMMAND:
+        if len(self.raw) > MAX_COMMAND_BYTES:
             self.fail("command too long")
         elif self.raw and self.timer is None:
-            self._expect_command()
+            self._start_command_timer()
 
-    def _command(self, words: Any) -> None:
+    def _handle_command(self, words: Any) -> None:
         if not isinstance(words, list) or not words or not all(isinstance(word, bytes) for word in words):
             raise RejectedError("a command is an array of bulk strings")
-        # The parser takes any two bytes for a line's end. Behind a wrong length the message would be taken on
-        # with half of its body, so what came must be just what these words are written as.
+        # The parser accepts any two bytes as the end of a line. With a wrong length the message would be accepted with
+        # half of its body, so the received bytes must equal the encoding of these words.
         written = hiredis.pack_command(tuple(words))
         if not self.raw.startswith(written):
             raise RejectedError("a length is wrong")
         del self.raw[: len(written)]
         self._stop_timer()
         self.has_sent_command = True
-        self.server.busy(self)
+        self.server.mark_busy(self)
         reply = Reply(self)
         self.replies.append(reply)
         name = words[0].upper()
@@ -230,7 +228,7 @@
             if name == b"ENQUEUE":
                 request = parse_enqueue(words)
                 request.patience_ms -= self._unread_ms()
-                if len(self.replies) > MOST_OPEN:
+                if len(self.replies) > MAX_OPEN_REQUESTS:
                     reply.busy(0)
                 else:
                     self.server.handler(request, reply)
@@ -239,19 +237,21 @@
             else:
                 raise RejectedError(f"unknown command '{words[0][:40].decode('ascii', 'replace')}'")
         except RejectedError as error:
-            self.server.complain(f"client request not understood: {error}")
+            self.server.log_client_error(f"client request not understood: {error}")
             reply.error(str(error))
 
     def _unread_ms(self) -> int:
-        """How long the command has lain in the kernel: its time has run meanwhile. On a spent core, or behind
-        others that wait to be accepted, that is more than there is room for behind the deadline."""
+        """How long the command has waited in the kernel; its deadline counts that time. On a saturated core, or after
+        other connections that wait to be accepted, it exceeds the margin after the deadline."""
         if self.transport is None:
             return 0
-        info = self.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA.size)
-        return int(LAST_DATA.unpack(info)[0])
+        info = self.transport.get_extra_info("socket").getsockopt(
+            socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA.size
+        )
+        return int(TCP_INFO_LAST_DATA.unpack(info)[0])
 
     def send_ready(self) -> None:
-        """Write the answers that are due, in the order of their requests."""
+        """Write the answers that are ready, in the order of their requests."""
         ready = []
         while self.replies and self.replies[0].data is not None:
             ready.append(self.replies.popleft().data or b"")
@@ -259,26 +259,26 @@
             self.transport.write(b"".join(ready))
         if not self.replies and not self.closing and not self.lost:
             self.last_active_at = self.server.now()
-            self.server.idle.pop(self, None)  # to the end: it has been idle for the shortest time
+            self.server.idle.pop(self, None)  # re-inserted at the end: idle for the shortest time
             self.server.idle[self] = None
         if self.server.ended:
             self.end()
-        elif self.at_end and not self.replies and not self.closing and self.transport is not None:
+        elif self.at_eof and not self.replies and not self.closing and self.transport is not None:
             self._close(self.transport)
         elif self.server.draining and not self.closing:
             self.close_between_requests()
 
     def fail(self, text: str) -> None:
-        """An error, and a close: for what can't be read any further."""
-        self._shut(lambda reply: reply.error(text), text)
+        """Send an error and close, as nothing further on the connection can be parsed."""
+        self._reject(lambda reply: reply.error(text), text)
 
-    def _shut(self, answer: Callable[[Reply], None], why: str) -> None:
+    def _reject(self, answer: Callable[[Reply], None], why: str) -> None:
         if not self.closing:
-            self.server.complain(f"client connection closed: {why}")
+            self.server.log_client_error(f"client connection closed: {why}")
             self.closing = True
             self.raw.clear()
             self._stop_timer()
-            self.server.busy(self)
+            self.server.mark_busy(self)
             self.server.lingering[self] = None
             reply = Reply(self)
             self.replies.append(reply)
@@ -286,27 +286,27 @@
             self._linger()
 
     def _linger(self) -> None:
-        """End our side only. A close with its bytes unread would be a reset, and that takes back the error
-        that we have just written. The transport itself waits for what is not written yet."""
+        """Half-close the connection. Closing it with unread bytes would send a reset, and the client would lose the
+        error just written. The transport itself waits for data that is not written yet."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
         if transport.can_write_eof():
             transport.write_eof()
-        self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, self.server.now())
+        self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._on_linger_end, self.server.now())
 
-    def _lingered(self, since: float) -> None:
-        """One that is still sending at full speed reads the error only once it has sent all."""
+    def _on_linger_end(self, since: float) -> None:
+        """Wait longer while the client keeps sending, since it may read the error only once it has sent everything."""
         self.timer = None
         now = self.server.now()
-        if now < min(self.last_active_at + LINGER_S, since + LONGEST_LINGER):
-            self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._lingered, since)
+        if now < min(self.last_active_at + LINGER_S, since + MAX_LINGER_S):
+            self.timer = asyncio.get_running_loop().call_later(LINGER_S, self._on_linger_end, since)
         elif self.transport is not None:
             self.transport.abort()
 
     @property
     def between_requests(self) -> bool:
-        """No answer is owed, and no request has come, in part or unread: a close loses nothing."""
+        """Whether a close loses nothing: no answer is outstanding, and no part of a request was received or is unread."""
         transport = self.transport
         if self.closing or self.replies or self.raw or transport is None or transport.is_closing():
             return False
@@ -315,19 +315,19 @@
         return not poll.poll(0)
 
     def close_between_requests(self) -> None:
-        """Close unless a message would be lost by it. What is unread is answered first. A draining relay's close comes
-        right behind an answer, perhaps: a request that crosses it would make a reset of it, which takes back the answer.
-        So only our side ends, until the client has read that. What crossed stays unread, and the client hands it in on
-        another connection: one that was read and not answered would be lost."""
+        """Close unless that could lose a message; unread requests are answered first. While draining, the connection is
+        only half-closed until the client has read its answer: a request sent at the same moment would turn a full close
+        into a reset, and the client would lose the answer. That request stays unread, and the client submits it on
+        another connection; if it were read and not answered, it would be lost."""
         if self.between_requests and self.transport is not None:
             if self.server.draining:
-                self._end_our_side(self.transport)
+                self._half_close(self.transport)
             else:
                 self._close(self.transport)
 
-    def make_room(self) -> bool:
-        """Give up the descriptor at once, unless a message would be lost by it. A client that has not read its answers
-        by now has given up what it sends behind them, too: neither is waited for."""
+    def abort_if_idle(self) -> bool:
+        """Free the descriptor at once unless that could lose a message. A client that has not read its answers by now
+        has also abandoned the requests after them, so neither is waited for."""
         transport = self.transport
         if transport is None or not (transport.get_write_buffer_size() or self.between_requests):
             return False
@@ -336,36 +336,36 @@
         return True
 
     def _close(self, transport: asyncio.Transport) -> None:
-        """Close, once what was answered is written: a client that reads nothing keeps its descriptor for no longer
-        than one that is shut out."""
+        """Close once the answers are written. A client that does not read them keeps its descriptor no longer than a
+        rejected one."""
         self.closing = True
         self._stop_timer()
-        self.server.busy(self)
+        self.server.mark_busy(self)
         transport.close()
         if transport.get_write_buffer_size():
             self.timer = asyncio.get_running_loop().call_later(LINGER_S, transport.abort)
 
-    def _end_our_side(self, transport: asyncio.Transport) -> None:
+    def _half_close(self, transport: asyncio.Transport) -> None:
         self.closing = True
         self._stop_timer()
-        self.server.busy(self)
+        self.server.mark_busy(self)
         transport.pause_reading()
         if transport.can_write_eof():
             transport.write_eof()
-        self.timer = asyncio.get_running_loop().call_later(LAST_READ, transport.abort)
+        self.timer = asyncio.get_running_loop().call_later(LAST_ANSWER_READ_S, transport.abort)
 
     def end(self) -> None:
-        """Read nothing more; once all is answered that was read, end our side, whatever lies unread."""
+        """Stop reading; half-close once every request that was read is answered, even if others are unread."""
         if self.closing or self.lost or self.transport is None:
             return
         self.transport.pause_reading()
         if not self.replies:
-            self._end_our_side(self.transport)
+            self._half_close(self.transport)
 
 
 class Server:
-    """Listens for clients and bounds their connections: ``remaining_capacity`` says how many more there may be now, and
-    ``free_descriptor`` frees a descriptor elsewhere, where one can be had."""
+    """Listens for clients and limits their connections. ``remaining_capacity`` returns how many more may be opened;
+    ``free_descriptor`` closes an idle connection to a host and returns False if there is none to close."""
 
     def __init__(
         self, handler: Handler, remaining_capacity: Callable[[], int], free_descriptor: Callable[[], bool]
@@ -374,119 +374,123 @@
         self.remaining_capacity = remaining_capacity
         self.free_descriptor = free_descriptor
         self.connections: set[Connection] = set()
-        self.idle: dict[Connection, None] = {}  # without an open request, longest first
-        self.without_command: dict[Connection, None] = {}  # the same, of those that have never asked
-        self.lingering: dict[Connection, None] = {}  # told that they are shut out, longest first
+        self.idle: dict[Connection, None] = {}  # without an open request, the longest idle first
+        self.without_command: dict[Connection, None] = {}  # the same, before their first command
+        self.lingering: dict[Connection, None] = {}  # rejected clients that may still read why, oldest first
         self.draining = False
-        self.ended = False  # nothing more is read
-        self.on_closed: Callable[[], None] | None = None  # hears of a connection's end, and of the listener's
+        self.ended = False  # the server reads nothing more
+        self.on_closed: Callable[[], None] | None = None  # called when a connection or the listener has closed
         self.now: Callable[[], float] = asyncio.get_running_loop().time
-        self._complaints: deque[float] = deque(maxlen=COMPLAINTS)
-        self._unsaid = 0
+        self._log_times: deque[float] = deque(maxlen=MAX_CLIENT_LOGS_PER_S)
+        self._suppressed_logs = 0
         self._server: asyncio.Server | None = None
-        self._taking_up: set[asyncio.Task[Any]] = set()
+        self._accepting: set[asyncio.Task[Any]] = set()
 
     async def start(self, host: str, port: int, shared: bool = False) -> tuple[str, int]:
-        """Listen; the address that came of it. ``shared``: another process may listen there too."""
+        """Start listening; returns the bound address. ``shared``: another process may listen on the same address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: Connection(self), host, port, backlog=ACCEPTED_AT_ONCE, reuse_port=shared or None
+            lambda: Connection(self), host, port, backlog=ACCEPT_BATCH, reuse_port=shared or None
         )
         return self._listening()
 
-    async def listen(self, found: socket.socket) -> tuple[str, int]:
-        """The same on a listener that is there."""
+    async def listen(self, listener: socket.socket) -> tuple[str, int]:
+        """The same on an existing listening socket."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: Connection(self), sock=found, backlog=ACCEPTED_AT_ONCE
+            lambda: Connection(self), sock=listener, backlog=ACCEPT_BATCH
         )
         return self._listening()
 
     async def stop_listening(self) -> socket.socket:
-        """Take up no more connections; the listener, on which they go on coming. Those taken up are ``connections``."""
+        """Accept no more connections. Returns a copy of the listening socket, whose queue keeps filling; those accepted
+        so far are in ``connections``."""
         assert self._server is not None
-        found = socket.socket(fileno=os.dup(self._server.sockets[0].fileno()))
-        self._take_up_no_more()
-        for _ in range(ROUNDS):
+        listener = socket.socket(fileno=os.dup(self._server.sockets[0].fileno()))
+        self._stop_accepting()
+        for _ in range(ACCEPT_TICKS):
             await asyncio.sleep(0)
         self._server.close()
-        return found
+        return listener
 
-    def _take_up_no_more(self) -> None:
-        """asyncio makes a connection of what was taken up in a later round, and can't once its server is closed: nobody
-        would answer it, nor close it."""
+    def _stop_accepting(self) -> None:
+        """Stop accepting, but leave the asyncio server open: asyncio makes the transport of an accepted socket in a
+        later tick, and cannot once its server is closed. Nothing would then answer or close that connection."""
         assert self._server is not None
         asyncio.get_running_loop().remove_reader(self._server.sockets[0].fileno())
 
     def connections_to_hand_over(self) -> list[Connection]:
-        """Connections that can pass to another process. Others close once what is owed there is written."""
+        """The connections that can be handed over to another process. The others close once their answers are written."""
         for connection in list(self.connections):
             if not connection.can_hand_over:
                 connection.close_between_requests()
         return [connection for connection in self.connections if connection.can_hand_over]
 
-    async def adopt(self, found: socket.socket, raw: bytes, asked: bool) -> None:
-        """A connection that passed from another process."""
-        await asyncio.get_running_loop().connect_accepted_socket(lambda: Connection(self, (raw, asked)), found)
+    async def adopt(self, sock: socket.socket, raw: bytes, has_sent_command: bool) -> None:
+        """Take over a connection from another process."""
+        await asyncio.get_running_loop().connect_accepted_socket(lambda: Connection(self, (raw, has_sent_command)), sock)
 
     def _listening(self) -> tuple[str, int]:
         assert self._server is not None
         with self._server.sockets[0].dup() as listening:
-            listening.listen(512)  # more may wait than are taken up at once
+            listening.listen(512)  # the queue may be longer than one accept batch
         name = self._server.sockets[0].getsockname()
-        if self.draining:  # it was told to before there was a listener
-            self._stop_once_empty(QUIET_LOOKS)
+        if self.draining:  # drain() was called before there was a listener
+            self._stop_when_queue_empty(EMPTY_QUEUE_CHECKS)
         return str(name[0]), int(name[1])
 
     def drain(self) -> None:
-        """Take no new connection, and close the open ones as soon as each is between requests."""
+        """Stop accepting once the listen queue is empty; close each open connection as soon as it is between requests."""
         self.draining = True
-        self._stop_once_empty(QUIET_LOOKS)
+        self._stop_when_queue_empty(EMPTY_QUEUE_CHECKS)
         for connection in list(self.connections):
             connection.close_between_requests()
 
     def end(self) -> None:
-        """The process ends in a moment: read nothing more, take no connection, and let what is answered be read."""
+        """Called just before the process ends: stop reading and accepting, and let clients read their answers."""
         self.ended = True
         if self.listening:
-            self._take_up_no_more()
-            self._close_in(ROUNDS)
+            self._stop_accepting()
+            self._close_after_ticks(ACCEPT_TICKS)
         for connection in list(self.connections):
             connection.end()
 
-    def _stop_once_empty(self, looks: int) -> None:
-        """Those that wait in the listener's queue would be reset with it, and what they ask with them. ``looks``: so many
-        more have to find none, as a client may know of its connection before the queue does."""
+    def _stop_when_queue_empty(self, checks: int) -> None:
+        """Close the listener once its queue is empty: closing it earlier would reset the queued connections and lose
+        their requests. ``checks``: how many more checks must find it empty, since a client may know of its connection
+        before the queue shows it."""
         if self._server is None or not self._server.sockets:
             return
         poll = select.poll()
         poll.register(self._server.sockets[0].fileno(), select.POLLIN)
-        looks = QUIET_LOOKS if poll.poll(0) else looks - 1
-        if looks:
-            asyncio.get_running_loop().call_later(QUIET_PAUSE, self._stop_once_empty, looks)
+        checks = EMPTY_QUEUE_CHECKS if poll.poll(0) else checks - 1
+        if checks:
+            asyncio.get_running_loop().call_later(EMPTY_QUEUE_CHECK_GAP_S, self._stop_when_queue_empty, checks)
             return
-        self._take_up_no_more()
-        self._close_in(ROUNDS)
+        self._stop_accepting()
+        self._close_after_ticks(ACCEPT_TICKS)
 
-    def _close_in(self, rounds: int) -> None:
-        """Close the listener so many rounds behind the last that came."""
+    def _close_after_ticks(self, ticks: int) -> None:
+        """Close the listener this many ticks after the last accepted connection."""
         if self._server is None or not self._server.sockets:
             return
         loop = asyncio.get_running_loop()
-        listening = socket.socket(fileno=self._server.sockets[0].fileno())  # no copy: descriptors may be short
+        listening = socket.socket(
+            fileno=self._server.sockets[0].fileno()
+        )  # not a duplicate: descriptors may be exhausted
         try:
             listening.setblocking(False)
-            for _ in range(0 if self.ended else ACCEPTED_AT_ONCE):
-                found, _ = listening.accept()
-                task = loop.create_task(loop.connect_accepted_socket(lambda: Connection(self), found))
-                self._taking_up.add(task)
-                task.add_done_callback(self._taking_up.discard)
-                rounds = ROUNDS
+            for _ in range(0 if self.ended else ACCEPT_BATCH):
+                sock, _ = listening.accept()
+                task = loop.create_task(loop.connect_accepted_socket(lambda: Connection(self), sock))
+                self._accepting.add(task)
+                task.add_done_callback(self._accepting.discard)
+                ticks = ACCEPT_TICKS
         except OSError:
-            pass  # none waits
+            pass  # the queue is empty
         finally:
             listening.detach()
-        if rounds:
-            loop.call_soon(self._close_in, rounds - 1)
+        if ticks:
+            loop.call_soon(self._close_after_ticks, ticks - 1)
             return
         self._server.close()
         if self.on_closed is not None:
@@ -497,61 +501,62 @@
         return self._server is not None and bool(self._server.sockets)
 
     def admit(self) -> bool | None:
-        """Whether there is room for one more connection. None: not even to tell it that there is none."""
+        """Whether one more connection may be opened. None: there is no descriptor even for sending a rejection."""
         if self.remaining_capacity() > 0 or self.close_longest_idle() or self.free_descriptor():
             return True
         return False if self.remaining_capacity() > -MAX_REJECTED_CONNECTIONS else None
 
     @property
     def rejected_count(self) -> int:
-        """Connections beyond the room: they hold the descriptors that are kept for them, and take nobody's part."""
+        """Connections over the limit: they use descriptors reserved for them, not the share of clients or hosts."""
         return min(len(self.lingering), MAX_REJECTED_CONNECTIONS)
 
     def close_longest_idle(self) -> bool:
-        """Make room: by one that is shut out and has been told, by one that never asked, or by one that has
-        had no request open for long. Its client opens another when it needs one."""
+        """Free a descriptor by closing a rejected connection whose client has had time to read the rejection, one without
+        a first command, or one without an open request for long; its client opens another when it needs one."""
         for connection in self.lingering:
             if connection.transport is not None and self.now() >= connection.last_active_at + LINGER_S / 4:
                 connection.transport.abort()
-                self.forget(connection)
+                self.untrack(connection)
                 return True
-        for waiting, time in ((self.without_command, MIN_IDLE_WITHOUT_COMMAND_S), (self.idle, MIN_IDLE_S)):
-            for connection in waiting:
-                if self.now() < connection.last_active_at + time:
+        for connections, min_idle_s in ((self.without_command, MIN_IDLE_WITHOUT_COMMAND_S), (self.idle, MIN_IDLE_S)):
+            for connection in connections:
+                if self.now() < connection.last_active_at + min_idle_s:
                     break
-                if connection.make_room():
+                if connection.abort_if_idle():
                     self.connections.discard(connection)
                     return True
         return False
 
     @property
-    def counts(self) -> str:
-        """Who holds the descriptors, for the log."""
+    def connection_counts(self) -> str:
+        """How many connections are in which state, for the log."""
         return (
-            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.without_command)} have never "
-            f"asked, {len(self.lingering)} are shut out"
+            f"{len(self.connections)} open, {len(self.idle)} idle, {len(self.without_command)} without "
+            f"a command yet, {len(self.lingering)} rejected"
         )
 
-    def busy(self, connection: Connection) -> None:
-        """It does not make room for another."""
+    def mark_busy(self, connection: Connection) -> None:
+        """Exclude a connection from those that may be closed in favour of another."""
         self.idle.pop(connection, None)
         self.without_command.pop(connection, None)
 
-    def forget(self, connection: Connection) -> None:
+    def untrack(self, connection: Connection) -> None:
         self.connections.discard(connection)
-        self.busy(connection)
+        self.mark_busy(connection)
         self.lingering.pop(connection, None)
         if self.on_closed is not None:
             self.on_closed()
 
-    def complain(self, text: str) -> None:
-        """Log what a client did, but not each time: one that sends nonsense at full speed fills no log."""
+    def log_client_error(self, text: str) -> None:
+        """Log a client's error at a limited rate, so that a client that sends malformed data at full speed does not
+        flood the log."""
         now = self.now()
-        if len(self._complaints) == COMPLAINTS and self._complaints[0] > now - 1:
-            self._unsaid += 1
+        if len(self._log_times) == MAX_CLIENT_LOGS_PER_S and self._log_times[0] > now - 1:
+            self._suppressed_logs += 1
             return
-        if self._unsaid:
-            text += f" ({self._unsaid} more like this unsaid)"
-            self._unsaid = 0
-        self._complaints.append(now)
+        if self._suppressed_logs:
+            text += f" ({self._suppressed_logs} more like this not logged)"
+            self._suppressed_logs = 0
+        self._log_times.append(now)
         log.info("%s", text)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -205,7 +205,7 @@
     client.writer.write_eof()
     await until(lambda: bool(relay.newcomers))
     (connection,) = relay.server.connections
-    await until(lambda: connection.at_end)
+    await until(lambda: connection.at_eof)
     relay._turn_soon = turn  # type: ignore[method-assign]
     relay.turn()
     assert await client.read() == b"OK" and await client.read() is None
@@ -260,7 +260,7 @@
     client.sendall(enqueue("m1"))
     queued(relay.server)
     loop = asyncio.get_running_loop()
-    loop.call_at(loop.time(), relay.server._stop_once_empty, 1)  # a round reads sockets first, then come its timers
+    loop.call_at(loop.time(), relay.server._stop_when_queue_empty, 1)  # a round reads sockets first, then come its timers
     client.setblocking(False)
     async with asyncio.timeout(PATIENCE):
         assert await loop.sock_recv(client, 100) == b"+OK\r\n"
@@ -274,11 +274,11 @@
     first = await field.start()  # held: dropped, it would close
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
-    server._take_up_no_more()
+    server._stop_accepting()
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1"))
     queued(server)
-    server._close_in(clients.ROUNDS)
+    server._close_after_ticks(clients.ACCEPT_TICKS)
     await until(lambda: not server.listening)
     client.setblocking(False)
     async with asyncio.timeout(PATIENCE):
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -98,11 +98,11 @@
     before = descriptors()
     await field.start()
     server = field.relays[0].server
-    server._take_up_no_more()  # the queue was found empty
+    server._stop_accepting()  # the queue was found empty
     burst = connect_at_once(field.port, BURST)
     others = before + len(burst) + 1
     most = 0
-    server._close_in(clients.ROUNDS)
+    server._close_after_ticks(clients.ACCEPT_TICKS)
     while server.listening:
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
@@ -194,7 +194,7 @@
     relay.server.now = lambda: now
     while connection in relay.server.connections:
         assert relay.server.close_longest_idle()
-    for _ in range(clients.ROUNDS):
+    for _ in range(clients.ACCEPT_TICKS):
         await asyncio.sleep(0)
     assert descriptors() < open_before
     deaf.writer.transport.abort()
