--- a/benchmarks/asking.py
+++ b/benchmarks/asking.py
@@ -20,7 +20,7 @@
 SECOND = 1_000_000_000
 REFUSED_AFTER = SECOND // 10  # a call's way there and back
 PATIENCE = 2 * SECOND  # the protocol's: a call that waited longer fails
-GIVEN_UP_AFTER = 3 * SECOND  # the relay's own (``garnetrelay.discovery.client.ANSWER_TIME``)
+GIVEN_UP_AFTER = 3 * SECOND  # the relay's own (``garnetrelay.discovery.watches.ANSWER_TIMEOUT_S``)
 TOLD_AFTER = 6 * SECOND  # the protocol's: a change counts as told
 START = 1000 * SECOND
 LONGEST = 120 * SECOND  # beyond it a relay counts as never answered
