--- a/garnetrelay/discovery/__init__.py
+++ b/garnetrelay/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who the endpoints are."""
+"""The list of hosts, as received from discovery."""
--- a/garnetrelay/discovery/host_list.py
+++ b/garnetrelay/discovery/host_list.py
@@ -1,6 +1,6 @@
-"""The list of hosts in discovery's form: versions taken apart, read and described. No I/O.
+"""The list of hosts in discovery's format: splits the byte stream into versions, parses and describes them. No I/O.
 
-Source: the protocol page, "Discovery". A version is a JSON object, on a line of its own or indented over several.
+Source: the protocol page, "Discovery". A version is a JSON object, on one line or indented over several.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from garnetrelay.config.deployment import Address, Config
 from starlingwick import interface as io
 
-MAX_VERSION_BYTES = 4 << 20  # bytes of one version of the list
-MOST_NAMED = 8  # hosts in a log line
-IN_QUOTES = re.compile(rb'"(?:[^"\\]|\\.)*"')
+MAX_VERSION_BYTES = 4 << 20  # of one version of the list
+MAX_LOGGED_HOSTS = 8  # in one log line
+QUOTED_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 AVAILABILITY_BY_STATUS = {
     "Ready": io.Availability.RUNNING,
@@ -27,28 +27,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """One version of the list, or the changes since the one before, in the Pacer's terms."""
+    """One version of the list, or the changes since the previous version, in the Pacer's types."""
 
     index: int
     whole: bool
     entries: tuple[io.HostEntry, ...]
     addresses: dict[str, Address]
-    current: bool = True  # of a watch at discovery's present address, not one that is about to be left
+    current: bool = True  # False: from a watch at an address that discovery has moved away from
 
-    def of_address_left(self) -> ListUpdate:
-        """The same from a watch at an address that discovery has moved away from."""
+    def from_previous_address(self) -> ListUpdate:
+        """A copy marked as coming from an address that discovery has moved away from."""
         return dataclasses.replace(self, current=False)
 
 
 class ListReader:
-    """Turns discovery's form into the Pacer's."""
+    """Converts versions from discovery's format to the Pacer's types."""
 
     def __init__(self, config: Config) -> None:
         self.zones = {name: number for number, name in enumerate(config.zone_names)}
         self.kinds = {name: number for number, name in enumerate(config.kind_names)}
 
     def read(self, raw: Any) -> ListUpdate:
-        """ValueError if it can't be read: then nothing of it is taken over."""
+        """Parse a version. Raises ValueError if any part of it is malformed."""
         try:
             entries, addresses = [], {}
             for line in raw["endpoints"]:
@@ -60,17 +60,17 @@
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
-    def salvage(self, raw: Any, index: int) -> ListUpdate:
-        """What can be read of a version that can't be read whole, as changes that leave the version at ``index``: a drain
-        among them is not lost for a neighbour's sake."""
+    def read_valid_entries(self, raw: Any, index: int) -> ListUpdate:
+        """The valid entries of a partly malformed version, as changes that leave the version at ``index``. A drain among
+        them is not lost because another entry is malformed."""
         lines = raw.get("endpoints") if isinstance(raw, dict) else None
         entries: list[io.HostEntry] = []
         addresses: dict[str, Address] = {}
         for line in lines if isinstance(lines, list) else ():
             with contextlib.suppress(ValueError):
-                news = self.read({"index": index, "snapshot": False, "endpoints": [line]})
-                entries += news.entries
-                addresses |= news.addresses
+                update = self.read({"index": index, "snapshot": False, "endpoints": [line]})
+                entries += update.entries
+                addresses |= update.addresses
         return ListUpdate(index, False, tuple(entries), addresses)
 
     def _entry(self, line: dict[str, Any]) -> io.HostEntry:
@@ -86,52 +86,52 @@
         )
 
 
-def described(news: ListUpdate) -> str:
-    """A version in one line: what it holds, and which hosts get nothing new from it on."""
-    leaving = [entry.host for entry in news.entries if entry.availability is not io.Availability.RUNNING]
-    named = ", ".join(leaving[:MOST_NAMED]) + (", ..." if len(leaving) > MOST_NAMED else "")
-    what = "whole list" if news.whole else "changes"
-    return f"{what}, version {news.index}: {len(news.entries)} hosts, draining or gone: {named or 'none'}"
+def describe(update: ListUpdate) -> str:
+    """One log line about a version: its size, and which hosts receive no new messages from now on."""
+    leaving = [entry.host for entry in update.entries if entry.availability is not io.Availability.RUNNING]
+    named = ", ".join(leaving[:MAX_LOGGED_HOSTS]) + (", ..." if len(leaving) > MAX_LOGGED_HOSTS else "")
+    what = "whole list" if update.whole else "changes"
+    return f"{what}, version {update.index}: {len(update.entries)} hosts, draining or gone: {named or 'none'}"
 
 
 class UnreadableListError(ValueError):
-    """What came of the list can't be read."""
+    """Malformed data in the stream of versions."""
 
 
 class ObjectSplitter:
-    """Takes a watch's bytes apart into objects, each on a line of its own or indented over several. No I/O.
+    """Splits a watch's bytes into JSON objects, each on one line or indented over several. No I/O.
 
-    JSON has no line's end inside a string, so a line's quotes and brackets tell whether an object goes on behind it."""
+    JSON strings contain no line breaks, so quotes and brackets tell whether an object continues after a line."""
 
     def __init__(self) -> None:
-        self._begun = b""  # of a line
-        self._object: list[bytes] = []  # whole lines of an object that goes on
-        self._size = 0  # bytes of those
+        self._partial_line = b""
+        self._object: list[bytes] = []  # the complete lines of an unfinished object
+        self._size = 0  # their total in bytes
         self._depth = 0
 
     @property
     def unfinished(self) -> bool:
-        """Whether a line or an object has begun and its end is still to come."""
-        return bool(self._begun or self._object)
+        """Whether a line or an object has begun and is not complete."""
+        return bool(self._partial_line or self._object)
 
     def feed(self, data: bytes) -> list[bytes | None]:
-        """The objects that have come whole, None for each empty line; UnreadableListError if one has no end."""
-        *lines, self._begun = (self._begun + data).split(b"\n")
+        """The objects completed by ``data``, None for each empty line. UnreadableListError: an object is too long."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         found: list[bytes | None] = []
         for line in lines:
-            bare = line.strip()
-            if not self._object and not bare:
+            content = line.strip()
+            if not self._object and not content:
                 found.append(None)
-            elif bare:
-                self._take(line, found)
-        if self._size + len(self._begun) > MAX_VERSION_BYTES:
-            raise UnreadableListError("a line without end")
+            elif content:
+                self._add_line(line, found)
+        if self._size + len(self._partial_line) > MAX_VERSION_BYTES:
+            raise UnreadableListError("an object exceeds the size limit")
         return found
 
-    def _take(self, line: bytes, found: list[bytes | None]) -> None:
-        marks = IN_QUOTES.sub(b"", line)
-        depth = sum(marks.count(mark) for mark in b"{[") - sum(marks.count(mark) for mark in b"}]")
-        if self._object and depth == 0 and b'"endpoints"' in line:  # a version by itself: the one begun has no end
+    def _add_line(self, line: bytes, found: list[bytes | None]) -> None:
+        unquoted = QUOTED_STRING.sub(b"", line)
+        depth = sum(unquoted.count(bracket) for bracket in b"{[") - sum(unquoted.count(bracket) for bracket in b"}]")
+        if self._object and depth == 0 and b'"endpoints"' in line:  # a complete version: the unfinished one never ends
             found.append(b"".join(self._object))
             self._object, self._size, self._depth = [], 0, 0
         self._depth += depth
--- a/garnetrelay/discovery/watches.py
+++ b/garnetrelay/discovery/watches.py
@@ -1,8 +1,8 @@
-"""Which of several calls and watches of discovery counts, and for how long one may say nothing. No I/O and no clock.
+"""Selects among several calls and watches of discovery the one in use, and sets their timeouts. No I/O and no clock.
 
-A watch that works is given up only for one that works: a call stands beside it until it has brought a line. That holds
-where the watch has fallen silent, and where discovery has moved: the old address is listened to until the new one has
-answered. Among calls at one address the first that brings a line is the watch, and the others close.
+A working watch is replaced only by another that works: a new call runs in parallel until it has delivered a line. That
+holds if the watch becomes unresponsive, and if discovery has moved: the old address is watched until the new one has
+answered. Among the calls to one address, the first that delivers a line becomes the watch, and the others are closed.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 
 from garnetrelay.config.deployment import Address
 
-# Of the protocol, for all customers alike: a line comes every 2 s, the first at once where all is asked for, and what a
-# silent watch misses is held to be told 6 s after it fell silent. Its end has to be seen, and the next one answered,
-# within that.
-# A call or watch that says nothing has another beside it long before it ends: what is written to one that has just ended
-# is told, and not heard.
-ANSWER_TIME = 6.0  # seconds for a call to be connected and taken up
-FIRST_LINE = 1.25  # seconds from there to the whole list, where all was asked for
-LINE_TIME = 1.0  # seconds in which nothing comes of a line that has begun
-DOUBT_AFTER = 2.5  # seconds without a whole line, behind which another call is made
-SILENCE_TIMEOUT_S = 8.0  # seconds without a whole line, behind which the watch ends
-MOST_CALLS = 6  # connections to discovery at a time
+# The protocol sends a line every 2 s, the first at once if the whole list is requested. A change that a silent watch
+# misses counts as received 6 s after the watch became silent, so its failure must be detected, and the next call
+# answered, within that time.
+# A silent call or watch gets another call in parallel long before it ends: a change that discovery writes to a connection
+# that has just ended counts as received, though the relay never sees it.
+ANSWER_TIMEOUT_S = 6.0  # for a call to be connected and answered
+FIRST_LINE_TIMEOUT_S = 1.25  # from there to the whole list, if it was requested
+LINE_STALL_TIMEOUT_S = 1.0  # without further bytes of a line that has begun
+UNRESPONSIVE_AFTER_S = 2.5  # without a complete line; then another call is made in parallel
+SILENCE_TIMEOUT_S = 8.0  # without a complete line; then the watch ends
+MAX_CALLS = 6  # connections to discovery at a time
 
 
 class State(Enum):
-    """What a call of discovery has come to."""
+    """The state of a call to discovery. The values are written to the log."""
 
     CALLING = "calling"
-    TAKEN_UP = "taken up"  # answered 200, no line yet
-    OPEN = "open"  # a line has come
-    DOUBTED = "doubted"  # and none for too long, or the one that has begun does not end
+    ACCEPTED = "taken up"  # answered 200, no line yet
+    OPEN = "open"  # a line has been received
+    UNRESPONSIVE = "doubted"  # no line for too long, or a line that has begun is not completed
 
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """One call of discovery, and the watch that it becomes."""
+    """One call to discovery, and the watch that it becomes."""
 
     number: int
     address: Address
-    generation: int  # how often discovery had moved by then
-    index: int  # the version that it has told, or is asked to go on from
+    generation: int  # how often discovery had moved when the call was made
+    index: int  # the last version received on it, or the one that it continues from
     state: State = State.CALLING
-    reported: bool = False  # the Pacer has heard that it can't be relied on
+    reported: bool = False  # the Pacer has been told of its failure
 
     def __str__(self) -> str:
         return f"watch {self.number} at {self.address}"
@@ -51,102 +51,102 @@
 
 @dataclass(slots=True)
 class Watches:
-    """All that are out, oldest first."""
+    """All open calls and watches, oldest first."""
 
     address: Address
-    index: int  # the latest version in force that this address has told
+    index: int  # the last version received from this address
     generation: int = 0
-    calls: int = 0  # since the start
-    out: list[Watch] = field(default_factory=list)
+    calls: int = 0  # since the start of the process
+    active: list[Watch] = field(default_factory=list)
 
     def begin(self) -> tuple[Watch, list[Watch]]:
-        """A new call, and those that close to make room for it."""
-        waiting = [watch for watch in self.out if watch.state is not State.OPEN]
-        closing = waiting[: max(0, len(self.out) + 1 - MOST_CALLS)]
+        """Begin a call. Returns its watch, and those to close so that at most ``MAX_CALLS`` are open."""
+        waiting = [watch for watch in self.active if watch.state is not State.OPEN]
+        closing = waiting[: max(0, len(self.active) + 1 - MAX_CALLS)]
         self._drop(closing)
         self.calls += 1
         watch = Watch(self.calls, self.address, self.generation, self.index)
-        self.out.append(watch)
+        self.active.append(watch)
         return watch, closing
 
     def move(self, address: Address) -> None:
-        """Discovery is at another address. It may count its versions in a way of its own: asked for what came after one
-        of the old address's, it might hold back the list. So it is asked for all."""
+        """Use another address of discovery. It may number its versions differently: if asked for the changes since a
+        version of the old address, it might not send the list. So the whole list is requested."""
         self.address, self.index = address, 0
         self.generation += 1
 
     def is_current(self, watch: Watch) -> bool:
-        """Whether it is at the present address."""
+        """Whether a watch is at the current address of discovery."""
         return watch.generation == self.generation
 
     @property
     def up_to_date(self) -> bool:
-        """Whether a watch at the present address tells what is in force: the list is no old one."""
-        return any(watch.state is State.OPEN and self.is_current(watch) for watch in self.out)
+        """Whether a watch at the current address is open and delivering lines, so that the list is current."""
+        return any(watch.state is State.OPEN and self.is_current(watch) for watch in self.active)
 
-    def taken_up(self, watch: Watch) -> None:
-        """Answered 200."""
-        watch.state = State.TAKEN_UP
+    def on_accepted(self, watch: Watch) -> None:
+        """Discovery has answered 200."""
+        watch.state = State.ACCEPTED
 
-    def line(self, watch: Watch) -> list[Watch]:
-        """A whole line has come on it; those that close, as it does their work."""
+    def on_line(self, watch: Watch) -> list[Watch]:
+        """A complete line was received. Returns the watches to close, as this one replaces them."""
         watch.state, watch.reported = State.OPEN, False
-        closing = [other for other in self.out if other is not watch and other.generation <= watch.generation]
+        closing = [other for other in self.active if other is not watch and other.generation <= watch.generation]
         self._drop(closing)
         return closing
 
-    def told(self, watch: Watch, index: int) -> None:
-        """It has told a version."""
+    def on_version(self, watch: Watch, index: int) -> None:
+        """A version was received."""
         watch.index = index
         if self.is_current(watch):
             self.index = index
 
-    def doubted(self, watch: Watch) -> bool:
-        """It has said nothing for too long; whether the Pacer hears of that."""
-        watch.state = State.DOUBTED
+    def on_unresponsive(self, watch: Watch) -> bool:
+        """No line was received for too long. Returns whether to report that to the Pacer."""
+        watch.state = State.UNRESPONSIVE
         if watch.reported or not self.is_current(watch):
             return False
         watch.reported = True
         return True
 
-    def ended(self, watch: Watch) -> bool:
-        """It is over; whether the Pacer hears of that. It does not where another one serves on, nor of an address that is
-        left, nor of a call that failed beside a later one, which its schedule counts from."""
-        if watch not in self.out:
+    def on_ended(self, watch: Watch) -> bool:
+        """A call or watch has ended. Returns whether to report that to the Pacer: not if another watch is open, not for a
+        previous address, and not if a later call is pending, since the Pacer's schedule counts from that one."""
+        if watch not in self.active:
             return False
         self._drop([watch])
-        later = watch.state is State.CALLING and any(other.number > watch.number for other in self.out)
+        later = watch.state is State.CALLING and any(other.number > watch.number for other in self.active)
         return self.is_current(watch) and not watch.reported and not self.up_to_date and not later
 
-    def _drop(self, gone: list[Watch]) -> None:
-        self.out = [watch for watch in self.out if watch not in gone]
+    def _drop(self, dropped: list[Watch]) -> None:
+        self.active = [watch for watch in self.active if watch not in dropped]
 
 
 @dataclass(slots=True)
-class Patience:
-    """Until when a call may say nothing, in seconds of the caller's clock."""
+class Timeouts:
+    """When a silent call becomes unresponsive and when it ends, in seconds of the caller's clock."""
 
-    end_at: float  # then it is over
-    doubt_at: float | None = None  # then another call is made beside it; None: not while it waits to be taken up
-    _heard_at: float = 0.0
+    end_at: float  # then it ends
+    unresponsive_at: float | None = None  # then another call is made in parallel; None: not answered yet
+    _last_line_at: float = 0.0
 
     @classmethod
-    def begin(cls, now: float) -> Patience:
-        """A call has just been made."""
-        return cls(now + ANSWER_TIME)
-
-    def taken_up(self, now: float, all_asked_for: bool) -> None:
-        """Answered 200: the whole list follows at once, changes when there are any."""
-        self.line(now)
-        if all_asked_for:
-            self.doubt_at = now + FIRST_LINE
-
-    def line(self, now: float) -> None:
-        """A whole line has come. A byte now and then renews nothing: what counts is a whole line."""
-        self._heard_at = now
-        self.doubt_at, self.end_at = now + DOUBT_AFTER, now + SILENCE_TIMEOUT_S
-
-    def unfinished(self, now: float) -> None:
-        """A piece of a line has come, and not its end."""
-        if self.doubt_at is not None:
-            self.doubt_at = min(self._heard_at + DOUBT_AFTER, now + LINE_TIME)
+    def begin(cls, now: float) -> Timeouts:
+        """The timeouts of a new call."""
+        return cls(now + ANSWER_TIMEOUT_S)
+
+    def on_accepted(self, now: float, whole_list_requested: bool) -> None:
+        """Discovery has answered 200. The whole list follows at once, changes only when there are any."""
+        self.on_line(now)
+        if whole_list_requested:
+            self.unresponsive_at = now + FIRST_LINE_TIMEOUT_S
+
+    def on_line(self, now: float) -> None:
+        """A complete line was received. Single bytes do not extend the timeouts, only complete lines do."""
+        self._last_line_at = now
+        self.unresponsive_at, self.end_at = now + UNRESPONSIVE_AFTER_S, now + SILENCE_TIMEOUT_S
+
+    def on_partial_line(self, now: float) -> None:
+        """Part of a line was received, without its end."""
+        if self.unresponsive_at is not None:
+            self.unresponsive_at = min(self._last_line_at + UNRESPONSIVE_AFTER_S, now + LINE_STALL_TIMEOUT_S)
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -1,4 +1,4 @@
-"""A relay whose discovery refuses its calls, over loopback sockets (docs/design/041-crossings.md)."""
+"""A relay whose discovery moves, refuses calls or stalls, over loopback sockets (docs/design/041-crossings.md)."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.sockets import Field, endpoint, listing, until
 
 
-async def test_a_moved_watch_that_is_refused_is_asked_for_in_time_at_each_try(field: Field) -> None:
-    """SIGHUP to an address that is overbooked: among 200 relays the second try came 20 to 40 s later."""
+async def test_after_a_move_each_refused_call_is_repeated_in_time(field: Field) -> None:
+    """After a SIGHUP to an overloaded address, with 200 relays, the second call was made only 20 to 40 s later."""
     field.facts["balancers"] = 200
     await field.start()
     relay = field.relays[0]
     await until(lambda: relay.pacer.started is not None)
-    relay.discovery.subscribe()  # its turn among 200 has come
+    relay.discovery.subscribe()  # as if its slot among 200 relays had come
     await field.platform.next_watch()
     await until(lambda: relay.pacer.asking.subscribed)
     other = ScriptedPlatform()
@@ -38,8 +38,8 @@
     await other.stop()
 
 
-async def moved(field: Field) -> tuple[ScriptedPlatform, Watch]:
-    """A relay with a watch that works, whose discovery has just moved; the new address and the old watch."""
+async def with_moved_discovery(field: Field) -> tuple[ScriptedPlatform, Watch]:
+    """A relay with an open watch whose discovery has just moved. Returns the new platform and the old watch."""
     await field.start()
     old = await field.platform.next_watch()
     old.line("")
@@ -51,14 +51,14 @@
     return other, old
 
 
-async def test_the_old_address_is_listened_to_until_the_new_one_has_told_something(field: Field) -> None:
-    """Its watch was dropped as the configuration came: what it told while the new one refused was missed."""
-    other, old = await moved(field)
+async def test_the_old_address_is_watched_until_the_new_one_has_delivered_a_line(field: Field) -> None:
+    """Its watch was closed when the configuration was read, so changes sent while the new address refused were missed."""
+    other, old = await with_moved_discovery(field)
     (await other.next_call()).answer(503)
     old.line(listing(42, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
-    assert not relay.pacer.asking.subscribed  # the new address is asked on
+    assert not relay.pacer.asking.subscribed  # calls to the new address continue
     watch = await other.next_watch()
     assert watch.call.target.endswith("since=0")
     assert old.call.connection.lost is False
@@ -67,8 +67,8 @@
     await other.stop()
 
 
-async def test_a_call_that_a_move_overtakes_is_answered_all_the_same(field: Field) -> None:
-    """It was dropped: with new configurations in a row no call lived for as long as discovery needs to answer."""
+async def test_a_call_in_progress_during_a_move_can_still_be_answered(field: Field) -> None:
+    """It was cancelled: with several new configurations in a row no call lasted as long as discovery needs to answer."""
     await field.start()
     relay = field.relays[0]
     first = await field.platform.next_call()
@@ -82,37 +82,37 @@
     await other.stop()
 
 
-async def test_a_call_that_gets_no_answer_has_another_beside_it_and_may_still_be_answered(field: Field) -> None:
+async def test_a_call_without_an_answer_gets_a_parallel_call_and_may_still_be_answered(field: Field) -> None:
     await field.start()
     silent = await field.platform.next_call()
-    beside = await field.platform.next_call()
+    parallel = await field.platform.next_call()
     assert silent.connection.lost is False
     silent.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     Watch(silent).line("")
-    await until(lambda: beside.connection.lost)
+    await until(lambda: parallel.connection.lost)
     assert silent.connection.lost is False
 
 
-async def test_a_watch_in_doubt_is_kept_until_another_has_brought_a_line(
+async def test_an_unresponsive_watch_is_kept_until_another_has_delivered_a_line(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watches, "DOUBT_AFTER", 0.05)
+    monkeypatch.setattr(watches, "UNRESPONSIVE_AFTER_S", 0.05)
     monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    beside = await field.platform.next_watch()
+    parallel = await field.platform.next_watch()
     watch.line(listing(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
-    await until(lambda: beside.call.connection.lost)
+    await until(lambda: parallel.call.connection.lost)
 
 
-@pytest.mark.parametrize("begun", ["", '{"index":42,"snapshot":true,"endpoints":['], ids=["no line", "half a line"])
-async def test_a_list_that_stalls_is_asked_for_beside_it(
-    begun: str, field: Field, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("partial", ["", '{"index":42,"snapshot":true,"endpoints":['], ids=["no line", "half a line"])
+async def test_a_stalled_list_is_requested_on_a_parallel_call(
+    partial: str, field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Taken up, and then no list or half of one: it took the whole time of a watch that says nothing."""
-    monkeypatch.setattr(watches, "DOUBT_AFTER", 60.0)
+    """A call was accepted, and then no list or half of it was sent: only the timeout of a silent watch ended that."""
+    monkeypatch.setattr(watches, "UNRESPONSIVE_AFTER_S", 60.0)
     monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     relay = field.relays[0]
@@ -122,22 +122,22 @@
     await other.start()
     relay.reconfigure(dataclasses.replace(relay.config, discovery=Address.parse(other.address)))
     stalled = await other.next_watch()
-    if begun:
-        stalled.call.raw(b"%x\r\n%s\r\n" % (len(begun), begun.encode()))
-    beside = await other.next_watch()
+    if partial:
+        stalled.call.raw(b"%x\r\n%s\r\n" % (len(partial), partial.encode()))
+    parallel = await other.next_watch()
     assert stalled.call.connection.lost is False
-    beside.line(listing(42, endpoint(field.host, status="Terminating"), snapshot=True))
+    parallel.line(listing(42, endpoint(field.host, status="Terminating"), snapshot=True))
     await until(lambda: stalled.call.connection.lost and first.connection.lost)
     await other.stop()
 
 
-async def test_what_cannot_be_read_closes_no_other_watch(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watches, "DOUBT_AFTER", 0.05)
+async def test_a_malformed_line_closes_no_other_watch(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(watches, "UNRESPONSIVE_AFTER_S", 0.05)
     monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 60.0)
     await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
-    beside = await field.platform.next_watch()
-    beside.line("{spoilt}")
-    await until(lambda: beside.call.connection.lost)
+    parallel = await field.platform.next_watch()
+    parallel.line("{malformed}")
+    await until(lambda: parallel.call.connection.lost)
     assert watch.call.connection.lost is False
