--- a/garnetrelay/platform/__init__.py
+++ b/garnetrelay/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform is told."""
+"""Notices to the platform."""
--- a/garnetrelay/platform/notices.py
+++ b/garnetrelay/platform/notices.py
@@ -1,7 +1,7 @@
-"""Tells the platform how messages ended that were not delivered, again and again until it has heard.
+"""Notifies the platform of messages that ended without delivery, and retries until each notice is acknowledged.
 
-One connection, one POST at a time, written in the turn that queued its notices: what is owed by the clock
-does not wait for the loop to come round again.
+One connection, one POST at a time. A POST is written in the same tick that queued its notices, since they have a
+deadline and must not wait for the next tick.
 """
 
 from __future__ import annotations
@@ -17,108 +17,109 @@
 
 log = logging.getLogger(__name__)
 
-# Of the protocol: the platform answers at once, and an end has to be told within 300 ms of a message's time. A connection
-# may have fallen silent since its last POST: half of that is for finding out, the rest for another connection. So no gap
-# between two tries grows over half of it, however many have failed; only an answer is waited for longer, beside them.
-ANSWER_TIME, LONGEST_ANSWER_TIME = 0.12, 1.0  # seconds; longer after each POST without one, if the platform is just slow
-OPEN_TIME = 0.5  # for a connection
-OPEN_BESIDE = 0.12  # behind which another is tried beside it
-FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.12
-MOST_OLDER = 6  # connections whose answer is waited for beside the present one
-MOST_BODY = 60_000  # bytes of one POST: the platform reads 64 KiB
+# By the protocol the platform answers at once, and a notice must arrive within 300 ms of a message's deadline. A
+# connection may have become unresponsive since its last POST: half of the 300 ms is for detecting that, the rest for
+# another connection. So the gap between two attempts never exceeds half of it, however many have failed. Older
+# connections may wait longer for their answers, in parallel.
+ANSWER_TIMEOUT_S, MAX_ANSWER_TIMEOUT_S = 0.12, 1.0  # doubled after each unanswered POST, in case the platform is slow
+CONNECT_TIMEOUT_S = 0.5
+PARALLEL_CONNECT_AFTER_S = 0.12  # then another connection is opened in parallel
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.12
+MAX_OLDER_LINKS = 6  # that still wait for an answer, besides the current one; also limits connections being opened
+MAX_BODY_BYTES = 60_000  # of one POST: the platform reads 64 KiB
 
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
 
 class Link(asyncio.Protocol):
-    """A connection to the platform, and the POST on it that has no answer yet."""
+    """A connection to the platform, and the unanswered POST on it."""
 
     def __init__(self, notices: Notices, address: Address) -> None:
         self.notices = notices
         self.address = address
         self.reader = AnswerReader()
-        self.out: list[str] = []  # what that POST holds, by ref
-        self.until: asyncio.TimerHandle | None = None  # of one beside the present: for how long it is listened to
+        self.unacknowledged: list[str] = []  # the refs in that POST
+        self.expiry: asyncio.TimerHandle | None = None  # of an older link: when it stops waiting for its answer
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop: requests may be written."""
+        """Called by the loop when requests may be written."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; the notices hear of an answer once it is whole or spoilt (status 0)."""
+        """Feed the parser; report an answer once it is complete or malformed (status 0)."""
         self.reader.feed(data)
         if self.reader.complete or self.reader.broken:
             self.notices.on_answer(self, self.reader.status if self.reader.complete else 0, self.reader.keep)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the loop, also after our own abort: the notices hear of it."""
+        """Called by the loop, also after a local abort."""
         self.notices.on_lost(self)
         self.reader.close()
 
     def post(self, request: bytes) -> None:
-        """Write one request; the parser begins a new answer."""
+        """Write one request and reset the parser for its answer."""
         self.reader.begin()
         if self.transport is not None:
             self.transport.write(request)
 
-    def drop(self) -> None:
-        """Abort the connection; what it still brings is not parsed."""
-        if self.until is not None:
-            self.until.cancel()
+    def abort(self) -> None:
+        """Abort the connection; anything still received on it is not parsed."""
+        if self.expiry is not None:
+            self.expiry.cancel()
         self.reader.close()
         if self.transport is not None:
             self.transport.abort()
 
 
 class Notices:
-    """A queue of notices and the connection they go out on. ``on_told`` hears of each that arrived.
+    """A queue of notices and the connection that sends them. ``on_acknowledged`` is called with the ref of each.
 
-    A POST without an answer is made again on another connection, and the answer to it is waited for beside that one.
-    Where the platform has moved, its old address is tried as well until the new one has answered."""
+    A POST without an answer is repeated on another connection, while the first one still waits for its answer. After
+    the platform has moved, its previous address is tried as well until the new one has answered."""
 
-    def __init__(self, address: Address, on_told: Callable[[str], None]) -> None:
+    def __init__(self, address: Address, on_acknowledged: Callable[[str], None]) -> None:
         self.address = address
-        self.on_told = on_told
+        self.on_acknowledged = on_acknowledged
         self.queue: dict[str, bytes] = {}
-        self.alone = False  # a batch was not understood: one at a time finds the culprit
-        self.pause = FIRST_PAUSE
-        self.patience = ANSWER_TIME
-        self.link: Link | None = None  # the present one
-        self.older: list[Link] = []  # those that still may bring an answer
+        self.one_at_a_time = False  # the platform rejected a batch: sending single notices finds the invalid one
+        self.backoff_s = MIN_BACKOFF_S
+        self.answer_timeout_s = ANSWER_TIMEOUT_S
+        self.link: Link | None = None  # the current one
+        self.older: list[Link] = []  # links that may still deliver an answer
         self.opening: dict[asyncio.Task[Link], None] = {}
-        self.timer: asyncio.TimerHandle | None = None  # for an answer, or until the next try
+        self.timer: asyncio.TimerHandle | None = None  # for an answer, a connection or the next attempt
         self.closed = False
-        self._left: Address | None = None  # the address before a move, until the present one has answered
-        self._try_left = False  # the next connection goes there
+        self._previous_address: Address | None = None  # before a move, until the current address has answered
+        self._use_previous_address = False  # for the next connection
 
     def close(self) -> None:
-        """Send nothing any more; what is not acknowledged stays with the caller's journal."""
+        """Stop sending; unacknowledged notices remain in the caller's journal."""
         self.closed = True
         self._stop_timer()
-        self._stop_opening()
+        self._cancel_opening()
         for link in [*self.older, *([self.link] if self.link is not None else [])]:
-            link.drop()
+            link.abort()
         self.older, self.link = [], None
 
     def move(self, address: Address) -> None:
-        """Tell another address from now on, also what the old one has not acknowledged yet."""
-        self._left, self._try_left, self.address = self.address, False, address
-        self.pause, self.patience = FIRST_PAUSE, ANSWER_TIME  # they are of the old one
+        """Send to another address from now on, including notices that the old one has not acknowledged."""
+        self._previous_address, self._use_previous_address, self.address = self.address, False, address
+        self.backoff_s, self.answer_timeout_s = MIN_BACKOFF_S, ANSWER_TIMEOUT_S  # failures there do not count here
         self._stop_timer()
-        self._stop_opening()
-        self._set_aside(LONGEST_ANSWER_TIME)
+        self._cancel_opening()
+        self._retire_link(MAX_ANSWER_TIMEOUT_S)
         self.send()
 
     def add(self, ref: str, result: str, wait_ms: int) -> None:
-        """Queue a notice; it stays until it is acknowledged. ``send`` is what lets it go."""
+        """Queue a notice until it is acknowledged; ``send`` posts it."""
         notice: dict[str, str | int] = {"ref": ref, "result": result}
         if wait_ms:
             notice["wait_ms"] = wait_ms
         self.queue[ref] = _encode(notice).encode()
 
     def send(self) -> None:
-        """Post what is queued, unless a POST is out or one has just failed."""
+        """Post the queue, unless a POST is unanswered or one has just failed."""
         if not self.queue or self.timer is not None or self.closed:
             return
         if self.link is None:
@@ -128,148 +129,150 @@
         size = 0
         for ref, line in self.queue.items():
             size += len(line) + 1
-            if lines and (self.alone or size > MOST_BODY):
+            if lines and (self.one_at_a_time or size > MAX_BODY_BYTES):
                 break
             lines.append(line)
-            self.link.out.append(ref)
+            self.link.unacknowledged.append(ref)
         body = b"\n".join(lines) + b"\n"
         self.link.post(
             b"POST /v1/notices HTTP/1.1\r\nHost: %s\r\nContent-Type: application/x-ndjson\r\n"
             b"Content-Length: %d\r\n\r\n" % (str(self.link.address).encode(), len(body)) + body
         )
-        self.timer = asyncio.get_running_loop().call_later(ANSWER_TIME, self._overdue)
+        self.timer = asyncio.get_running_loop().call_later(ANSWER_TIMEOUT_S, self._on_answer_overdue)
 
     # ---- connections
 
     def _open(self) -> None:
-        """A new connection; another is tried beside it if it does not come up soon."""
+        """Open a connection, and another in parallel if it is not established soon."""
         loop = asyncio.get_running_loop()
-        while len(self.opening) >= MOST_OLDER:
+        while len(self.opening) >= MAX_OLDER_LINKS:
             oldest = next(iter(self.opening))
             del self.opening[oldest]
             oldest.cancel()
-        address = self._left if self._try_left and self._left is not None else self.address
+        address = (
+            self._previous_address if self._use_previous_address and self._previous_address is not None else self.address
+        )
         task = loop.create_task(self._connect(address))
         self.opening[task] = None
-        task.add_done_callback(self._opened)
-        self.timer = loop.call_later(OPEN_BESIDE, self._open_beside)
+        task.add_done_callback(self._on_connect_done)
+        self.timer = loop.call_later(PARALLEL_CONNECT_AFTER_S, self._open_parallel)
 
     async def _connect(self, address: Address) -> Link:
-        async with asyncio.timeout(OPEN_TIME):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, link = await asyncio.get_running_loop().create_connection(
                 lambda: Link(self, address), address.host, address.port
             )
         return link
 
-    def _open_beside(self) -> None:
+    def _open_parallel(self) -> None:
         self.timer = None
-        self._try_left = not self._try_left
+        self._use_previous_address = not self._use_previous_address
         self.send()
 
-    def _opened(self, task: asyncio.Task[Link]) -> None:
+    def _on_connect_done(self, task: asyncio.Task[Link]) -> None:
         wanted = self.opening.pop(task, task) is None
         error = None if task.cancelled() else task.exception()
         if not wanted or task.cancelled():
             if not task.cancelled() and error is None:
-                task.result().drop()  # it came up as it was called off
+                task.result().abort()  # established just as it was cancelled
             return
         if error is None:
             self._stop_timer()
-            self._stop_opening()
+            self._cancel_opening()
             self.link = task.result()
             self.send()
         elif not isinstance(error, OSError | TimeoutError):
             log.error("notices: the connection could not be opened", exc_info=error)
-            self._failed(type(error).__name__)
+            self._on_failure(type(error).__name__)
         elif not self.opening:
-            self._failed(str(error) or type(error).__name__)
+            self._on_failure(str(error) or type(error).__name__)
 
-    def _stop_opening(self) -> None:
+    def _cancel_opening(self) -> None:
         opening, self.opening = self.opening, {}
         for task in opening:
             task.cancel()
 
-    def _set_aside(self, time: float) -> None:
-        """The present link is no longer used; an answer that is out on it is waited for."""
+    def _retire_link(self, wait_s: float) -> None:
+        """Stop using the current link, but wait up to ``wait_s`` for an answer that is outstanding on it."""
         link, self.link = self.link, None
         if link is None:
             return
-        if not link.out or time <= 0:
-            link.drop()
+        if not link.unacknowledged or wait_s <= 0:
+            link.abort()
             return
-        link.until = asyncio.get_running_loop().call_later(time, self._give_up, link)
+        link.expiry = asyncio.get_running_loop().call_later(wait_s, self._abort_older, link)
         self.older.append(link)
-        while len(self.older) > MOST_OLDER:
-            self._give_up(self.older[0])
+        while len(self.older) > MAX_OLDER_LINKS:
+            self._abort_older(self.older[0])
 
-    def _give_up(self, link: Link) -> None:
+    def _abort_older(self, link: Link) -> None:
         if link in self.older:
             self.older.remove(link)
-        link.drop()
+        link.abort()
 
     # ---- answers
 
     def on_answer(self, link: Link, status: int, keep: bool) -> None:
-        """A POST is answered; 0: by what can't be read."""
-        if not link.out or link is not self.link and link not in self.older:
+        """A POST is answered. Status 0: the answer is malformed."""
+        if not link.unacknowledged or link is not self.link and link not in self.older:
             return
-        told, link.out = link.out, []
-        present = link is self.link
-        if status == 204 or status == 400 and len(told) == 1:
-            self._acknowledged(link, told, status)
-        elif status == 400 and present:
-            self.alone = True
+        refs, link.unacknowledged = link.unacknowledged, []
+        is_current = link is self.link
+        if status == 204 or status == 400 and len(refs) == 1:
+            self._acknowledge(link, refs, status)
+        elif status == 400 and is_current:
+            self.one_at_a_time = True
             self._stop_timer()
-        elif present:
-            self._failed(f"answered {status}" if status else "the answer can't be read")
+        elif is_current:
+            self._on_failure(f"answered {status}" if status else "malformed answer")
             return
-        if not present:
-            self._give_up(link)
+        if not is_current:
+            self._abort_older(link)
         elif not keep or link.address != self.address:
-            self._set_aside(0)
-        if present:
+            self._retire_link(0)
+        if is_current:
             self.send()
 
-    def _acknowledged(self, link: Link, refs: list[str], status: int) -> None:
-        self.alone, self.pause, self.patience = False, FIRST_PAUSE, ANSWER_TIME
-        self._try_left = False
+    def _acknowledge(self, link: Link, refs: list[str], status: int) -> None:
+        self.one_at_a_time, self.backoff_s, self.answer_timeout_s = False, MIN_BACKOFF_S, ANSWER_TIMEOUT_S
+        self._use_previous_address = False
         if link.address == self.address:
-            self._left = None
+            self._previous_address = None
         if link is self.link:
             self._stop_timer()
         for ref in refs:
-            notice = self.queue.pop(ref, None)  # None: an answer beside this one has told it
+            notice = self.queue.pop(ref, None)  # None: acknowledged by an answer on another link
             if notice is not None and status == 400:
-                log.error("the platform can't read this notice, it is dropped: %s", notice)
+                log.error("the platform rejected this notice with 400, it is discarded: %s", notice)
             if notice is not None:
-                self.on_told(ref)
+                self.on_acknowledged(ref)
 
     def on_lost(self, link: Link) -> None:
-        """A link is gone: with a request on it, the notices in that request are sent again."""
+        """A link is closed. If a POST was unanswered on it, its notices are sent again."""
         if link in self.older:
-            self._give_up(link)
+            self._abort_older(link)
         elif link is self.link:
             self.link = None
-            if link.out:
-                self._failed("closed without an answer")
-
-    def _overdue(self) -> None:
-        """No answer yet: try on another connection, and listen to this one for the rest of its time."""
-        listen = self.patience - ANSWER_TIME
-        self.patience = min(2 * self.patience, LONGEST_ANSWER_TIME)
-        self._failed("no answer in time", listen)
-
-    def _failed(self, why: str, listen: float = 0.0) -> None:
-        """Try again on another connection, after a pause that grows."""
-        log.warning("notices not taken: %s, %d wait, tried again in %.2f s", why, len(self.queue), self.pause)
+            if link.unacknowledged:
+                self._on_failure("closed without an answer")
+
+    def _on_answer_overdue(self) -> None:
+        """No answer yet: retry on another connection, and wait for this one's answer until its timeout."""
+        wait_s = self.answer_timeout_s - ANSWER_TIMEOUT_S
+        self.answer_timeout_s = min(2 * self.answer_timeout_s, MAX_ANSWER_TIMEOUT_S)
+        self._on_failure("no answer in time", wait_s)
+
+    def _on_failure(self, why: str, wait_s: float = 0.0) -> None:
+        """Retry on another connection after the backoff, which grows."""
+        log.warning("notices not taken: %s, %d pending, retry in %.2f s", why, len(self.queue), self.backoff_s)
         self._stop_timer()
-        self._stop_opening()
-        self._set_aside(listen)
-        self._try_left = not self._try_left
-        self.timer = asyncio.get_running_loop().call_later(self.pause, self._again)
-        self.pause = min(2 * self.pause, LONGEST_PAUSE)
+        self._cancel_opening()
+        self._retire_link(wait_s)
+        self._use_previous_address = not self._use_previous_address
+        self.timer = asyncio.get_running_loop().call_later(self.backoff_s, self._retry)
+        self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
 
-    def _again(self) -> None:
+    def _retry(self) -> None:
         self.timer = None
         self.send()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -671,7 +671,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Finding out takes no longer than half of the 300 ms in which an end has to be told."""
-    assert 2 * (notices.ANSWER_TIME + notices.FIRST_PAUSE) <= 0.3
+    assert 2 * (notices.ANSWER_TIMEOUT_S + notices.MIN_BACKOFF_S) <= 0.3
     client = await field.start()
     take = field.platform.take
     silent: list[Any] = []
@@ -697,11 +697,11 @@
     await field.start()
     relay = field.relays[0]
     waits: list[float] = []
-    monkeypatch.setattr(field.platform, "handler", lambda call: waits.append(relay.notices.patience))
+    monkeypatch.setattr(field.platform, "handler", lambda call: waits.append(relay.notices.answer_timeout_s))
     relay.notices.add("m1", "dead", 0)
     relay.notices.send()
     await until(lambda: len(waits) == 3)
-    assert waits == [notices.ANSWER_TIME, 2 * notices.ANSWER_TIME, 4 * notices.ANSWER_TIME]
+    assert waits == [notices.ANSWER_TIMEOUT_S, 2 * notices.ANSWER_TIMEOUT_S, 4 * notices.ANSWER_TIMEOUT_S]
 
 
 async def test_a_notice_that_the_platform_can_not_read_keeps_no_other_back(
