--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Pairs of events that cross, each forced by a gate on a stand-in or by an event (docs/design/041-crossings.md)."""
+"""Race conditions, each forced by an event or by delaying a replaced function (docs/design/041-crossings.md)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from garnetrelay.delivery.http.answers import Outcome
 from garnetrelay.discovery import host_list, watches
 from garnetrelay.discovery.host_list import ObjectSplitter, UnreadableListError
-from garnetrelay.fronts.resp import server as clients
+from garnetrelay.fronts.resp import server as resp_server
 from garnetrelay.handover.channel import Door
 from garnetrelay.handover.protocol import VERSION, Hello
 from garnetrelay.platform import notices
@@ -38,11 +38,11 @@
     return bytes(hiredis.pack_command(words))
 
 
-# ---- watches and lists
+# ---- watches and the list of hosts
 
 
-async def test_a_pushed_list_whose_watch_ended_is_watched_anew(field: Field) -> None:
-    """Where changes come by themselves nobody asks for them: a watch that ended stayed ended."""
+async def test_a_watch_with_pushed_changes_is_reopened_after_it_ended(field: Field) -> None:
+    """If discovery pushes changes, the relay does not poll for them, and a watch that ended was never reopened."""
     field.facts["discovery"] = "automatic"
     await field.start()
     watch = await field.platform.next_watch()
@@ -54,14 +54,14 @@
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
-async def test_a_watch_that_broke_is_opened_anew_within_a_second_among_200_relays(field: Field) -> None:
-    """What it misses counts as told 6 s after it fell silent. The gaps of a crowded discovery (20 to 40 s among 200)
-    are for watches that were not taken up."""
+async def test_a_broken_watch_is_reopened_within_a_second_among_200_relays(field: Field) -> None:
+    """A change that it misses counts as received 6 s after it became silent. The long gaps that spread the load on
+    discovery (20 to 40 s among 200 relays) apply only to watches that were not accepted."""
     field.facts["balancers"] = 200
     await field.start()
     relay = field.relays[0]
     await until(lambda: relay.pacer.asking.ask_at < relay.pacer.now + 21 * 10**9)
-    relay.discovery.subscribe()  # its turn among 200 has come
+    relay.discovery.subscribe()  # as if its slot among 200 relays had come
     watch = await field.platform.next_watch()
     await until(lambda: relay.pacer.asking.subscribed)
     watch.call.break_off()
@@ -70,23 +70,25 @@
     await field.platform.next_watch()
 
 
-async def test_bytes_that_make_no_line_do_not_keep_a_watch_alive(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A trickle of bytes from a service that is stuck renewed its patience for ever."""
+async def test_bytes_without_a_complete_line_do_not_keep_a_watch_open(
+    field: Field, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Single bytes from a service that hangs extended the watch's timeout without limit."""
     monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
     watch = await field.platform.next_watch()
 
-    async def trickle() -> None:
+    async def send_single_bytes() -> None:
         while True:
             watch.call.raw(b"1\r\n \r\n")
             await asyncio.sleep(0)
 
-    dripping = asyncio.create_task(trickle())
+    sending = asyncio.create_task(send_single_bytes())
     await field.platform.next_watch()
-    dripping.cancel()
+    sending.cancel()
 
 
-async def test_an_indented_list_is_read(field: Field) -> None:
+async def test_an_indented_list_is_parsed(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
     watch.line(json.dumps(json.loads(listing(42, endpoint(field.host, status="Terminating"))), indent=2))
@@ -96,7 +98,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
-def test_objects_come_out_of_any_pieces(size: int) -> None:
+def test_objects_are_split_alike_for_any_chunk_size(size: int) -> None:
     versions = [{"index": n, "endpoints": [{"name": f'q"}}]{{\\{n}', "weight": [1, {}]}]} for n in range(4)]
     texts = [
         json.dumps(versions[0]),
@@ -105,27 +107,27 @@
         json.dumps(versions[2], indent=0),
         json.dumps(versions[3]),
     ]
-    data, lines = "".join(f"{text}\n" for text in texts).encode(), ObjectSplitter()
-    found = [one for at in range(0, len(data), size) for one in lines.feed(data[at : at + size])]
+    data, splitter = "".join(f"{text}\n" for text in texts).encode(), ObjectSplitter()
+    found = [one for at in range(0, len(data), size) for one in splitter.feed(data[at : at + size])]
     assert found.count(None) == 1 and [json.loads(one) for one in found if one is not None] == versions
 
 
-def test_an_object_without_an_end_takes_no_later_version_with_it_and_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = ObjectSplitter()
-    whole = listing(8).encode()
-    assert lines.feed(b'{"index":7,"endpoints":[\n' + whole + b"\n") == [b'{"index":7,"endpoints":[', whole]
+def test_an_unfinished_object_hides_no_later_version_and_is_limited_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
+    splitter = ObjectSplitter()
+    complete = listing(8).encode()
+    assert splitter.feed(b'{"index":7,"endpoints":[\n' + complete + b"\n") == [b'{"index":7,"endpoints":[', complete]
     monkeypatch.setattr(host_list, "MAX_VERSION_BYTES", 100)
     with pytest.raises(UnreadableListError):
-        lines.feed(b'{"index":9,"endpoints":[\n' + b" 1,\n" * 40)
+        splitter.feed(b'{"index":9,"endpoints":[\n' + b" 1,\n" * 40)
 
 
-async def test_what_could_not_be_read_is_asked_for_though_a_later_line_can(field: Field) -> None:
-    """The later line moved the version on: the hole, a drain perhaps, was never asked for."""
+async def test_a_malformed_version_is_requested_again_although_a_later_line_is_valid(field: Field) -> None:
+    """The later line advanced the version, so the missing change, such as a drain, was never requested."""
     await field.start()
     watch = await field.platform.next_watch()
     watch.line(listing(42))
     await until(lambda: field.relays[0].discovery.index == 42)
-    watch.line("{spoilt}")
+    watch.line("{malformed}")
     watch.line(listing(44))
     again = await field.platform.next_watch()
     assert again.call.target.endswith("since=42")
@@ -133,19 +135,19 @@
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
-async def test_a_drain_in_a_version_that_can_not_be_read_whole_is_kept(field: Field) -> None:
-    """One entry of a zone that nobody knows made all others of its version unread."""
+async def test_a_drain_in_a_partly_malformed_version_is_applied(field: Field) -> None:
+    """One entry with an unknown zone caused all other entries of its version to be ignored."""
     await field.start()
-    spoilt = {**endpoint(field.host, "s-9"), "zone": "nowhere"}
+    malformed = {**endpoint(field.host, "s-9"), "zone": "nowhere"}
     for _ in range(2):
         watch = await field.platform.next_watch()
-        watch.line(listing(42, spoilt, endpoint(field.host, status="Terminating")))
+        watch.line(listing(42, malformed, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     assert relay.discovery.index == 41 and "s-9" not in relay.listed
 
 
-async def test_an_old_version_behind_a_newer_one_takes_nothing_back(field: Field) -> None:
+async def test_an_old_version_after_a_newer_one_undoes_nothing(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
     watch.line(listing(43, endpoint(field.host, status="Terminating")))
@@ -155,8 +157,8 @@
     assert not field.relays[0].pacer.hosts["s-1"][1].usable
 
 
-async def test_a_destination_that_only_an_old_list_lacks_is_no_failure(field: Field) -> None:
-    """A failure is for good; the destination may be one that came while this relay was down."""
+async def test_a_destination_missing_from_an_outdated_list_is_no_failure(field: Field) -> None:
+    """A failure is final, but the destination may have been added while this relay was down."""
     client = await field.start()
     assert await client.enqueue("m1", dest=4) == "BUSY"
     watch = await field.platform.next_watch()
@@ -165,23 +167,23 @@
     assert await client.enqueue("m2", dest=4) == b"OK"
 
 
-async def test_a_destination_that_came_while_the_watch_is_broken_is_no_failure(field: Field) -> None:
-    """The list was fresh, and is old again since its watch ended: it may lack what its clients know already."""
+async def test_a_destination_added_while_the_watch_is_broken_is_no_failure(field: Field) -> None:
+    """The list is outdated once its watch has ended: it may lack a destination that clients already know."""
     client = await field.start()
     watch = await field.platform.next_watch()
     watch.line("")
     await until(lambda: field.relays[0].discovery.up_to_date)
     assert str(await client.enqueue("m1", dest=4)).startswith("ERR unknown destination")
     watch.call.break_off()
-    again = await field.platform.next_watch()  # opened, and nothing has come on it
+    again = await field.platform.next_watch()  # accepted, and no line received yet
     assert await client.enqueue("m2", dest=4) == "BUSY"
     again.line(listing(42, {**endpoint(field.host, "s-4"), "group": 4}))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("m3", dest=4) == b"OK"
 
 
-async def test_a_new_configuration_opens_no_watch_for_a_relay_that_has_passed_on(field: Field) -> None:
-    """SIGHUP comes to a process whose relay is another's by now: what it asked for nobody would read."""
+async def test_a_new_configuration_opens_no_watch_after_a_handover(field: Field) -> None:
+    """SIGHUP reaches a process that has handed over its relay: nobody would read the answer to its call."""
     await field.start()
     relay = field.relays[0]
     await field.platform.next_watch()
@@ -196,25 +198,25 @@
 # ---- clients
 
 
-async def test_a_client_that_ends_its_sending_behind_a_request_still_hears_its_answer(field: Field) -> None:
+async def test_a_client_that_half_closes_after_a_request_still_receives_its_answer(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
-    turn = relay._turn_soon
-    relay._turn_soon = lambda: None  # type: ignore[method-assign]  # the turn waits: the end of its sending comes first
+    original = relay._turn_soon
+    relay._turn_soon = lambda: None  # type: ignore[method-assign]  # delay the tick, so that the EOF is handled first
     client.writer.write(enqueue("m1"))
     client.writer.write_eof()
     await until(lambda: bool(relay.newcomers))
     (connection,) = relay.server.connections
     await until(lambda: connection.at_eof)
-    relay._turn_soon = turn  # type: ignore[method-assign]
+    relay._turn_soon = original  # type: ignore[method-assign]
     relay.turn()
     assert await client.read() == b"OK" and await client.read() is None
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held and not field.relays[0].server.connections)
 
 
-async def test_a_request_whose_last_millisecond_has_passed_on_the_way_is_refused_and_not_failed(field: Field) -> None:
-    """Its time is told in whole milliseconds: what is left of one is none. A failure would be for good."""
+async def test_a_request_whose_last_millisecond_passed_in_transit_is_refused_and_not_failed(field: Field) -> None:
+    """The deadline is sent in whole milliseconds, so less than one becomes 0. A failure would be final."""
     client = await field.start()
     assert await client.enqueue("m1", d=0) == "BUSY"
     assert not field.relays[0].held and field.relays[0].counts.refused["safe"] == 1
@@ -223,12 +225,12 @@
 # ---- shutdown
 
 
-async def test_connections_in_the_listeners_queue_are_served_before_it_closes(field: Field) -> None:
-    """The loop has not come to them when the drain begins: a close of the listener would reset them."""
+async def test_connections_in_the_listen_queue_are_served_before_the_listener_closes(field: Field) -> None:
+    """They are not accepted yet when the drain begins; closing the listener would reset them."""
     await field.start()
     relay = field.relays[0]
     waiting = []
-    for n in range(40):  # more than are taken up in one round
+    for n in range(40):  # more than are accepted in one tick
         one = socket.create_connection(("127.0.0.1", field.port))
         one.sendall(enqueue(f"m{n}"))
         waiting.append(one)
@@ -241,26 +243,26 @@
     await until(lambda: not relay.server.connections and not relay.server.listening)
 
 
-def queued(server: clients.Server) -> None:
-    """Until a connection lies in the listener's queue: its client may know of it a moment sooner. No round of the loop
-    runs meanwhile, so it is not taken up yet."""
+def wait_until_queued(server: resp_server.Server) -> None:
+    """Block until a connection is in the listen queue, since its client may know of it a moment sooner. No tick of the
+    loop runs meanwhile, so it is not accepted yet."""
     assert server._server is not None
     end = time.monotonic() + PATIENCE
     while not readable(server._server.sockets[0]):
         assert time.monotonic() < end
 
 
-async def test_a_connection_that_is_taken_up_in_the_round_that_closes_the_listener_is_served(field: Field) -> None:
-    """asyncio makes a transport of it one round later, and can't for a listener that is closed by then: the queue was
-    empty, and the connection was reset all the same, with its request."""
-    first = await field.start()  # held: dropped, it would close
+async def test_a_connection_accepted_in_the_tick_that_closes_the_listener_is_served(field: Field) -> None:
+    """asyncio creates the transport one tick later, and cannot if the listener is closed by then: the queue was empty,
+    and yet the connection was reset and its request lost."""
+    first = await field.start()  # kept referenced: the connection closes when collected
     relay = field.relays[0]
     await until(lambda: len(relay.server.connections) == 1)
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1"))
-    queued(relay.server)
+    wait_until_queued(relay.server)
     loop = asyncio.get_running_loop()
-    loop.call_at(loop.time(), relay.server._stop_when_queue_empty, 1)  # a round reads sockets first, then come its timers
+    loop.call_at(loop.time(), relay.server._stop_when_queue_empty, 1)  # a tick reads sockets before timers
     client.setblocking(False)
     async with asyncio.timeout(PATIENCE):
         assert await loop.sock_recv(client, 100) == b"+OK\r\n"
@@ -269,16 +271,16 @@
     first.writer.close()
 
 
-async def test_a_connection_that_comes_in_the_rounds_up_to_the_listeners_close_is_served(field: Field) -> None:
-    """What was taken up is waited for, and in that time another comes."""
-    first = await field.start()  # held: dropped, it would close
+async def test_a_connection_that_arrives_in_the_ticks_before_the_listener_closes_is_served(field: Field) -> None:
+    """The close waits for accepted connections, and another arrives in that time."""
+    first = await field.start()  # kept referenced: the connection closes when collected
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
     server._stop_accepting()
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1"))
-    queued(server)
-    server._close_after_ticks(clients.ACCEPT_TICKS)
+    wait_until_queued(server)
+    server._close_after_ticks(resp_server.ACCEPT_TICKS)
     await until(lambda: not server.listening)
     client.setblocking(False)
     async with asyncio.timeout(PATIENCE):
@@ -287,15 +289,15 @@
     first.writer.close()
 
 
-async def test_a_connection_that_is_taken_up_in_the_round_of_the_last_turn_is_not_reset_with_its_listener(
+async def test_a_connection_accepted_in_the_tick_in_which_the_server_ends_is_not_reset_with_the_listener(
     field: Field,
 ) -> None:
-    first = await field.start()  # held: dropped, it would close
+    first = await field.start()  # kept referenced: the connection closes when collected
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1"))
-    queued(server)
+    wait_until_queued(server)
     loop = asyncio.get_running_loop()
     loop.call_at(loop.time(), server.end)
     client.setblocking(False)
@@ -305,61 +307,61 @@
     first.writer.close()
 
 
-async def test_a_connection_that_is_taken_up_as_a_relay_passes_on_passes_too(field: Field) -> None:
-    first = await field.start()  # held: dropped, it would close
+async def test_a_connection_accepted_as_the_handover_begins_is_handed_over_too(field: Field) -> None:
+    first = await field.start()  # kept referenced: the connection closes when collected
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1")[:30])
-    queued(server)
+    wait_until_queued(server)
     loop = asyncio.get_running_loop()
-    passing: asyncio.Future[list[clients.Connection]] = loop.create_future()
+    handed_over: asyncio.Future[list[resp_server.Connection]] = loop.create_future()
 
-    async def give() -> None:
+    async def hand_over() -> None:
         listener = await server.stop_listening()
         listener.close()
-        passing.set_result(server.connections_to_hand_over())
+        handed_over.set_result(server.connections_to_hand_over())
 
-    loop.call_at(loop.time(), lambda: giving.append(loop.create_task(give())))
-    giving: list[asyncio.Task[None]] = []
+    loop.call_at(loop.time(), lambda: tasks.append(loop.create_task(hand_over())))
+    tasks: list[asyncio.Task[None]] = []
     async with asyncio.timeout(PATIENCE):
-        assert len(await passing) == 2
+        assert len(await handed_over) == 2
     client.close()
     first.writer.close()
 
 
-async def test_a_request_that_crosses_a_draining_relays_close_does_not_take_the_answer_back(
+async def test_a_request_sent_during_a_draining_relays_close_does_not_lose_the_previous_answer(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The client has not read its answer yet, and sends on. Bytes unread at a close make a reset of it, which throws
-    away what the client has not read."""
+    """The client sends another request before it has read its answer. Closing a connection with unread bytes sends a
+    reset, which discards data that the client has not read."""
     await field.start()
     relay = field.relays[0]
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(hiredis.pack_command(("PING",)))
     await until(lambda: bool(relay.server.idle))
     (connection,) = relay.server.connections
-    found = vars(clients.Connection)["between_requests"]
+    original = vars(resp_server.Connection)["between_requests"]
 
-    def crossed(one: clients.Connection) -> bool:
-        clear = found.fget(one)
-        client.sendall(enqueue("m1"))  # behind the look, ahead of the close
-        return bool(clear)
+    def checked_before_request(one: resp_server.Connection) -> bool:
+        result = original.fget(one)
+        client.sendall(enqueue("m1"))  # after the check, before the close
+        return bool(result)
 
-    monkeypatch.setattr(clients.Connection, "between_requests", property(crossed))
+    monkeypatch.setattr(resp_server.Connection, "between_requests", property(checked_before_request))
     relay.server.drain()
     await until(lambda: connection.closing)
     assert connection.transport is not None
-    ours = connection.transport.get_extra_info("socket")
-    await until(lambda: readable(ours))
+    relay_socket = connection.transport.get_extra_info("socket")
+    await until(lambda: readable(relay_socket))
     for _ in range(20):
         await asyncio.sleep(0)
-    assert readable(ours)  # what crossed is not read: a request that was read is owed an answer
+    assert readable(relay_socket)  # the second request stays unread: one that is read must be answered
     await until(lambda: readable(client))
     answers = b""
     client.settimeout(PATIENCE)
-    while piece := client.recv(100):
-        answers += piece
+    while chunk := client.recv(100):
+        answers += chunk
     assert answers == b"+PONG\r\n" and not relay.held
     client.close()
     await until(lambda: not relay.server.connections)
@@ -371,7 +373,7 @@
     return bool(poll.poll(0))
 
 
-async def test_a_stopping_relay_does_not_end_while_a_request_is_half_way_in(field: Field) -> None:
+async def test_a_stopping_relay_does_not_end_while_a_request_is_half_received(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
     command = enqueue("m1")
@@ -389,20 +391,20 @@
     assert not relay.held
 
 
-async def test_a_stopping_relay_does_not_end_ahead_of_a_turn_that_is_due(field: Field) -> None:
-    """A request has come, and its turn has not: nothing is held yet."""
+async def test_a_stopping_relay_does_not_end_before_a_tick_that_is_due(field: Field) -> None:
+    """A request was received, and the tick that accepts it has not run: no message is pending yet."""
     client = await field.start()
     relay = field.relays[0]
     handler = relay.server.handler
     ended = []
 
-    def asked(request: clients.Request, reply: clients.Reply) -> None:
+    def handle(request: resp_server.Request, reply: resp_server.Reply) -> None:
         handler(request, reply)
-        relay.server.draining = True  # it drains just now
+        relay.server.draining = True  # the drain begins now
         relay._end_if_idle()
         ended.append(relay.finished.is_set())
 
-    relay.server.handler = asked
+    relay.server.handler = handle
     client.writer.write(enqueue("m1"))
     assert await client.read() == b"OK" and ended == [False]
     client.writer.close()
@@ -413,13 +415,13 @@
     assert not relay.held
 
 
-async def test_a_request_that_is_read_as_the_time_of_a_stopping_relay_ends_is_answered_and_kept(
+async def test_a_request_read_just_before_a_stopping_relays_time_limit_is_answered_and_kept(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its turn has not come, and the 3 s are over: it was read, and the relay ended without a word of it."""
+    """The 3 s were over before the tick that handles it, and the relay ended without an answer or a record."""
     client = await field.start()
     relay = field.relays[0]
-    monkeypatch.setattr(relay, "_turn_soon", lambda: None)  # no turn comes in time
+    monkeypatch.setattr(relay, "_turn_soon", lambda: None)  # no tick runs in time
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(relay.newcomers))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
@@ -432,49 +434,50 @@
     kept.close()
 
 
-async def test_what_comes_behind_a_stopping_relays_last_turn_stays_unread(
+async def test_a_request_after_a_stopping_relays_last_tick_stays_unread(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end takes a few rounds of the loop. What they read was answered by nobody: unread, it is handed in again."""
+    """The end takes a few more ticks of the loop. A request read in them was never answered; if it stays unread, its
+    client submits it again."""
     client = await field.start()
     relay = field.relays[0]
     assert await client.enqueue("m1") == b"OK"
     (connection,) = relay.server.connections
-    asked: list[str] = []
+    handled: list[str] = []
     handler = relay.server.handler
 
-    def asking(request: clients.Request, reply: clients.Reply) -> None:
-        asked.append(request.ref)
+    def handle(request: resp_server.Request, reply: resp_server.Reply) -> None:
+        handled.append(request.ref)
         handler(request, reply)
 
-    monkeypatch.setattr(relay.server, "handler", asking)
+    monkeypatch.setattr(relay.server, "handler", handle)
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     relay.close()
     assert connection.transport is not None
-    ours = connection.transport.get_extra_info("socket")
+    relay_socket = connection.transport.get_extra_info("socket")
     client.writer.write(enqueue("m2"))
-    await until(lambda: bool(asked) or readable(ours))
+    await until(lambda: bool(handled) or readable(relay_socket))
     for _ in range(20):
         await asyncio.sleep(0)
-    assert not asked and readable(ours)
-    assert await client.read() is None  # it hears that nothing more is read here
+    assert not handled and readable(relay_socket)
+    assert await client.read() is None  # EOF tells it that nothing more is read
 
 
-async def test_a_connection_that_is_taken_up_as_the_end_comes_is_not_read(
+async def test_a_connection_accepted_as_the_server_ends_is_not_read(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    first = await field.start()  # held: dropped, it would close
+    first = await field.start()  # kept referenced: the connection closes when collected
     server = field.relays[0].server
     await until(lambda: len(server.connections) == 1)
-    made = clients.Connection.connection_made
+    connection_made = resp_server.Connection.connection_made
 
-    def late(one: clients.Connection, transport: asyncio.BaseTransport) -> None:
+    def made_after_end(one: resp_server.Connection, transport: asyncio.BaseTransport) -> None:
         server.end()
-        made(one, transport)
+        connection_made(one, transport)
 
-    monkeypatch.setattr(clients.Connection, "connection_made", late)
+    monkeypatch.setattr(resp_server.Connection, "connection_made", made_after_end)
     client = socket.create_connection(("127.0.0.1", field.port))
     client.sendall(enqueue("m1"))
     await until(lambda: len(server.connections) == 2)
@@ -487,40 +490,40 @@
     first.writer.close()
 
 
-async def test_an_answer_that_waits_for_its_record_is_written_before_the_end(
+async def test_an_answer_that_waits_for_its_record_is_written_before_the_relay_ends(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where records outlast the machine's power an answer waits for a sync: the end waits with it."""
+    """If records must survive a power failure, an answer waits for a sync, and so does the end of the relay."""
     client = await field.start()
     relay = field.relays[0]
-    later: list[Any] = []
-    monkeypatch.setattr(relay.journal, "on_record", later.append)
+    callbacks: list[Any] = []
+    monkeypatch.setattr(relay.journal, "on_record", callbacks.append)
     client.writer.write(enqueue("m1"))
-    await until(lambda: bool(later))
+    await until(lambda: bool(callbacks))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
     relay.stop()
     for _ in range(20):
         await asyncio.sleep(0)
     assert not relay.finished.is_set()
     monkeypatch.undo()
-    for each in later:
+    for each in callbacks:
         each(True)
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     assert await client.read() == b"OK" and await client.read() is None
 
 
-async def test_a_relay_that_is_told_to_end_while_it_starts_does_not_listen_on(
+async def test_a_relay_that_is_stopped_while_it_starts_does_not_keep_listening(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     recover = Relay._recover
 
-    def told(relay: Relay) -> None:
+    def stop_during_recovery(relay: Relay) -> None:
         field.relays.append(relay)
         recover(relay)
         relay.stop()
         relay._drain()
 
-    monkeypatch.setattr(Relay, "_recover", told)
+    monkeypatch.setattr(Relay, "_recover", stop_during_recovery)
     await Relay(field.config()).start()
     (relay,) = field.relays
     await until(lambda: not relay.server.listening)
@@ -530,7 +533,7 @@
 # ---- calls
 
 
-async def test_a_host_that_moved_while_its_connection_came_up_gets_no_call_at_the_old_address(field: Field) -> None:
+async def test_a_host_whose_address_changes_during_the_connect_gets_no_call_at_the_old_address(field: Field) -> None:
     other = ScriptedHost()
     await other.start()
     client = await field.start()
@@ -540,11 +543,11 @@
     gate = asyncio.Event()
     connect = net._connect
 
-    async def late(exchange: hosts.Exchange, address: Address) -> None:
+    async def delayed_connect(exchange: hosts.Exchange, address: Address) -> None:
         await gate.wait()
         await connect(exchange, address)
 
-    net._connect = late  # type: ignore[method-assign]
+    net._connect = delayed_connect  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: bool(net.opening))
     watch.line(listing(42, endpoint(other)))
@@ -558,56 +561,58 @@
     await other.stop()
 
 
-async def test_a_call_that_was_given_up_while_its_record_was_under_way_is_not_written(field: Field) -> None:
-    """Told as one that never ran, it must not run."""
+async def test_a_call_that_was_cancelled_while_its_attempt_was_recorded_is_not_sent(field: Field) -> None:
+    """It was reported as a call that never ran, so it must not run."""
     await field.start()
     net = field.relays[0].hosts
     outcomes: list[Outcome] = []
-    later: list[object] = []
-    net.on_record = later.append
+    callbacks: list[object] = []
+    net.on_record = callbacks.append
     exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe_request(address, False), outcomes.append)
     net.begin(exchange)
-    await until(lambda: bool(later))
+    await until(lambda: bool(callbacks))
     exchange.give_up(io.Status.CANCELLED)
     assert [one.status for one in outcomes] == [io.Status.CONNECT_FAILED]
-    started = later.pop()
+    started = callbacks.pop()
     assert callable(started)
     started(True)
     assert exchange.connection is None and any(net.idle.values())
 
 
-async def test_a_probe_whose_host_drains_while_a_record_is_under_way_is_not_written(field: Field) -> None:
-    """The last look of a probe stood ahead of the record alone: a folder that takes long let it out behind the grace."""
+async def test_a_probe_whose_host_drains_while_a_record_is_written_is_not_sent(field: Field) -> None:
+    """The final check of a probe ran only before the record was written: with slow storage the probe was sent after the
+    drain grace."""
     await field.start()
     relay = field.relays[0]
     watch = await field.platform.next_watch()
-    later: list[Any] = []
-    relay.hosts.on_record = later.append
+    callbacks: list[Any] = []
+    relay.hosts.on_record = callbacks.append
     relay._probe(io.Probe("s-1", 1 << 62))
-    await until(lambda: bool(later))
+    await until(lambda: bool(callbacks))
     watch.line(listing(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
-    later.pop()(True)
-    assert any(relay.hosts.idle.values())  # the connection rests, nothing was written on it
+    callbacks.pop()(True)
+    assert any(relay.hosts.idle.values())  # the connection is idle, nothing was written to it
 
 
-async def test_a_message_that_is_delivered_as_its_time_ends_is_told_of_too(
+async def test_a_message_delivered_just_before_its_deadline_is_also_notified(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its client counts from its sending, a little ahead of our reading: behind that time it is owed its end, and nobody
-    here can tell. On brink 310, roll+brink-11, a message whose answer came 3 ms ahead of our end of it was lost."""
+    """The client counts the deadline from its sending, slightly before the relay reads the request: after that time it
+    must be notified, and the relay cannot know when that is. In brink 310, roll+brink-11, a message was lost whose
+    answer came 3 ms before its deadline by the relay's clock."""
     client = await field.start()
     relay = field.relays[0]
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
-    monkeypatch.setattr(attempt_module, "UNSURE", 3600 * 10**9)  # however long this machine takes
+    monkeypatch.setattr(attempt_module, "UNSURE", 3600 * 10**9)  # on however slow a machine
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     await until(lambda: not relay.held and relay.journal.entries == {})
     assert relay.counts.served["unsafe"] == 1 and relay.counts.failed["unsafe"] == 0
 
 
-async def test_a_message_that_is_delivered_well_in_time_is_not_told_of(field: Field) -> None:
+async def test_a_message_delivered_well_before_its_deadline_is_not_notified(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
     await client.enqueue("m1", "unsafe")
@@ -621,7 +626,7 @@
 # ---- restarts
 
 
-async def test_what_became_of_what_a_restart_found_untried_is_in_the_log(
+async def test_the_outcome_of_messages_that_a_restart_found_untried_is_logged(
     field: Field, caplog: pytest.LogCaptureFixture
 ) -> None:
     field.facts["familyInfo"]["callsOut"] = 1
@@ -640,8 +645,10 @@
     assert "5 found untried: 5 tried, with no call 0 ended at their time and 0 before, 0 left" in caplog.text
 
 
-async def test_a_hold_that_newcomers_fill_gives_up_nothing_that_an_earlier_life_left_untried(field: Field) -> None:
-    """It earns least, as its time is half over: it was refused first, with no call."""
+async def test_new_requests_that_fill_the_pending_queue_evict_no_untried_message_of_a_previous_process(
+    field: Field,
+) -> None:
+    """Such a message has the lowest value, as half of its time is over: it was refused first, without a call."""
     field.facts["limits"]["mostHeld"] = 20
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
@@ -667,57 +674,55 @@
 # ---- notices
 
 
-async def test_an_end_is_told_in_time_though_the_connection_to_the_platform_has_fallen_silent(
+async def test_a_notice_arrives_in_time_although_the_platforms_connection_has_become_unresponsive(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Finding out takes no longer than half of the 300 ms in which an end has to be told."""
+    """Detecting that takes at most half of the 300 ms within which a notice must arrive."""
     assert 2 * (notices.ANSWER_TIMEOUT_S + notices.MIN_BACKOFF_S) <= 0.3
     client = await field.start()
     take = field.platform.take
-    silent: list[Any] = []
+    unanswered: list[Any] = []
 
-    def muted(call: Call) -> None:
-        if call.method == "POST" and (not silent or call.connection is silent[0]):
-            silent.append(call.connection)
+    def leave_unanswered(call: Call) -> None:
+        if call.method == "POST" and (not unanswered or call.connection is unanswered[0]):
+            unanswered.append(call.connection)
         else:
             take(call)
 
-    monkeypatch.setattr(field.platform, "handler", muted)
+    monkeypatch.setattr(field.platform, "handler", leave_unanswered)
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).answer(500)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    assert len(silent) == 1 and silent[0].lost
+    assert len(unanswered) == 1 and unanswered[0].lost
     await until(lambda: field.relays[0].journal.entries == {})
 
 
-async def test_a_platform_that_is_slow_is_given_longer_until_it_has_answered(
+async def test_the_answer_timeout_grows_until_a_slow_platform_has_answered(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Were each POST given up as soon, one that takes longer to answer would never be heard."""
+    """With a fixed timeout the answer of a platform that takes longer would never be received."""
     await field.start()
     relay = field.relays[0]
-    waits: list[float] = []
-    monkeypatch.setattr(field.platform, "handler", lambda call: waits.append(relay.notices.answer_timeout_s))
+    timeouts: list[float] = []
+    monkeypatch.setattr(field.platform, "handler", lambda call: timeouts.append(relay.notices.answer_timeout_s))
     relay.notices.add("m1", "dead", 0)
     relay.notices.send()
-    await until(lambda: len(waits) == 3)
-    assert waits == [notices.ANSWER_TIMEOUT_S, 2 * notices.ANSWER_TIMEOUT_S, 4 * notices.ANSWER_TIMEOUT_S]
+    await until(lambda: len(timeouts) == 3)
+    assert timeouts == [notices.ANSWER_TIMEOUT_S, 2 * notices.ANSWER_TIMEOUT_S, 4 * notices.ANSWER_TIMEOUT_S]
 
 
-async def test_a_notice_that_the_platform_can_not_read_keeps_no_other_back(
-    field: Field, monkeypatch: pytest.MonkeyPatch
-) -> None:
+async def test_a_notice_that_the_platform_rejects_delays_no_other(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     await field.start()
     relay = field.relays[0]
     take = field.platform.take
 
-    def picky(call: Call) -> None:
+    def reject_m2(call: Call) -> None:
         if call.method == "POST" and b'"m2"' in call.body:
             call.answer(400)
         else:
             take(call)
 
-    monkeypatch.setattr(field.platform, "handler", picky)
+    monkeypatch.setattr(field.platform, "handler", reject_m2)
     for n in range(1, 4):
         relay.notices.add(f"m{n}", "dead", 0)
     relay.notices.send()
@@ -725,35 +730,37 @@
     await until(lambda: not relay.notices.queue)
 
 
-# ---- hand-overs
+# ---- handovers
 
 
-@pytest.mark.parametrize("told", [False, True])
-async def test_a_process_that_is_told_to_end_while_it_hands_over_does_not_begin_anew(field: Field, told: bool) -> None:
-    """SIGTERM came while it made ready, and the new process died with the relay in its hands: begun anew from the folder,
-    it would serve on, with nothing that tells it to end."""
+@pytest.mark.parametrize("stopped", [False, True])
+async def test_a_process_that_is_stopped_during_a_handover_does_not_restart_the_relay(
+    field: Field, stopped: bool
+) -> None:
+    """SIGTERM arrived during the preparation, and the new process died after it had received the relay's state. A relay
+    restarted from the folder would keep serving, as it would not receive that signal."""
     field.operators = True
-    field.limits["memory_mb"] = 4096  # both sides are this process, which keeps what the tests before it left
+    field.limits["memory_mb"] = 4096  # both sides run in this process, which retains memory of earlier tests
     await field.start()
     relay = field.relays[0]
     assert relay.handover_sender is not None
-    begun: list[bool] = []
-    relay.handover_sender.start_anew = lambda: begun.append(True)
-    quiet = relay.handover_sender._quieten
+    restarted: list[bool] = []
+    relay.handover_sender.start_anew = lambda: restarted.append(True)
+    original = relay.handover_sender._quieten
 
     async def quieten() -> socket.socket:
-        if told:
+        if stopped:
             relay.stop()
-        return await quiet()
+        return await original()
 
     relay.handover_sender._quieten = quieten  # type: ignore[method-assign]
     door = Door(field.state)
     channel = await asyncio.to_thread(door.call)
     assert channel is not None
     channel.send(Hello([VERSION]))
-    channel.close()  # it dies: what it is given comes to nobody
-    if told:
+    channel.close()  # the new process dies: nobody receives the state
+    if stopped:
         await asyncio.wait_for(relay.finished.wait(), PATIENCE)
-        assert not begun
+        assert not restarted
     else:
-        await until(lambda: bool(begun))
+        await until(lambda: bool(restarted))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,5 +1,5 @@
-"""Idle clients may fill the descriptors: the watch, calls and the journal still find theirs (README, "Descriptors are
-shared"). The kernel's own limit is set where the whole relay is under test."""
+"""Idle clients may use up the descriptors; the watch, calls and the journal still get theirs (README, "Descriptors are
+shared"). Tests of a whole relay process also set the kernel's limit."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 import pytest_asyncio
 
 from garnetrelay.config.deployment import OPERATORS, RESERVED
-from garnetrelay.fronts.resp import server as clients
+from garnetrelay.fronts.resp import server as resp_server
 from garnetrelay.operators.front import MOST_CALLERS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from garnetrelay.relay import Relay
 from tests.sockets import Client, Field, endpoint, listing, until
 from tests.test_process import Process
 
-SOCKETS = 96  # a relay's limit: few enough to be filled soon
-CROWD = 120  # clients that come again and again: more than the limit
-BURST = 300  # connections at once: more than the limit, and than are taken up in a round of the loop
+SOCKETS = 96  # a relay's limit, small so that it is reached soon
+RECONNECTING_CLIENTS = 120  # more than the limit
+BURST = 300  # simultaneous connections: more than the limit, and more than are accepted per tick of the loop
 
 
 def descriptors() -> int:
-    """Of this process."""
+    """The number of open descriptors of this process."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def connect_at_once(port: int, count: int) -> list[socket.socket]:
-    """Connections that lie in the listener's queue: the loop does not run meanwhile."""
+    """Connections in the listen queue; the loop does not run meanwhile."""
     found = []
     for _ in range(count):
         one = socket.create_connection(("127.0.0.1", port))
@@ -45,29 +45,29 @@
 
 
 async def fill(relay: Relay, port: int) -> list[Client]:
-    """Clients that have asked, as many as there is room for, and others that are told that there is none. Nobody is idle
-    for long enough to make room."""
+    """Connects as many clients as the relay admits, each of which sends a command, and others that it rejects. None is
+    idle for long enough to be closed in favour of another."""
     now = relay.server.now()
     relay.server.now = lambda: now
     found = []
     while relay._client_room() > 0:
         found.append(await Client.connect(port))
         assert await found[-1].ask("PING") == b"PONG"
-    while len(relay.server.lingering) < clients.MAX_REJECTED_CONNECTIONS:
+    while len(relay.server.lingering) < resp_server.MAX_REJECTED_CONNECTIONS:
         found.append(await Client.connect(port))
         assert str(await found[-1].read()).startswith("BUSY")
     return found
 
 
-async def test_a_burst_of_connections_takes_no_descriptor_that_is_kept_for_others(field: Field) -> None:
-    """What asyncio has taken up is a descriptor for three rounds of the loop before anybody looks whether there is room
-    for it."""
+async def test_a_burst_of_connections_uses_no_descriptor_reserved_for_others(field: Field) -> None:
+    """A connection that asyncio has accepted takes a descriptor for three ticks of the loop before the relay checks its
+    limit."""
     field.limits["sockets"] = SOCKETS
     before = descriptors()
     await field.start()
     relay = field.relays[0]
     burst = connect_at_once(field.port, BURST)
-    others = before + len(burst) + 1  # its first client is the test's own, too
+    others = before + len(burst) + 1  # its first client also belongs to this process
     most = 0
     while len(relay.server.connections) < relay.config.shared_sockets - relay.config.host_sockets:
         await asyncio.sleep(0)
@@ -81,10 +81,10 @@
         one.close()
 
 
-async def test_a_limit_of_the_kernels_under_the_configurations_is_kept(
+async def test_a_kernel_limit_below_the_configured_one_is_respected(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Descriptors were shared out up to the configuration's limit; at the kernel's all of it failed."""
+    """Descriptors were allocated up to the configured limit, and everything failed at the kernel's lower limit."""
     field.limits["sockets"] = 1024
     monkeypatch.setattr(resource, "getrlimit", lambda which: (SOCKETS, SOCKETS))
     assert field.config().sockets == SOCKETS
@@ -92,17 +92,17 @@
     assert field.config().sockets == 1024
 
 
-async def test_a_burst_behind_the_last_look_of_a_drain_is_taken_up_in_small_steps(field: Field) -> None:
-    """All that lay in the queue was taken up in one round, ahead of the listener's close."""
+async def test_a_burst_after_a_drains_last_queue_check_is_accepted_in_small_batches(field: Field) -> None:
+    """The whole queue was accepted in one tick before the listener closed."""
     field.limits["sockets"] = SOCKETS
     before = descriptors()
     await field.start()
     server = field.relays[0].server
-    server._stop_accepting()  # the queue was found empty
+    server._stop_accepting()  # as after the last check that found the queue empty
     burst = connect_at_once(field.port, BURST)
     others = before + len(burst) + 1
     most = 0
-    server._close_after_ticks(clients.ACCEPT_TICKS)
+    server._close_after_ticks(resp_server.ACCEPT_TICKS)
     while server.listening:
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
@@ -111,21 +111,21 @@
         one.close()
 
 
-async def test_a_connection_that_fails_for_want_of_a_descriptor_blames_no_host(
+async def test_a_connect_that_fails_for_lack_of_descriptors_is_not_counted_against_the_host(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counted as a failed connect: some of them in a row, and a host that answers passed for down."""
+    """It counted as a failed connect, and several in a row made a host that answers look down."""
     client = await field.start()
     relay = field.relays[0]
     loop = asyncio.get_running_loop()
     connect, short = loop.create_connection, [errno.EMFILE, errno.ENFILE]
 
-    async def without(factory: Any, host: str, port: int) -> Any:
+    async def fail_at_first(factory: Any, host: str, port: int) -> Any:
         if short and field.host.address == f"{host}:{port}":
             raise OSError(short.pop(), "no descriptor")
         return await connect(factory, host, port)
 
-    monkeypatch.setattr(loop, "create_connection", without)
+    monkeypatch.setattr(loop, "create_connection", fail_at_first)
     assert await client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
@@ -133,14 +133,14 @@
     assert not short and dest.bad_at == 0 and host.bad == 0.0
 
 
-async def test_a_burst_of_callers_takes_no_descriptor_that_is_kept_for_others(field: Field) -> None:
-    """Staff's address is anybody's on this machine; the relay keeps some descriptors for it, and no more."""
+async def test_a_burst_of_operator_connections_uses_no_descriptor_reserved_for_others(field: Field) -> None:
+    """Any process on the machine can connect to the operators' address; it has a fixed share of the descriptors."""
     field.operators = True
     before = descriptors()
     await field.start()
     relay = field.relays[0]
     assert relay.operators is not None and relay.operators.front._server is not None
-    idle = descriptors() - before - 1  # its first client is the test's own, too
+    idle = descriptors() - before - 1  # its first client also belongs to this process
     burst = connect_at_once(relay.operators.front._server.sockets[0].getsockname()[1], 16)
     others = before + len(burst) + 1
     most = 0
@@ -150,79 +150,80 @@
     for _ in range(100):
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
-    assert most <= idle + OPERATORS - 1  # its listener is there
+    assert most <= idle + OPERATORS - 1  # without its listener, which is counted in idle
     for one in burst:
         one.close()
 
 
-async def test_clients_that_are_told_no_take_no_part_of_the_hosts(field: Field) -> None:
-    """They hold the descriptors that are kept for them. Counted as clients they took all of a small relay's part for
-    hosts, and while others came nobody was called."""
+async def test_rejected_clients_do_not_reduce_the_hosts_share(field: Field) -> None:
+    """They use descriptors reserved for them. Counted as clients, they used up a small relay's whole share for hosts, and
+    no calls were made while clients kept connecting."""
     field.limits["sockets"] = SOCKETS
     await field.start()
     relay = field.relays[0]
-    crowd = await fill(relay, field.port)
-    assert relay.config.host_sockets <= clients.MAX_REJECTED_CONNECTIONS
-    assert await crowd[0].enqueue("m1", "unsafe") == b"OK"
+    connected = await fill(relay, field.port)
+    assert relay.config.host_sockets <= resp_server.MAX_REJECTED_CONNECTIONS
+    assert await connected[0].enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
     assert relay._host_room() + relay.hosts.count == relay.config.host_sockets
 
 
 @pytest.mark.parametrize("sends_on", [False, True])
-async def test_a_client_that_reads_no_answers_makes_room_as_any_idle_one(field: Field, sends_on: bool) -> None:
-    """A close waits for what is not written yet: its descriptor stayed, counted by nobody. And with what it has sent
-    since unread, it was never taken for idle at all."""
+async def test_a_client_that_reads_no_answers_is_closed_like_any_idle_one(field: Field, sends_on: bool) -> None:
+    """A close waits until all data is written, so the descriptor stayed open without being counted. With unread requests
+    the client was not considered idle at all."""
     await field.start()
     relay = field.relays[0]
-    deaf = await Client.connect(field.port)
-    ours = deaf.writer.get_extra_info("sockname")
-    connection = await connection_from(relay, ours)
+    client = await Client.connect(field.port)
+    address = client.writer.get_extra_info("sockname")
+    connection = await connection_from(relay, address)
     assert connection.transport is not None
     for _ in range(1000):  # 60 MB: more than the kernel takes
         if connection.transport.get_write_buffer_size() and (connection.between_requests or sends_on):
             break
-        deaf.write("PING", bytes(60_000))
+        client.write("PING", bytes(60_000))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     while sends_on and connection.between_requests:
-        deaf.write("PING")
+        client.write("PING")
         await asyncio.sleep(0)
     await until(lambda: connection in relay.server.idle)
     open_before = descriptors()
-    now = relay.server.now() + clients.MIN_IDLE_S + 1
+    now = relay.server.now() + resp_server.MIN_IDLE_S + 1
     relay.server.now = lambda: now
     while connection in relay.server.connections:
         assert relay.server.close_longest_idle()
-    for _ in range(clients.ACCEPT_TICKS):
+    for _ in range(resp_server.ACCEPT_TICKS):
         await asyncio.sleep(0)
     assert descriptors() < open_before
-    deaf.writer.transport.abort()
+    client.writer.transport.abort()
 
 
-async def test_a_client_that_ends_its_sending_and_reads_nothing_is_not_kept(
+async def test_a_client_that_half_closes_and_reads_nothing_is_not_kept(
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its answers can't be written, so its connection never closed, and as one with work to do it made no room either."""
-    monkeypatch.setattr(clients, "LINGER_S", 0.0)
+    """Its answers cannot be written, so its connection never closed, and as it was busy, it was not closed in favour of
+    another either."""
+    monkeypatch.setattr(resp_server, "LINGER_S", 0.0)
     await field.start()
     relay = field.relays[0]
-    deaf = await Client.connect(field.port)
-    connection = await connection_from(relay, deaf.writer.get_extra_info("sockname"))
+    client = await Client.connect(field.port)
+    connection = await connection_from(relay, client.writer.get_extra_info("sockname"))
     assert connection.transport is not None
     while not connection.transport.get_write_buffer_size():
-        deaf.write("PING", bytes(5000))  # few enough that its end is read still
+        client.write("PING", bytes(5000))  # little enough that its EOF is still read
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-    deaf.writer.write_eof()
+    client.writer.write_eof()
     await until(lambda: connection not in relay.server.connections)
-    deaf.writer.transport.abort()
+    client.writer.transport.abort()
 
 
-async def connection_from(relay: Relay, address: tuple[str, int]) -> clients.Connection:
+async def connection_from(relay: Relay, address: tuple[str, int]) -> resp_server.Connection:
     """The relay's side of a client's connection."""
 
-    def found() -> list[clients.Connection]:
+    def found() -> list[resp_server.Connection]:
         every = relay.server.connections
         return [one for one in every if one.transport and one.transport.get_extra_info("peername") == address]
 
@@ -238,8 +239,8 @@
         await made.end(signal.SIGKILL)
 
 
-async def come_and_stay(port: int) -> None:
-    """Clients that connect and say nothing, again as soon as they are shut out."""
+async def connect_again_and_again(port: int) -> None:
+    """A client that connects and sends nothing, and reconnects as soon as it is rejected."""
     while True:
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -250,8 +251,8 @@
             await asyncio.sleep(0)
 
 
-async def hand_in(port: int, ref: str) -> None:
-    """Among all those: as a client does, again on another connection where one is shut out."""
+async def submit(port: int, ref: str) -> None:
+    """Submit a message, on another connection each time one is rejected."""
     async with asyncio.timeout(PATIENCE):
         while True:
             try:
@@ -269,35 +270,35 @@
 
 
 async def test_a_relay_full_of_idle_clients_watches_calls_and_keeps_its_journal(field: Field, process: Process) -> None:
-    """Under the kernel's own limit, with discovery away and back: the watch, a notice, a host's connection, new
-    segments and the configuration at SIGHUP each find a descriptor."""
+    """With the kernel's limit set, and discovery down and back: the watch, a notice, a host's connection, new segments
+    and the configuration read at SIGHUP each get a descriptor."""
     field.limits |= {"sockets": SOCKETS, "disk_mb": 0.1}
     await process.start()
     assert process.child is not None and process.child.stderr is not None
     resource.prlimit(process.child.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
     await field.platform.stop()
-    said: list[bytes] = []
-    log = asyncio.create_task(_read_log(process.child.stderr, said))
-    crowd = [asyncio.create_task(come_and_stay(process.port)) for _ in range(CROWD)]
+    log_lines: list[bytes] = []
+    log = asyncio.create_task(_read_log(process.child.stderr, log_lines))
+    client_tasks = [asyncio.create_task(connect_again_and_again(process.port)) for _ in range(RECONNECTING_CLIENTS)]
     try:
-        await _work_among(field, process, said)
+        await _deliver_and_reconfigure(field, process, log_lines)
     finally:
-        for task in (*crowd, log):
+        for task in (*client_tasks, log):
             task.cancel()
-        await asyncio.gather(*crowd, log, return_exceptions=True)
-    text = b"".join(said).decode()
+        await asyncio.gather(*client_tasks, log, return_exceptions=True)
+    text = b"".join(log_lines).decode()
     assert "out of system resource" not in text and "Too many open files" not in text and "cannot write" not in text
 
 
-async def _work_among(field: Field, process: Process, said: list[bytes]) -> None:
-    """Deliver messages until the journal has begun new segments; then discovery comes back, and a new configuration."""
+async def _deliver_and_reconfigure(field: Field, process: Process, log_lines: list[bytes]) -> None:
+    """Deliver messages until the journal has begun new segments; then discovery returns and SIGHUP follows."""
     assert process.child is not None
     port = int(field.platform.address.rpartition(":")[2])
-    await until(lambda: any(b"too many connections" in line for line in said))
+    await until(lambda: any(b"too many connections" in line for line in log_lines))
     first, number = newest_segment(field.state), 0
     while newest_segment(field.state) < first + 2:
         number += 1
-        await hand_in(process.port, f"m{number}")
+        await submit(process.port, f"m{number}")
         call = await field.host.next_call()
         call.answer(504 if number == 1 else 200, "Connection: close")  # each call needs a connection of its own
         await field.host.next_closing()
@@ -308,9 +309,9 @@
     assert (await field.platform.next_notice())["ref"] == "m1"
     watch.line(listing(42, endpoint(field.host, "s-1"), endpoint(field.host, "s-2")))
     process.child.send_signal(signal.SIGHUP)
-    await until(lambda: any(b"configuration read again" in line for line in said))
+    await until(lambda: any(b"configuration read again" in line for line in log_lines))
 
 
-async def _read_log(stream: asyncio.StreamReader, said: list[bytes]) -> None:
+async def _read_log(stream: asyncio.StreamReader, log_lines: list[bytes]) -> None:
     while line := await stream.readline():
-        said.append(line)
+        log_lines.append(line)
