--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -10,7 +10,7 @@
 
 from garnetrelay.config.controller import Controller as ControllerConfig
 from garnetrelay.fleet import clock
-from garnetrelay.fleet.controller.figures import Figures, figures_text
+from garnetrelay.fleet.controller.metrics import ControllerMetrics, metrics_text
 from garnetrelay.fleet.controller.records_file import RecordsFile
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-MOST_SESSIONS = 4096  # addresses kept for answers: far more than relays ask within the time of one write
+MAX_SESSIONS = 4096  # addresses kept for answers: far more than relays ask within the time of one write
 
 
 class ControllerProcess:
@@ -45,7 +45,7 @@
         self.config = config
         self.records = RecordsFile(config.folder, config.number, config.settings.partitions, config.settings.lease)
         self.datagrams = Datagrams(Codec(config.secrets()), self._heard)
-        self.figures = Figures()
+        self.metrics = ControllerMetrics()
         self.controller: Controller | None = None
         self._loop = asyncio.get_running_loop()
         self._finished = asyncio.Event()
@@ -75,10 +75,10 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
         place = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = Front(Staff(self))
+            self._front = Front(OperatorCommands(self))
             await self._front.start(config.operators)
-        if self.records.cut_bytes:
-            log.warning("controller: a torn write of %d bytes was cut", self.records.cut_bytes)
+        if self.records.truncated_bytes:
+            log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
         self.controller = Controller(
             config.number,
             secrets.randbits(62),
@@ -86,7 +86,7 @@
             found or [],
             clock.now(),
             found is None,
-            self.records.last_lease,
+            self.records.previous_lease,
         )
         log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
         self._tick()
@@ -120,7 +120,7 @@
         if isinstance(message, Answer):  # from another controller, to a relay that had this address before
             self.datagrams.refused["misdirected"] += 1
             return
-        self.figures.heard(message)
+        self.metrics.heard(message)
         if isinstance(message, Acquire | Renew | Release):
             self._remember(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
@@ -128,7 +128,7 @@
     def _remember(self, session: Session, source: Place) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
-        if len(self._sources) > MOST_SESSIONS:
+        if len(self._sources) > MAX_SESSIONS:
             del self._sources[next(iter(self._sources))]
 
     def _tick(self) -> None:
@@ -141,7 +141,7 @@
                 case SendToController(number, message):
                     self.datagrams.send(self.config.places[number], message)
                 case SendToRelay(session, answer):
-                    self.figures.answered(answer)
+                    self.metrics.answered(answer)
                     if (place := self._sources.get(session)) is not None:
                         self.datagrams.send(place, answer)
                 case WriteRecords():
@@ -176,11 +176,13 @@
             await self._loop.run_in_executor(self._thread, self.records.append, records)
         except OSError as error:
             failure = error
-        except Exception as broken:  # RecordsBrokenError, or a fault of ours: either way nothing is sure of the file
+        except (
+            Exception
+        ) as broken:  # RecordsStateUnknownError, or a fault of ours: either way nothing is sure of the file
             self._broken = broken
             self._finished.set()
             return
-        self.figures.wrote(len(records), clock.now() - began, failure is None)
+        self.metrics.wrote(len(records), clock.now() - began, failure is None)
         self._writing = None
         for write in writes:
             self._tell(write.ticket, failure)
@@ -194,8 +196,8 @@
             self._carry_out(self.controller.not_written(clock.now(), ticket, failure.strerror or str(failure)))
 
 
-class Staff:
-    """What staff may ask of a controller, by the calls that a relay knows."""
+class OperatorCommands:
+    """The operator commands that a controller answers, with the interface that relays use."""
 
     def __init__(self, process: ControllerProcess) -> None:
         self._process = process
@@ -208,8 +210,8 @@
 
     def figures(self) -> str:
         """Its figures, a line each."""
-        return figures_text(
-            self._process.figures, self._process.controller, self._process.datagrams, self._process.records
+        return metrics_text(
+            self._process.metrics, self._process.controller, self._process.datagrams, self._process.records
         )
 
     def fleet(self, words: list[str]) -> str:
--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -12,10 +12,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from garnetrelay.fleet.leases.grant_table import GrantTable, SessionGrants
 from garnetrelay.fleet.leases.messages import (
-    MOST_GRANTS,
-    MOST_RECORDS,
-    RECORDS_SIZE,
+    MAX_GRANTS,
+    MAX_RECORDS,
+    MAX_RECORDS_BYTES,
     Acquire,
     Answer,
     ControllerEffect,
@@ -34,10 +35,9 @@
     WriteRecords,
 )
 from garnetrelay.fleet.leases.recovery import Recovery
-from garnetrelay.fleet.leases.register import Held, Register
 from garnetrelay.fleet.leases.settings import Settings
 
-MOST_SESSIONS = 1 << 14
+MAX_SESSIONS = 1 << 14
 
 
 @dataclass(slots=True)
@@ -52,9 +52,9 @@
 class Controller:
     """The decisions of one controller process.
 
-    ``boot``: a random number of this process. ``records``: what its folder holds. ``folder_was_empty``: the folder holds
-    nothing valid, not even what ``initialize`` writes. ``last_lease``: the lease of the process before, where the folder
-    tells it and settings have changed (ns).
+    ``boot``: the random number of this process. ``records``: the records read from its folder. ``folder_was_empty``:
+    the folder had no valid file, not even the empty one that ``initialize`` writes. ``previous_lease``: the lease
+    duration (ns) of the previous process, if the folder has it and the settings have changed.
     """
 
     def __init__(
@@ -65,16 +65,16 @@
         records: Iterable[Record],
         now: int,
         folder_was_empty: bool,
-        last_lease: int = 0,
+        previous_lease: int = 0,
     ) -> None:
         self.number = number
         self.boot = boot
         self.settings = settings
-        self.figures: Counter[str] = Counter()
+        self.event_counts: Counter[str] = Counter()
         own = {record.partition: record for record in records if record.partition < settings.partitions}
-        self.register = Register(settings.partitions)
-        self.register.load(own.values())
-        wait = now + max(settings.lease, last_lease)
+        self.grant_table = GrantTable(settings.partitions)
+        self.grant_table.load(own.values())
+        wait = now + max(settings.lease, previous_lease)
         self._recovery: Recovery | None = Recovery(number, boot, settings, wait, own)
         self._recovery_ticket: int | None = None
         self._tells_records = not folder_was_empty
@@ -110,7 +110,7 @@
             effects += self._recovery.tick(now)
         if now >= self._forget_at:
             self._forget_at = now + self.settings.lease
-            self.register.forget(now - self.settings.lease)
+            self.grant_table.forget(now - self.settings.lease)
         return effects
 
     def receive(
@@ -139,13 +139,13 @@
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
         """They are not, or not for sure: nothing of them is said, and their epochs are used up."""
-        self.figures["not written"] += 1
+        self.event_counts["not written"] += 1
         line = LogLine(f"records not written: {reason}", logging.ERROR)
         if ticket == self._recovery_ticket and self._recovery is not None:
             self._recovery_ticket = None
             for reading in self._recovery.sources.values():
                 reading.following, reading.number = max(0, reading.following), None
-                reading.retry_at = now + self.settings.most_retry
+                reading.retry_at = now + self.settings.max_retry
             return [line]
         write = self._writes.pop(ticket, None)
         if write is None:
@@ -154,9 +154,9 @@
         for record in write.records:
             if self._unwritten.get(record.partition) == ticket:
                 del self._unwritten[record.partition]
-                if self.register.record(record.partition) == record:
-                    self.register.put(record.partition, record.epoch, None)
-            refused.append(Refusal(record.partition, record.epoch, self.settings.most_retry))
+                if self.grant_table.record(record.partition) == record:
+                    self.grant_table.put(record.partition, record.epoch, None)
+            refused.append(Refusal(record.partition, record.epoch, self.settings.max_retry))
         lost = {record.partition for record in write.records}
         granted = [grant for grant in write.answer.granted if grant.partition not in lost]
         return [line, SendToRelay(write.session, self._answer(write.answer.number, granted=granted, refused=refused))]
@@ -165,19 +165,19 @@
 
     def _request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
         session = request.session
-        known = self.register.sessions.get(session)
+        known = self.grant_table.sessions.get(session)
         if known is not None and request.number <= known.number:
-            self.figures["old number"] += 1
+            self.event_counts["old number"] += 1
             return []
         if request.boot not in (0, self.boot):
-            self.figures["other boot"] += 1
+            self.event_counts["other boot"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
-        if not isinstance(request, Release) and request.terms != self.settings.terms:
+        if not isinstance(request, Release) and request.fingerprint != self.settings.fingerprint:
             return self._other_terms(request, source)
-        if not self.ready or (known is None and len(self.register.sessions) >= MOST_SESSIONS):
-            self.figures["not ready" if not self.ready else "too many sessions"] += 1
+        if not self.ready or (known is None and len(self.grant_table.sessions) >= MAX_SESSIONS):
+            self.event_counts["not ready" if not self.ready else "too many sessions"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
-        held = self.register.sessions.setdefault(session, Held())
+        held = self.grant_table.sessions.setdefault(session, SessionGrants())
         held.number = request.number
         match request:
             case Acquire():
@@ -188,16 +188,16 @@
                 return [SendToRelay(session, self._release(request, held))]
 
     def _other_terms(self, request: Acquire | Renew, source: str) -> list[ControllerEffect]:
-        self.figures["other terms"] += 1
+        self.event_counts["other terms"] += 1
         effects: list[ControllerEffect] = [SendToRelay(request.session, self._answer(request.number, accepted=False))]
         relay = request.session.relay
-        if relay not in self._foreign and len(self._foreign) < MOST_SESSIONS:
+        if relay not in self._foreign and len(self._foreign) < MAX_SESSIONS:
             self._foreign.add(relay)
             text = f"{relay} {source} has other controllers, partitions, lease or rate error in its options: refused"
             effects.append(LogLine(text, logging.ERROR))
         return effects
 
-    def _acquire(self, now: int, request: Acquire, held: Held) -> list[ControllerEffect]:
+    def _acquire(self, now: int, request: Acquire, held: SessionGrants) -> list[ControllerEffect]:
         held.lease_until = now + self.settings.lease
         granted: list[Grant] = []
         refused: list[Refusal] = []
@@ -206,18 +206,18 @@
             partition = grant.partition
             if partition >= self.settings.partitions:
                 continue
-            if not self.register.has(grant, request.session):
-                refusal = self.register.refusal(now, grant, request.session)
+            if not self.grant_table.has(grant, request.session):
+                refusal = self.grant_table.refusal(now, grant, request.session)
                 if refusal is not None:
                     refused.append(refusal)
                     continue
-                self.register.put(partition, grant.epoch, request.session)
-                to_write.append(self.register.record(partition))
+                self.grant_table.put(partition, grant.epoch, request.session)
+                to_write.append(self.grant_table.record(partition))
             elif partition in self._unwritten:
-                to_write.append(self.register.record(partition))
+                to_write.append(self.grant_table.record(partition))
             granted.append(grant)
-        self.figures["granted"] += len(granted)
-        self.figures["refused"] += len(refused)
+        self.event_counts["granted"] += len(granted)
+        self.event_counts["refused"] += len(refused)
         answer = self._answer(request.number, granted=granted, refused=refused)
         if not to_write:
             return [SendToRelay(request.session, answer)]
@@ -227,26 +227,26 @@
             self._unwritten[record.partition] = self._ticket
         return [WriteRecords(self._ticket, to_write)]
 
-    def _renew(self, now: int, request: Renew, held: Held) -> Answer:
+    def _renew(self, now: int, request: Renew, held: SessionGrants) -> Answer:
         if (request.count, request.digest) != (len(held.grants), held.digest):
-            self.figures["mismatch"] += 1
+            self.event_counts["mismatch"] += 1
             return self._answer(request.number, accepted=False, matches=False, granted=self._some(request.number, held))
-        self.figures["renewed"] += 1
+        self.event_counts["renewed"] += 1
         held.lease_until = now + self.settings.lease
         return self._answer(request.number)
 
-    def _release(self, request: Release, held: Held) -> Answer:
+    def _release(self, request: Release, held: SessionGrants) -> Answer:
         # Not written: after a restart the record stands again, and its epoch is used up either way.
         grants = request.grants or [Grant(partition, epoch) for partition, epoch in held.grants.items()]
-        self.figures["released"] += self.register.release(request.session, grants)
+        self.event_counts["released"] += self.grant_table.release(request.session, grants)
         return self._answer(request.number)
 
-    def _some(self, number: int, held: Held) -> list[Grant]:
+    def _some(self, number: int, held: SessionGrants) -> list[Grant]:
         """What is on record of a session; where it does not fit, others with each request."""
         on_record = sorted(held.grants.items())
-        if len(on_record) > MOST_GRANTS:
-            first = number * MOST_GRANTS % len(on_record)
-            on_record = (on_record[first:] + on_record[:first])[:MOST_GRANTS]
+        if len(on_record) > MAX_GRANTS:
+            first = number * MAX_GRANTS % len(on_record)
+            on_record = (on_record[first:] + on_record[:first])[:MAX_GRANTS]
         return [Grant(partition, epoch) for partition, epoch in on_record]
 
     def _answer(
@@ -270,9 +270,9 @@
             return []
         records: list[Record] = []
         size, following = 0, -1
-        for record in self.register.known(request.first):
+        for record in self.grant_table.known(request.first):
             size += record.size()
-            if len(records) == MOST_RECORDS or size > RECORDS_SIZE:
+            if len(records) == MAX_RECORDS or size > MAX_RECORDS_BYTES:
                 following = record.partition
                 break
             records.append(record)
@@ -295,8 +295,8 @@
     def _recovered(self) -> list[ControllerEffect]:
         recovery = self._recovery
         assert recovery is not None
-        self.register = Register(self.settings.partitions)
-        self.register.load(recovery.found.values())
+        self.grant_table = GrantTable(self.settings.partitions)
+        self.grant_table.load(recovery.found.values())
         self._recovery, self._recovery_ticket = None, None
         self._tells_records = True
         text = f"ready: {len(recovery.found)} partitions on record, {len(recovery.changed())} of them from others"
--- a/tests/discovery/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -9,7 +9,7 @@
 from garnetrelay.config.deployment import Address
 from garnetrelay.discovery import watches as module
 from garnetrelay.discovery.watches import MAX_CALLS, State, Timeouts, Watch, Watches
-from starlingwick.asking import ASK_SOON, LEAST_HEDGE, SECOND
+from starlingwick.discovery_schedule import MAX_REOPEN_DELAY_NS, MIN_HEDGE_DELAY_NS, SECOND
 
 OLD, NEW = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
 
@@ -135,5 +135,5 @@
 def test_a_missed_change_can_be_requested_three_times_before_it_counts_as_received() -> None:
     """The 6 s must cover the time until a watch is unresponsive, the longest gap after that, and two parallel calls
     after the first one, with few relays."""
-    assert module.UNRESPONSIVE_AFTER_S + (ASK_SOON + 2 * LEAST_HEDGE) / SECOND < 6.0
+    assert module.UNRESPONSIVE_AFTER_S + (MAX_REOPEN_DELAY_NS + 2 * MIN_HEDGE_DELAY_NS) / SECOND < 6.0
     assert module.UNRESPONSIVE_AFTER_S > 2.0  # a line comes every 2 s
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -26,7 +26,7 @@
     answer_timeout=1,
     request_gap=0,
     first_retry=1,
-    most_retry=1,
+    max_retry=1,
 )
 DRIFT = dataclasses.replace(SETTINGS, lease=4, rate_error=Fraction(1, 3))
 RELAYS = ("a", "b")
@@ -36,9 +36,9 @@
 UNHEARD = Record(0, 0, "", 0)
 _NOT_IN_KEYS = {
     "settings",
-    "figures",
+    "event_counts",
     "session",
-    "terms",
+    "fingerprint",
     "tries",
     "retry_at",
     "round_ends",
@@ -85,7 +85,7 @@
     def begin(self, now: int, above: int) -> None:
         """A round, in an epoch above those that it knows; the round before is given up."""
         if not self._claims:
-            self.wish(now, [0])
+            self.set_assigned(now, [0])
         if self.epoch:
             self._give_up_round(now, 0, self._claims[0])
         self._known[0] = self._known.get(0, 0) + above - 1
@@ -147,7 +147,7 @@
 
 def age_controller(controller: Controller, now: int) -> None:
     """Leases that have run out are alike."""
-    for held in controller.register.sessions.values():
+    for held in controller.grant_table.sessions.values():
         if held.lease_until <= now:
             held.lease_until = PAST
 
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -14,8 +14,8 @@
 import pytest
 
 from garnetrelay.config import controller as options
-from garnetrelay.fleet.controller.process import ControllerProcess, Staff
-from garnetrelay.fleet.controller.records_file import RecordsBrokenError, RecordsFile
+from garnetrelay.fleet.controller.process import ControllerProcess, OperatorCommands
+from garnetrelay.fleet.controller.records_file import RecordsFile, RecordsStateUnknownError
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
@@ -76,7 +76,7 @@
 
     async def acquire(self, process: ControllerProcess, *grants: Grant) -> Answer:
         self.number += 1
-        terms = process.config.settings.terms
+        terms = process.config.settings.fingerprint
         place = process.config.places[process.config.number]
         return await self.ask(place, Acquire(SESSION, self.number, 0, terms, list(grants)))
 
@@ -143,7 +143,7 @@
         answer = await trio.asker.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("said")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "said"]
-        figures = Staff(first).figures()
+        figures = OperatorCommands(first).figures()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
             assert f"controller_{line}\n" in figures
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
@@ -161,7 +161,7 @@
             answer = await trio.asker.acquire(first, Grant(3, 1))
             assert not answer.granted and [refusal.partition for refusal in answer.refused] == [3]
             assert any("records not written: No space left on device" in line for line in trio.log.lines)
-            assert "controller_writes_failed 1\n" in Staff(first).figures()
+            assert "controller_writes_failed 1\n" in OperatorCommands(first).figures()
         assert (await trio.asker.acquire(first, Grant(3, 2))).granted == [Grant(3, 2)]
     assert on_disk(first) == [Record(3, 2, "r1", 77)]
 
@@ -174,11 +174,11 @@
         first = trio.processes[0]
         monkeypatch.setattr("garnetrelay.store.storage.Folder.cut", fails)
         trio.asker.datagrams.send(
-            first.config.places[0], Acquire(SESSION, 1, 0, first.config.settings.terms, [Grant(3, 1)])
+            first.config.places[0], Acquire(SESSION, 1, 0, first.config.settings.fingerprint, [Grant(3, 1)])
         )
         async with asyncio.timeout(PATIENCE):
             await asyncio.wait([trio.runs[0]])
-        with pytest.raises(RecordsBrokenError, match="can't be undone"):
+        with pytest.raises(RecordsStateUnknownError, match="can't be undone"):
             trio.runs[0].result()
         assert trio.asker.answers.empty()
 
@@ -186,7 +186,7 @@
 async def test_what_is_none_of_its_business_is_counted_and_changes_nothing(tmp_path: Path) -> None:
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.terms
+        place, terms = first.config.places[0], first.config.settings.fingerprint
         trio.asker.datagrams.send(place, Answer(1, 2, 3, True, True, [], []))
         trio.asker.datagrams.codec = Codec([b"a secret of somebody else"])
         trio.asker.datagrams.send(place, Acquire(SESSION, 1, 0, terms, [Grant(3, 1)]))
@@ -199,12 +199,12 @@
             place, Renew(SESSION, 3, first.controller.boot if first.controller else 0, terms, 0, 0)
         )
         assert answer.accepted
-        staff = Staff(first)
-        staff.health()
+        commands = OperatorCommands(first)
+        commands.health()
         with pytest.raises(CallRefusedError):
-            staff.fleet(["MEMBERS"])
+            commands.fleet(["MEMBERS"])
         with pytest.raises(CallRefusedError):
-            staff.exclude("s-1", True)
+            commands.exclude("s-1", True)
 
 
 async def test_what_comes_while_a_write_runs_shares_the_next_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -220,13 +220,13 @@
     monkeypatch.setattr(RecordsFile, "append", held_up)
     async with running(tmp_path) as trio:
         first = trio.processes[0]
-        place, terms = first.config.places[0], first.config.settings.terms
+        place, terms = first.config.places[0], first.config.settings.fingerprint
         for partition in range(8):
             message = Acquire(Session(f"r{partition}", 1), 1, 0, terms, [Grant(partition, 1)])
             trio.asker.datagrams.send(place, message)
             async with asyncio.timeout(PATIENCE):
                 await begun.wait()
-        await until(lambda: first.figures.received["acquire"] == 8)
+        await until(lambda: first.metrics.received["acquire"] == 8)
         may_end.set()
         granted = []
         async with asyncio.timeout(PATIENCE):
@@ -235,6 +235,6 @@
                 assert isinstance(answer, Answer)
                 granted += answer.granted
         assert sorted(granted) == [Grant(partition, 1) for partition in range(8)]
-        assert (first.figures.writes, first.figures.records_written) == (2, 8)
+        assert (first.metrics.writes, first.metrics.records_written) == (2, 8)
     found = on_disk(first)
     assert found is not None and sorted(record.partition for record in found) == list(range(8))
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -10,9 +10,9 @@
 from garnetrelay.fleet.leases.digest import digest
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import (
-    MOST_EPOCH,
-    MOST_EPOCH_STEP,
-    MOST_GRANTS,
+    MAX_EPOCH,
+    MAX_EPOCH_STEP,
+    MAX_GRANTS,
     Acquire,
     Answer,
     Grant,
@@ -33,7 +33,7 @@
 ALL = list(range(8))
 LEASE = SETTINGS.lease
 S1, S2 = Session("a", 1), Session("b", 2)
-TERMS = SETTINGS.terms
+TERMS = SETTINGS.fingerprint
 
 
 def _owns(cluster: Cluster, holder: Holder, partitions: list[int] = ALL) -> bool:
@@ -123,7 +123,7 @@
         assert controller.receive(LEASE, _acquire(S1, number, [(3, 2)])) == []
         assert controller.receive(LEASE, Release(S1, number, 77, [])) == []
         assert controller.receive(LEASE, Renew(S1, number, 77, TERMS, 0, 0)) == []
-    assert controller.figures["old number"] == 9
+    assert controller.event_counts["old number"] == 9
 
 
 def test_requests_for_another_boot_or_under_other_terms_get_nothing() -> None:
@@ -134,10 +134,10 @@
     assert isinstance(answer, SendToRelay) and not answer.message.accepted
     assert isinstance(line, LogLine) and "options" in line.text
     assert len(controller.receive(LEASE, _acquire(S1, 3, [(3, 1)], terms=TERMS ^ 1))) == 1  # one line a relay
-    assert controller.register.epochs[3] == 0
+    assert controller.grant_table.epochs[3] == 0
 
 
-@pytest.mark.parametrize("epoch", [MOST_EPOCH, MOST_EPOCH_STEP + 1, 0])
+@pytest.mark.parametrize("epoch", [MAX_EPOCH, MAX_EPOCH_STEP + 1, 0])
 def test_one_request_can_not_use_up_a_partitions_epochs(epoch: int) -> None:
     assert _said(_ready(), LEASE, _acquire(S1, 1, [(3, epoch)])).granted == []
 
@@ -150,7 +150,7 @@
     assert _said(controller, LEASE, Release(S1, 2, 77, [Grant(*grant) for grant in grants])).accepted
     controller.receive(LEASE, ReadRecords(1, 5, 9, 65_535))
     controller.receive(LEASE, ReadRecords(8, 5, 9, 0))  # no such controller
-    assert not any(controller.register.epochs)
+    assert not any(controller.grant_table.epochs)
 
 
 def test_records_that_were_not_asked_for_change_nothing() -> None:
@@ -163,7 +163,7 @@
     for effect in reads:
         assert isinstance(effect, SendToController) and isinstance(effect.message, ReadRecords)
         controller.receive(LEASE, Records(effect.controller, 5, effect.message.number, [], -1))
-    assert controller.ready and controller.register.epochs[3] == 0
+    assert controller.ready and controller.grant_table.epochs[3] == 0
 
 
 def test_sessions_that_hold_nothing_are_forgotten() -> None:
@@ -172,7 +172,7 @@
         _said(controller, LEASE, Renew(Session("a", number), 1, 77, TERMS, 0, 0))
     _said(controller, LEASE, _acquire(S2, 1, [(3, 1)]))
     controller.tick(5 * LEASE)
-    assert list(controller.register.sessions) == [S2]
+    assert list(controller.grant_table.sessions) == [S2]
 
 
 # ---- starting
@@ -195,7 +195,7 @@
     assert isinstance(effect, WriteRecords) and effect.records == [Record(3, 6, "b", 2)]
     assert not controller.ready
     controller.written(LEASE, effect.ticket)
-    assert controller.ready and controller.register.epochs[3] == 6
+    assert controller.ready and controller.grant_table.epochs[3] == 6
 
 
 def test_where_others_disagree_on_an_epoch_nobody_has_it() -> None:
@@ -264,15 +264,15 @@
     cluster.run(5 * SECOND)
     assert cluster.controllers[0].ready
     assert cluster.folders[0] == cluster.folders[1]
-    assert cluster.controllers[0].register.sessions[owner.session].lease_until > cluster.now  # its vote is back
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert cluster.controllers[0].grant_table.sessions[owner.session].lease_until > cluster.now  # its vote is back
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 def test_old_copy_of_a_folder_is_brought_up_to_date() -> None:
     cluster = Cluster().start_all()
     first = _owner(cluster)
     old = dict(cluster.folders[0])
-    cluster.from_holder(first.session, first.wish(cluster.now, []))
+    cluster.from_holder(first.session, first.set_assigned(cluster.now, []))
     _owner(cluster, "b", 2)
     cluster.folders[0] = old
     cluster.start(0)
@@ -299,7 +299,7 @@
         cluster.start(number)
         assert cluster.run(LEASE + 10 * SECOND, lambda number=number: cluster.controllers[number].ready)  # type: ignore[misc]
         cluster.run(2 * SETTINGS.renew_every)
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 # ---- relays
@@ -311,7 +311,7 @@
     cluster.drop = lambda sender, receiver, message: {sender, receiver} & {1, 2} != set()
     cluster.run(LEASE)
     assert not owner.owned(cluster.now)
-    cluster.from_holder(owner.session, owner.wish(cluster.now, [*ALL, 20]))
+    cluster.from_holder(owner.session, owner.set_assigned(cluster.now, [*ALL, 20]))
     cluster.messages.clear()
     cluster.run(60 * SECOND)
     assert not any(isinstance(message, Acquire) for _, _, message in cluster.messages)
@@ -348,9 +348,9 @@
     first = _owner(cluster)
     second = cluster.relay("b", [0], 2)
     cluster.run(3 * SECOND)
-    assert second.figures["rounds given up"]
-    assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].register.holders[0] is None)
-    cluster.from_holder(second.session, second.wish(cluster.now, []))
+    assert second.event_counts["rounds given up"]
+    assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].grant_table.holders[0] is None)
+    cluster.from_holder(second.session, second.set_assigned(cluster.now, []))
     cluster.run(3 * SECOND)
     assert all(not link.votes and not link.unsure for link in second._links)
     assert _owns(cluster, first)
@@ -360,25 +360,25 @@
     """A controller knows nothing of two grants, and has one that the relay did not ask for any more."""
     cluster = Cluster().start_all()
     owner = _owner(cluster)
-    register = cluster.controllers[0].register
+    register = cluster.controllers[0].grant_table
     register.put(0, 1, None)
     register.put(1, 2, S2)
     register.put(30, 1, owner.session)
     cluster.run(3 * SETTINGS.renew_every)
     assert register.holders[30] is None
     assert register.sessions[owner.session].grants == {partition: 1 for partition in ALL[2:]}
-    renewed = cluster.controllers[0].figures["renewed"]
+    renewed = cluster.controllers[0].event_counts["renewed"]
     cluster.run(2 * SETTINGS.renew_every)
-    assert cluster.controllers[0].figures["renewed"] > renewed
-    assert _owns(cluster, owner) and owner.figures["lost"] == 0
+    assert cluster.controllers[0].event_counts["renewed"] > renewed
+    assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
 def test_more_records_than_one_answer_lists_are_settled() -> None:
     cluster = Cluster().start_all()
     wishes = list(range(60))
-    assert len(wishes) > MOST_GRANTS
+    assert len(wishes) > MAX_GRANTS
     owner = _owner(cluster, wishes=wishes)
-    register = cluster.controllers[0].register
+    register = cluster.controllers[0].grant_table
     for partition in (60, 61, 63):
         register.put(partition, 1, owner.session)
     register.put(2, 9, None)
@@ -394,7 +394,7 @@
     relays = [cluster.relay(name, [number], number) for number, name in enumerate("abcdef")]
     for turn in range(12):
         for number, relay in enumerate(relays):
-            cluster.from_holder(relay.session, relay.wish(cluster.now, [(number + turn) % 6]))
+            cluster.from_holder(relay.session, relay.set_assigned(cluster.now, [(number + turn) % 6]))
         cluster.run(5 * SECOND)
         owners = [partition for relay in relays for partition in relay.owned(cluster.now)]
         assert len(owners) == len(set(owners))
@@ -402,21 +402,21 @@
     assert cluster.run(LEASE + 20 * SECOND, lambda: sum(len(relay.owned(cluster.now)) for relay in relays) == 6)
     cluster.run(3 * SETTINGS.renew_every)
     for controller in cluster.controllers.values():
-        assert sum(len(held.grants) for held in controller.register.sessions.values()) <= 6
+        assert sum(len(held.grants) for held in controller.grant_table.sessions.values()) <= 6
 
 
 def test_doubled_and_replayed_messages_change_nothing() -> None:
     cluster = Cluster().start_all()
     first = _owner(cluster)
-    cluster.from_holder(first.session, first.wish(cluster.now, ALL[:4]))
+    cluster.from_holder(first.session, first.set_assigned(cluster.now, ALL[:4]))
     second = _owner(cluster, "b", 2, ALL[4:])
     recorded = list(cluster.messages)
-    before = [(list(c.register.epochs), list(c.register.holders)) for c in cluster.controllers.values()]
+    before = [(list(c.grant_table.epochs), list(c.grant_table.holders)) for c in cluster.controllers.values()]
     random.Random(2).shuffle(recorded)
     cluster.drop = lambda sender, receiver, message: True
     for _, receiver, message in recorded:
         cluster.deliver(receiver, message)
-    assert [(c.register.epochs, c.register.holders) for c in cluster.controllers.values()] == before
+    assert [(c.grant_table.epochs, c.grant_table.holders) for c in cluster.controllers.values()] == before
     assert _owns(cluster, first, ALL[:4]) and _owns(cluster, second, ALL[4:])
 
 
@@ -436,10 +436,12 @@
     assert cluster.run(5 * SECOND, lambda: len(late) >= 3)
     first = list(late)
     cluster.drop = lambda sender, receiver, message: isinstance(receiver, Session)
-    assert cluster.run(5 * SECOND, lambda: all(link.request for link in relay._links) and relay.figures["unanswered"] > 2)
+    assert cluster.run(
+        5 * SECOND, lambda: all(link.request for link in relay._links) and relay.event_counts["unanswered"] > 2
+    )
     for answer in first:
         cluster.deliver(relay.session, answer)
-    assert not any(link.votes for link in relay._links) and relay.figures["late answers"] == len(first)
+    assert not any(link.votes for link in relay._links) and relay.event_counts["late answers"] == len(first)
 
 
 def test_the_end_of_a_relay_frees_its_partitions() -> None:
@@ -449,7 +451,7 @@
     cluster.run(SECOND)
     cluster.from_holder(first.session, first.release_all(cluster.now))
     assert not first.owned(cluster.now)
-    assert cluster.run(SETTINGS.most_retry, lambda: _owns(cluster, second))
+    assert cluster.run(SETTINGS.max_retry, lambda: _owns(cluster, second))
 
 
 def test_requests_are_few_while_all_is_refused() -> None:
