--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -165,8 +165,8 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the connection is idle and the kernel has received nothing on it, an EOF above all. The socket itself
-        is polled, since the event loop may not have delivered an EOF yet; a call written after it would end as a
+        """Whether the connection is idle and the kernel has received nothing on it, in particular no EOF. The socket
+        itself is polled, since the event loop may not have delivered an EOF yet; a call written after it would end as a
         reset."""
         if self.transport is None or self.transport.is_closing():
             return False
@@ -247,7 +247,7 @@
             self.timer = None
 
     def _partial_outcome(self) -> Outcome:
-        """The outcome of an answer that is not read to its end. It counts only whether bytes were received, and a 200."""
+        """The outcome of an answer that is not read to its end. Only a 200 counts, and whether bytes came."""
         if self.reader.delivered:
             return self.reader.outcome or Outcome(io.Status.OK, finished=True)
         # If no byte was received, or EOF cut the answer short, it is the connection that failed.
@@ -320,11 +320,11 @@
         self.close_idle(host)
 
     def gather(self) -> None:
-        """Defer the calls that begin from now on until ``release``."""
+        """Collect the calls that begin from now on instead of starting them."""
         self._gathered = []
 
     def gathered(self) -> list[PreparedCall]:
-        """The calls deferred since ``gather``; the caller passes them to ``release``. Deferring ends here."""
+        """Stop collecting and return the calls collected since ``gather``, to be passed to ``release``."""
         gathered, self._gathered = self._gathered or [], None
         return gathered
 
--- a/garnetrelay/fronts/resp/requests.py
+++ b/garnetrelay/fronts/resp/requests.py
@@ -21,7 +21,7 @@
     klass: str
     dest: int
     key: str | None
-    patience_ms: int
+    patience_ms: int  # the time left until its deadline
     body: bytes
 
 
--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -241,8 +241,8 @@
             reply.error(str(error))
 
     def _unread_ms(self) -> int:
-        """How long the command has waited in the kernel; its deadline counts that time. On a saturated core, or after
-        other connections that wait to be accepted, it exceeds the margin after the deadline."""
+        """How long the command has waited in the kernel, which counts towards its deadline. On a saturated core, or after
+        other connections that wait to be accepted, that exceeds the margin after the deadline."""
         if self.transport is None:
             return 0
         info = self.transport.get_extra_info("socket").getsockopt(
@@ -474,9 +474,8 @@
         if self._server is None or not self._server.sockets:
             return
         loop = asyncio.get_running_loop()
-        listening = socket.socket(
-            fileno=self._server.sockets[0].fileno()
-        )  # not a duplicate: descriptors may be exhausted
+        # Not a duplicate of the socket: descriptors may be exhausted.
+        listening = socket.socket(fileno=self._server.sockets[0].fileno())
         try:
             listening.setblocking(False)
             for _ in range(0 if self.ended else ACCEPT_BATCH):
--- a/garnetrelay/platform/notices.py
+++ b/garnetrelay/platform/notices.py
@@ -1,7 +1,7 @@
 """Notifies the platform of messages that ended without delivery, and retries until each notice is acknowledged.
 
-One connection, one POST at a time. A POST is written in the same tick that queued its notices, since they have a
-deadline and must not wait for the next tick.
+One connection, one POST at a time. A POST is written in the same batch that queued its notices, since they have a
+deadline and must not wait for the next tick of the loop.
 """
 
 from __future__ import annotations
--- a/tests/test_watch_moves.py
+++ b/tests/test_watch_moves.py
@@ -26,15 +26,15 @@
     await other.start()
     relay.reconfigure(dataclasses.replace(relay.config, discovery=Address.parse(other.address)))
     (await other.next_call()).answer(503)
-    asking = relay.pacer.discovery_schedule
-    await until(lambda: asking.failures == 1)
-    assert asking.next_call_at - relay.pacer.now <= MAX_REOPEN_DELAY_NS
+    schedule = relay.pacer.discovery_schedule
+    await until(lambda: schedule.failures == 1)
+    assert schedule.next_call_at - relay.pacer.now <= MAX_REOPEN_DELAY_NS
     refused = await other.next_call()
-    asked_at = asking.last_call_at
-    assert asked_at is not None
+    called_at = schedule.last_call_at
+    assert called_at is not None
     refused.answer(503)
-    await until(lambda: asking.failures == 2)
-    assert asking.next_call_at - asked_at <= MAX_CALL_INTERVAL_NS
+    await until(lambda: schedule.failures == 2)
+    assert schedule.next_call_at - called_at <= MAX_CALL_INTERVAL_NS
     await other.stop()
 
 
