--- a/garnetrelay/config/controller.py
+++ b/garnetrelay/config/controller.py
@@ -14,7 +14,7 @@
 from garnetrelay.config.fleet import read_secrets
 from garnetrelay.config.leases import TermsTable, check_controllers, settings
 from garnetrelay.fleet.leases.settings import Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 
 class ControllerTable(TermsTable, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -31,8 +31,8 @@
     """The same, checked."""
 
     number: int
-    listen: Place
-    places: tuple[Place, ...]
+    listen: SocketAddress
+    addresses: tuple[SocketAddress, ...]
     folder: Path
     secret_file: Path
     operators: Address | None
@@ -54,16 +54,16 @@
 
 
 def _check(table: ControllerTable, folder: Path) -> Controller:
-    places = check_controllers(table)
-    if table.number >= len(places):
-        raise ValueError(f"number: {table.number} of {len(places)} controllers: they are counted from 0")
+    addresses = check_controllers(table)
+    if table.number >= len(addresses):
+        raise ValueError(f"number: {table.number} of {len(addresses)} controllers: they are counted from 0")
     listen = place(table.listen, "listen", listens=True)
     if not listen.port:
         raise ValueError("listen: port 0: the others could not find it")
     found = Controller(
         number=table.number,
         listen=listen,
-        places=places,
+        addresses=addresses,
         folder=folder / table.folder,
         secret_file=folder / table.secret_file,
         operators=_operators(table.operators),
--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -9,9 +9,9 @@
 from msgspec import Meta
 
 from garnetrelay.config.addresses import place
-from garnetrelay.fleet.members.claims import MOST_NAME, UNKNOWN_ZONE, Place, Zone
+from garnetrelay.fleet.members.claims import MAX_NAME_BYTES, UNKNOWN_ZONE, SocketAddress, Zone
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
-from garnetrelay.fleet.signing import LEAST_SECRET
+from garnetrelay.fleet.signing import MIN_SECRET_BYTES
 
 if TYPE_CHECKING:
     from garnetrelay.config.leases import Leases
@@ -41,9 +41,9 @@
 class Fleet(msgspec.Struct, frozen=True):
     """The same, checked."""
 
-    listen: Place  # port 0: any
-    advertise: Place | None
-    seeds: tuple[Place, ...]
+    listen: SocketAddress  # port 0: any
+    advertise: SocketAddress | None
+    seeds: tuple[SocketAddress, ...]
     secret_file: Path
     settings: Settings
     zone: int = UNKNOWN_ZONE
@@ -63,8 +63,8 @@
     if not 1 <= len(lines) <= MOST_SECRETS:
         raise ValueError(f"{path}: {len(lines)} lines; a secret stands in one, a second one is good during a change")
     for number, line in enumerate(lines, 1):
-        if len(line) < LEAST_SECRET:
-            raise ValueError(f"{path}:{number}: a secret has {LEAST_SECRET} bytes at least")
+        if len(line) < MIN_SECRET_BYTES:
+            raise ValueError(f"{path}:{number}: a secret has {MIN_SECRET_BYTES} bytes at least")
     if len(set(lines)) < len(lines):
         raise ValueError(f"{path}: the two secrets are the same")
     return lines
@@ -72,8 +72,8 @@
 
 def check(table: FleetTable, folder: Path, name: str) -> Fleet:
     """The table as it is used; ValueError in one line. ``folder``: where relative paths begin."""
-    if not 1 <= len(name) <= MOST_NAME or not name.isascii() or not name.isprintable() or " " in name:
-        raise ValueError(f"fleet: the relay's name '{name[:80]}' is not 1 to {MOST_NAME} printable characters")
+    if not 1 <= len(name) <= MAX_NAME_BYTES or not name.isascii() or not name.isprintable() or " " in name:
+        raise ValueError(f"fleet: the relay's name '{name[:80]}' is not 1 to {MAX_NAME_BYTES} printable characters")
     if table.probe_timeout_ms * 2 > table.probe_every_ms:
         raise ValueError("fleet.probe_timeout_ms: half of probe_every_ms at most")
     listen = place(table.listen, "fleet.listen", listens=True)
@@ -88,12 +88,12 @@
         seeds,
         secret_file,
         Settings(
-            probe_every=table.probe_every_ms * MS,
+            probe_interval=table.probe_every_ms * MS,
             probe_timeout=table.probe_timeout_ms * MS,
-            suspicion=table.suspicion,
+            suspicion_multiplier=table.suspicion,
             forget_after=table.forget_s * SECOND,
-            most_members=table.most_members,
-            exchange_every=30 * table.probe_every_ms * MS,
+            max_members=table.most_members,
+            exchange_interval=30 * table.probe_every_ms * MS,
             versions=table.frames,
         ),
         table.zone,
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, SendToController, Session
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.partitions.assignment import NO_OWNER, Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
@@ -39,7 +39,7 @@
         """Changes with who is there."""
         ...
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """Who is there, and what that is worth."""
         ...
 
@@ -53,7 +53,7 @@
         name: str,
         shared_secrets: list[bytes],
         members: Membership,
-        send: Callable[[Place, bytes], bool],
+        send: Callable[[SocketAddress, bytes], bool],
     ) -> None:
         """``send`` takes a datagram; whether it went."""
         self.config = config
@@ -78,7 +78,7 @@
 
     def start(self) -> None:
         """Greet the controllers; partitions are asked for when there is a view to go by."""
-        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
+        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.addresses))
         self._carry_out(self.holder.set_assigned(clock.now(), ()))
         self.on_view_change()
 
@@ -87,7 +87,7 @@
         sides of a cut would take each other's partitions for free otherwise, and ask for what they can't get."""
         if self._closed or self._assigning is not None or self._members.view == self._assigned_view:
             return
-        view = self._members.view_of_members()
+        view = self._members.fleet_view()
         if view.relies.count:
             self._assigning = self._loop.create_task(self._assign(view))
 
@@ -146,7 +146,7 @@
 
     # ---- what happens
 
-    def receive(self, data: bytes, source: Place) -> None:
+    def receive(self, data: bytes, source: SocketAddress) -> None:
         """A datagram of this protocol."""
         self.datagrams_in += 1
         self.bytes_in += len(data)
@@ -178,7 +178,7 @@
             match effect:
                 case SendToController(number, message):
                     data = self.codec.encode(message)
-                    if self._send(self.config.places[number], data):
+                    if self._send(self.config.addresses[number], data):
                         self.datagrams_out += 1
                         self.bytes_out += len(data)
                 case LogLine(text, level):
--- a/garnetrelay/fleet/life.py
+++ b/garnetrelay/fleet/life_file.py
@@ -2,7 +2,7 @@
 
 One small file, replaced whole: a first line with version and checksum, then JSON. It is written before the first frame of
 a life, so that no life is used twice from one folder. One that can't be read counts as none: the others know the last
-life of this name, and the relay goes on behind it (`members/own.py`).
+life of this name, and the relay goes on behind it (`members/local_member.py`).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from garnetrelay.fleet.members.claims import Life, Place
+from garnetrelay.fleet.members.claims import Life, SocketAddress
 from garnetrelay.store.storage import Folder
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 FILE = "fleet"
 VERSION = 1
 MOST_PLACES = 16
-MOST_BYTES = 2048  # of four blocks; old and new take FLEET_FILE of ``config/deployment.py``
+MOST_BYTES = 2048  # of four blocks; old and new take FLEET_STATE_BYTES of ``config/deployment.py``
 
 
 class Kept(msgspec.Struct, frozen=True):
@@ -67,7 +67,7 @@
             log.error("fleet: the life number can't be read, the others will tell it: %s", error)
             return None
 
-    def keep(self, life: int, places: list[Place]) -> None:
+    def keep(self, life: int, places: list[SocketAddress]) -> None:
         """Put a life on record; OSError where it can't be."""
         kept = Kept(life, [(place.host, place.port) for place in places[:MOST_PLACES]])
         self._folder.replace(FILE, encode(kept), self._sync)
--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -5,39 +5,39 @@
 import logging
 from dataclasses import dataclass
 
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.frames import Frame
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendFrame:
     """A datagram."""
 
-    place: Place
+    place: SocketAddress
     frame: Frame
     version: int
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class StartExchange:
     """A full exchange with whoever hears there."""
 
-    place: Place
+    place: SocketAddress
 
 
 @dataclass(frozen=True, slots=True)
-class KeepLife:
+class StoreLife:
     """Put a life on record; then say that it is kept."""
 
     life: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """A line for the log."""
 
     text: str
     level: int = logging.INFO
 
 
-Effect = Tell | Exchange | KeepLife | Note
+Effect = SendFrame | StartExchange | StoreLife | LogLine
--- a/garnetrelay/fleet/words.py
+++ b/garnetrelay/fleet/status.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.condition import RELIES
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.table import Member, Path
-from garnetrelay.operators.figures import escaped
+from garnetrelay.fleet.members.view_state import RELIES
+from garnetrelay.operators.metrics import escaped
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -49,12 +49,12 @@
     zone: int = 0  # 0: not known
 
 
-def state(members: Members, now: int) -> State:
+def state(members: Membership, now: int) -> State:
     """What this relay's picture is worth."""
     same, other = members.sharing()
     ages = [members.age(name, now) for name in members.table.members]
     oldest = None if not ages or None in ages else max(age for age in ages if age is not None) / 1e9
-    own = members.own.claim
+    own = members.local.claim
     return State(
         own.name,
         own.life,
@@ -67,19 +67,19 @@
         same,
         other,
         None if oldest is None else round(oldest, 3),
-        members.settings.word_bound(members.count) / 1e9,
+        members.settings.max_observation_age(members.count) / 1e9,
         members.slow,
         own.zone,
     )
 
 
-def lines(members: Members, now: int) -> Iterator[Line]:
+def lines(members: Membership, now: int) -> Iterator[Line]:
     """All others, by name; those that have gone behind."""
     for member in sorted(members.table, key=lambda member: (member.claim.final, member.claim.name)):
         yield line(members, member, now)
 
 
-def line(members: Members, member: Member, now: int) -> Line:
+def line(members: Membership, member: Member, now: int) -> Line:
     """What is said of one member: ages in seconds, and whether it holds the view of ``members``."""
     claim = member.claim
     fresh = member.word_at is not None and member.word_at >= members.view_changed_at and member.word_view >= 0
@@ -88,7 +88,7 @@
         claim.life,
         claim.born,
         claim.status.name.lower(),
-        str(claim.place),
+        str(claim.address),
         None if member.word_at is None else round((now - member.word_at) / 1e9, 3),
         "unknown" if not fresh else "same" if member.word_view == members.view else "other",
         "" if member.path is Path.WHOLE else member.path.value,
@@ -98,19 +98,19 @@
     )
 
 
-def explain(members: Members, name: str, now: int) -> list[str] | None:
+def explain(members: Membership, name: str, now: int) -> list[str] | None:
     """Why a member is held for what it is, in sentences; None where the name is not known."""
-    if name == members.own.claim.name:
+    if name == members.local.claim.name:
         return _explain_self(members, now)
     member = members.table.get(name)
     if member is None:
         return None
     claim, told = member.claim, line(members, member, now)
-    said = [f"{claim.said()}, for {told.since:.1f} s; at {claim.place}, reads frames up to version {claim.speaks}"]
+    said = [f"{claim.said()}, for {told.since:.1f} s; at {claim.address}, reads frames up to version {claim.speaks}"]
     if claim.born < claim.life:
         said.append(f"its process began in life {claim.born}, and went on in this one after others held it for failed")
     if claim.status is Status.SUSPECT and member.suspicion is not None:
-        left = (members.holding.suspicion_ends(member) - now) / 1e9
+        left = (members.local_view.suspicion_ends(member) - now) / 1e9
         also = ", ".join(sorted(member.suspicion.by)) or "nobody else"
         said.append(f"suspected by {claim.by}, also by {also}; failed in {left:.1f} s unless it speaks up")
     if claim.status is Status.FAILED:
@@ -138,15 +138,15 @@
     return said
 
 
-def _explain_self(members: Members, now: int) -> list[str]:
-    own, told = members.own, state(members, now)
+def _explain_self(members: Membership, now: int) -> list[str]:
+    own, told = members.local, state(members, now)
     said = [
         f"this relay: {own.claim.said()}, {told.condition} for {told.since:.1f} s: {told.why}",
         f"to be relied on: {told.relies}",
         f"{told.members} in its view {told.view}: {told.same} others are known to hold it, {told.other} another one",
     ]
     if own.aside is not None:
-        said.append(f"it stands aside for {own.aside.said()} at {own.aside.place}, a process of the same name")
+        said.append(f"it stands aside for {own.aside.said()} at {own.aside.address}, a process of the same name")
     if own.wanted:
         said.append(f"it goes on in life {own.wanted} once that number is in its folder")
     if own.left:
@@ -156,7 +156,7 @@
     return said
 
 
-def figures(members: Members, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
+def metrics(members: Membership, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
     """The fleet's part of the figures, a line each."""
     told, count = state(members, now), Counter(member.claim.status.name.lower() for member in members.table)
     rows: list[tuple[str, float]] = [
@@ -166,10 +166,10 @@
         ("views_same", told.same),
         ("views_other", told.other),
         ("slow", told.slow),
-        ("suspicions", members.holding.figures.suspected),
-        ("judged_failed", members.holding.figures.failed),
-        ("refuted", members.holding.figures.refuted),
-        ("slept", members.figures.slept),
+        ("suspicions", members.local_view.counters.suspected),
+        ("judged_failed", members.local_view.counters.failed),
+        ("refuted", members.local_view.counters.refuted),
+        ("slept", members.counters.slept),
         ("frames_out", frames_out),
         ("bytes_in", bytes_in),
         ("bytes_out", bytes_out),
@@ -179,12 +179,12 @@
     rows += [(f'others{{status="{status}"}}', count[status]) for status in ("alive", "suspect", "failed", "left")]
     rows += [
         (f'frames_in{{kind="{escaped(kind.lower())}"}}', number)
-        for kind, number in sorted(members.figures.frames.items())
+        for kind, number in sorted(members.counters.frames.items())
     ]
     rows += [
         (f'frames_refused{{cause="{escaped(cause)}"}}', number)
-        for cause, number in sorted((members.figures.refused + refused).items())
+        for cause, number in sorted((members.counters.refused + refused).items())
     ]
-    if members.holding.figures.no_room:
-        rows.append(("no_room", members.holding.figures.no_room))
+    if members.local_view.counters.no_room:
+        rows.append(("no_room", members.local_view.counters.no_room))
     return "".join(f"relay_fleet_{name} {value:g}\n" for name, value in rows)
--- a/garnetrelay/fleet/transport.py
+++ b/garnetrelay/fleet/transport.py
@@ -14,7 +14,7 @@
 from collections.abc import Awaitable, Callable
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 
 log = logging.getLogger(__name__)
 
@@ -28,8 +28,8 @@
 BIND_TRIES = 40  # an upgraded process has just let go of the address
 BIND_PAUSE = 0.05
 
-Hears = Callable[[fr.AnyFrame, Place], None]
-HearsBytes = Callable[[bytes, Place], None]
+Hears = Callable[[fr.AnyFrame, SocketAddress], None]
+HearsBytes = Callable[[bytes, SocketAddress], None]
 
 
 class Transport:
@@ -50,7 +50,7 @@
         self._second = 0
         self._taken = 0
 
-    async def start(self, listen: Place, answer: Callable[[Stream], Awaitable[None]]) -> Place:
+    async def start(self, listen: SocketAddress, answer: Callable[[Stream], Awaitable[None]]) -> SocketAddress:
         """Take the address; the one that came of it. ``answer`` is called for each exchange that another begins."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -76,7 +76,7 @@
             try:
                 listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 listener.bind(listen)
-                found = Place(*listener.getsockname()[:2])
+                found = SocketAddress(*listener.getsockname()[:2])
                 datagrams.bind(found)
             except OSError:
                 listener.close()
@@ -90,7 +90,9 @@
         datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
         self._datagrams, self._host = datagrams, found.host
         self._loop.add_reader(datagrams, self._readable)
-        self._server = await asyncio.start_server(serve, sock=listener, limit=fr.MOST_EXCHANGE + LENGTH.size, backlog=64)
+        self._server = await asyncio.start_server(
+            serve, sock=listener, limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size, backlog=64
+        )
         return found
 
     def close(self) -> None:
@@ -103,14 +105,14 @@
             self._server.close()
             self._server = None
 
-    def send(self, place: Place, frame: fr.Frame, version: int) -> None:
+    def send(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram; one that can't go now is lost, as others are on their way."""
         data = self.codec.encode(frame, version)
         if self.send_bytes(place, data):
             self.frames_out += 1
             self.bytes_out += len(data)
 
-    def send_bytes(self, place: Place, data: bytes) -> bool:
+    def send_bytes(self, place: SocketAddress, data: bytes) -> bool:
         """The same for a datagram of any protocol; whether it went."""
         if self._datagrams is None:
             return False
@@ -127,15 +129,15 @@
             if self._datagrams is None:
                 return
             try:
-                data, source = self._datagrams.recvfrom(fr.MOST_DATAGRAM + 1)
+                data, source = self._datagrams.recvfrom(fr.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an earlier one did not arrive: that is told here
                 log.debug("fleet: %s", error)
                 continue
-            self._take(data, Place(*source[:2]))
+            self._take(data, SocketAddress(*source[:2]))
 
-    def _take(self, data: bytes, source: Place) -> None:
+    def _take(self, data: bytes, source: SocketAddress) -> None:
         hears_bytes = self.protocols.get(data[:2])
         if hears_bytes is None:
             self.bytes_in += len(data)
@@ -159,14 +161,14 @@
         self._taken += 1
         return self._taken > MOST_A_SECOND
 
-    async def begin(self, place: Place) -> Stream | None:
+    async def begin(self, place: SocketAddress) -> Stream | None:
         """A connection for an exchange; None where as many as may be are open."""
         if self._begun >= MOST_BEGUN or self._server is None:
             return None
         self._begun += 1
         try:
             reader, writer = await asyncio.open_connection(
-                place.host, place.port, local_addr=(self._host, 0), limit=fr.MOST_EXCHANGE + LENGTH.size
+                place.host, place.port, local_addr=(self._host, 0), limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size
             )
         except BaseException:
             self._begun -= 1
@@ -196,7 +198,7 @@
     async def receive(self) -> fr.AnyFrame:
         """The next frame; EOFError or ValueError where none comes that can be used."""
         (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
-        if length > fr.MOST_EXCHANGE:
+        if length > fr.MAX_EXCHANGE_BYTES:
             self._transport.refused["long"] += 1
             raise ValueError(f"a frame of {length} bytes")
         data = await self._reader.readexactly(length)
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -41,11 +41,11 @@
     from garnetrelay.fleet.service import Fleet
     from garnetrelay.handover.receiver import Inheritance, PredecessorLink
     from garnetrelay.handover.sender import HandoverSender
-    from garnetrelay.operators.figures import Gauges
+    from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
     from garnetrelay.ownership import Owners
-    from garnetrelay.store.ahead import Ahead
-    from garnetrelay.store.durability import Syncing
+    from garnetrelay.store.durability import SyncWorker
+    from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Ahead | None = None) -> None:
+    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Preloaded | None = None) -> None:
         self.config = config
         self.inheritance = inheritance
         self.settings = config.settings
@@ -100,7 +100,7 @@
         self.unreleased = 0  # turns whose records are on their way to the disk
         self.closed = False
         self.tending: asyncio.TimerHandle | None = None
-        self.syncing: Syncing | None = None
+        self.syncing: SyncWorker | None = None
         self.serving = False
         self.stopping = False
         self.time_is_up = False
@@ -110,7 +110,7 @@
             config.settings,
             self._host_room,
             lambda: self.server.close_longest_idle(),
-            self.journal.on_record,
+            self.journal.when_recorded,
             config.machine_durable,
         )
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
@@ -136,9 +136,9 @@
         """Pick up what an earlier life left, then listen; the address that clients may use."""
         gc.freeze()  # what was read stays: no collection has to look at it again
         if self.config.machine_durable:
-            from garnetrelay.store.durability import Syncing  # a thread: only where it is wanted
+            from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
-            self.syncing = Syncing(self.journal)
+            self.syncing = SyncWorker(self.journal)
         if self.config.operators is not None:
             from garnetrelay.operators.service import Operators  # only where staff may call
 
@@ -237,7 +237,7 @@
 
     def gauges(self) -> Gauges:
         """Its figures that go by no class, as they are now."""
-        from garnetrelay.operators.figures import Gauges  # only where staff may call
+        from garnetrelay.operators.metrics import Gauges  # only where staff may call
 
         return Gauges(
             attempts=self.hosts.calls_written,
@@ -276,12 +276,12 @@
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
         """Staff called the process before; why it can't be done, or nothing."""
-        from garnetrelay.operators.calls import CallRefusedError
+        from garnetrelay.operators.commands import CommandRefusedError
 
         assert self.operators is not None
         try:
             self.operators.exclude(host, out)
-        except CallRefusedError as refused:
+        except CommandRefusedError as refused:
             return str(refused)
         return ""
 
@@ -420,7 +420,7 @@
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
         self.unreleased += 1
-        self.journal.on_record(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
+        self.journal.when_recorded(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
         self._tend()
         if self.stopping:
             self._end_if_idle()
@@ -446,9 +446,9 @@
         """A small step of compaction, and another soon where there is more to do."""
         if self.closed:
             return
-        self.journal.tend()
-        if self.journal.busy and self.tending is None:
-            pause = BROKEN_PAUSE if self.journal.broken else TEND_PAUSE
+        self.journal.maintain()
+        if self.journal.needs_maintenance and self.tending is None:
+            pause = BROKEN_PAUSE if self.journal.write_failed else TEND_PAUSE
             self.tending = asyncio.get_running_loop().call_later(pause, self._tend_again)
 
     def _tend_again(self) -> None:
@@ -468,7 +468,9 @@
                 newcomer.reply.busy(0)
                 self.post(io.Withdrawn(ref))
                 continue
-            self.journal.taken(Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body))
+            self.journal.record_accepted(
+                Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
+            )
             self.held[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
             noted.append(newcomer)
         return noted
@@ -480,7 +482,7 @@
             newcomer.reply.ok()
             return
         self.held.pop(ref, None)
-        self.journal.ended(ref, None)
+        self.journal.record_end(ref, None)
         self.counts.refused[newcomer.request.klass] += 1
         newcomer.reply.busy(0)
         self.post(io.Withdrawn(ref))
@@ -567,7 +569,7 @@
 
     def _told(self, ref: str) -> None:
         """The platform has acknowledged a notice."""
-        self.journal.told(ref)
+        self.journal.record_notice_acknowledged(ref)
         self._flush_soon()
 
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
@@ -577,7 +579,7 @@
             if message.exchange is None:
                 del self.held[ref]
         elif ref in self.journal.entries:
-            self.journal.ended(ref, result, wait_ms)
+            self.journal.record_end(ref, result, wait_ms)
             self.ends.append((ref, result, wait_ms))
 
     def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
@@ -592,6 +594,6 @@
         )
         by_class[message.klass] += 1
         told = result or tell
-        self.journal.ended(message.ref, told, wait_ms)
+        self.journal.record_end(message.ref, told, wait_ms)
         if told is not None:
             self.ends.append((message.ref, told, wait_ms))
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, Claim, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory import hostile
 from garnetrelay.laboratory.world import Node, World
@@ -38,13 +38,13 @@
         "number": 1 << 62,
         "claims": [CLAIM.judged(Status.FAILED, "n2")],
         "summary": fr.Summary(0xFFFFFFFF, 1000),
-        "words": fr.pack_words([fr.Word(1, 20, 3)] * fr.MOST_WORDS),
+        "observations": fr.pack_observations([fr.Observation(1, 20, 3)] * fr.MAX_OBSERVATIONS),
     }
     for frame in (
         fr.Ping(origin="n3", **rest),  # type: ignore[arg-type]
         fr.Ack(heard=-1, **rest),  # type: ignore[arg-type]
         fr.AskFor(target="n2", host="::1", port=1, **rest),  # type: ignore[arg-type]
-        fr.Vouch(target="n2", life=MOST_LIFE, process=0, incarnation=MOST_INCARNATION, **rest),  # type: ignore[arg-type]
+        fr.Vouch(target="n2", life=MAX_LIFE, process=0, incarnation=MAX_INCARNATION, **rest),  # type: ignore[arg-type]
         fr.Nack(**rest),  # type: ignore[arg-type]
     ):
         assert codec.decode(codec.encode(frame, 2)) == frame
@@ -54,7 +54,7 @@
 
 def test_what_a_version_does_not_have_is_left_out() -> None:
     codec = fr.Codec([NEW])
-    data = codec.encode(ping(summary=fr.Summary(1, 2), words=bytes(12)), 1)
+    data = codec.encode(ping(summary=fr.Summary(1, 2), observations=bytes(12)), 1)
     assert data[2] == 1 and codec.decode(data) == ping()
 
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("version", fr.VERSIONS)
 def test_relays_of_before_zones_are_read_and_read_claims_with_a_zone(version: int) -> None:
     codec = fr.Codec([NEW])
-    body = codec.encode(ping(claims=[CLAIM]), version)[fr.HEAD :]
+    body = codec.encode(ping(claims=[CLAIM]), version)[fr.HEADER_BYTES :]
     kind, sender, *rest = msgspec.msgpack.decode(body)
     before: ClaimOfBefore = msgspec.msgpack.decode(msgspec.msgpack.encode(sender), type=ClaimOfBefore)
     assert sender[-1] == 6 and before == ClaimOfBefore("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("zone", [-1, 256, "one", None])
 def test_a_zone_out_of_bounds_is_refused(zone: object) -> None:
     codec = fr.Codec([NEW])
-    kind, sender, *rest = msgspec.msgpack.decode(codec.encode(ping(), 2)[fr.HEAD :])
+    kind, sender, *rest = msgspec.msgpack.decode(codec.encode(ping(), 2)[fr.HEADER_BYTES :])
     assert cause(codec, codec.sign(msgspec.msgpack.encode([kind, [*sender[:-1], zone], *rest]), 2)) == "malformed"
 
 
@@ -116,10 +116,10 @@
         fr.Codec([NEW]),
         Claim(
             "n" * 64,
-            MOST_LIFE,
+            MAX_LIFE,
             (1 << 32) - 1,
-            MOST_LIFE,
-            MOST_INCARNATION,
+            MAX_LIFE,
+            MAX_INCARNATION,
             Status.SUSPECT,
             "f" * 39,
             65535,
@@ -148,7 +148,7 @@
     assert members is not None and len(heard) > 30
 
     def state() -> tuple[object, ...]:
-        return list(members.table.claims()), members.own.claim, members.view, members.condition
+        return list(members.table.claims()), members.local.claim, members.view, members.condition
 
     before, refused, taken = state(), set(), set()
     for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), 3000):
@@ -161,7 +161,7 @@
             members.receive(world.now, frame, hostile.STRANGER)
         assert state() == before, kind
     assert taken == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
-    assert members.figures.refused.keys() >= {"replayed", "unproven"}
+    assert members.counters.refused.keys() >= {"replayed", "unproven"}
 
 
 @given(st.lists(st.integers(0, 600), max_size=60))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -497,7 +497,7 @@
     client = await field.start()
     relay = field.relays[0]
     callbacks: list[Any] = []
-    monkeypatch.setattr(relay.journal, "on_record", callbacks.append)
+    monkeypatch.setattr(relay.journal, "when_recorded", callbacks.append)
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(callbacks))
     monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
@@ -653,7 +653,7 @@
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
     for n in range(15):
-        journal.taken(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
+        journal.record_accepted(Entry(f"old{n}", "safe", 3, None, now + 4000, b"x"))
     journal.close()
     client = await field.start()
     for n in range(20):
