--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -277,22 +277,22 @@
 
 
 class Hosts:
-    """The connections to all hosts, and the exchanges on them. ``on_record`` writes the pending journal records and then
-    calls back with whether that succeeded: at once, or later if ``delayed``."""
+    """The connections to all hosts, and the exchanges on them. ``when_recorded`` calls back once the journal's
+    records are written, with whether that succeeded: at once, or later if ``delayed``."""
 
     def __init__(
         self,
         settings: io.Settings,
         remaining_capacity: Callable[[], int],
         free_descriptor: Callable[[], bool],
-        on_record: Callable[[Callable[[bool], None]], None],
+        when_recorded: Callable[[Callable[[bool], None]], None],
         delayed: bool = False,
     ) -> None:
         self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
         self.idle_time = IDLE_SHARE * settings.limits.conn_idle / SECOND
         self.remaining_capacity = remaining_capacity  # how many more connections may be opened
         self.free_descriptor = free_descriptor  # closes an idle client connection; False: there is none to close
-        self.on_record = on_record
+        self.when_recorded = when_recorded
         self.delayed = delayed
         self.addresses: dict[str, Address] = {}
         self.open: set[Connection] = set()
@@ -407,7 +407,7 @@
         elif self._gathered is not None:
             self._gathered.append((connection, exchange, request))
         else:
-            self.on_record(functools.partial(self._start, connection, exchange, request))
+            self.when_recorded(functools.partial(self._start, connection, exchange, request))
 
     def _start(self, connection: Connection, exchange: Exchange, request: bytes, recorded: bool) -> None:
         if recorded and not exchange.ended and self._may_start(connection, exchange):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -567,7 +567,7 @@
     net = field.relays[0].hosts
     outcomes: list[Outcome] = []
     callbacks: list[object] = []
-    net.on_record = callbacks.append
+    net.when_recorded = callbacks.append
     exchange = hosts.Exchange("s-1", 1 << 62, lambda address: hosts.probe_request(address, False), outcomes.append)
     net.begin(exchange)
     await until(lambda: bool(callbacks))
@@ -586,7 +586,7 @@
     relay = field.relays[0]
     watch = await field.platform.next_watch()
     callbacks: list[Any] = []
-    relay.hosts.on_record = callbacks.append
+    relay.hosts.when_recorded = callbacks.append
     relay._probe(io.Probe("s-1", 1 << 62))
     await until(lambda: bool(callbacks))
     watch.line(listing(42, endpoint(field.host, status="Terminating")))
