--- a/garnetrelay/fronts/resp/server.py
+++ b/garnetrelay/fronts/resp/server.py
@@ -531,7 +531,7 @@
     def connection_counts(self) -> str:
         """How many connections are in which state, for the log."""
         return (
-            f"{len(self.connections)} open, {len(self.idle)} idle, {len(self.without_command)} without "
+            f"{len(self.connections)}, of them {len(self.idle)} idle, {len(self.without_command)} without "
             f"a command yet, {len(self.lingering)} rejected"
         )
 
