--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.config.deployment import Address
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, Door
+from garnetrelay.handover.channel import FRAME_TIME, Channel, ChannelError, HandoverSocket
 from garnetrelay.store.preload import Preloaded, preload_folder
 from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Inheritance:
+class ReceivedHandover:
     """A relay as it passed to this process."""
 
     channel: Channel
@@ -36,7 +36,7 @@
     idle: list[tuple[p.Idle, socket.socket]] = field(default_factory=list)
     calls: dict[str, tuple[p.Out, socket.socket]] = field(default_factory=dict)
 
-    def taken(self) -> None:
+    def confirm_taken(self) -> None:
         """This process serves."""
         try:
             self.channel.send(p.Taken())
@@ -56,7 +56,7 @@
         self.channel.close()
 
 
-def read_folder(folder: Path) -> Preloaded | None:
+def preload_journal(folder: Path) -> Preloaded | None:
     """What the process that serves has on record by now; None where none does. This takes its time while it serves:
     behind the hand-over only what came since is left to read."""
     door = Folder(folder)
@@ -71,17 +71,17 @@
             gc.enable()
 
 
-def ask(folder: Path) -> Inheritance | None:
+def request_handover(folder: Path) -> ReceivedHandover | None:
     """The relay of the process that serves from a folder; None where none does, or where it dies of it: then a
     start from the folder is right. So it is where it does not give the relay away: then the claim says the rest."""
-    door = Door(folder)
+    door = HandoverSocket(folder)
     try:
-        channel = door.call()
+        channel = door.connect()
     finally:
         door.close()
     if channel is None:
         return None
-    found: Inheritance | None = None
+    found: ReceivedHandover | None = None
     taking, patience = p.ReceiverState(), GIVE_TIME
     try:
         channel.send(p.Hello([p.VERSION]))
@@ -105,11 +105,11 @@
         return None
 
 
-def _take(channel: Channel, found: Inheritance | None, frame: p.Frame, descriptors: list[int]) -> Inheritance:
+def _take(channel: Channel, found: ReceivedHandover | None, frame: p.Frame, descriptors: list[int]) -> ReceivedHandover:
     """Keep what a frame brought; its order and counts have been checked."""
     if isinstance(frame, p.State):
         claim, listener = descriptors
-        return Inheritance(channel, frame, claim, socket.socket(fileno=listener))
+        return ReceivedHandover(channel, frame, claim, socket.socket(fileno=listener))
     assert found is not None
     sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
     match frame:
@@ -156,6 +156,6 @@
             channel.close()
 
 
-def discovery(told: str, configured: Address, in_file: Address) -> Address:
+def discovery_address(told: str, configured: Address, in_file: Address) -> Address:
     """Where to watch: a SIGHUP has moved the old process to what the file says; else what this start was told."""
     return in_file if told == str(in_file) else configured
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from garnetrelay.handover import protocol as p
-from garnetrelay.handover.channel import Channel, ChannelError, Door
+from garnetrelay.handover.channel import Channel, ChannelError, HandoverSocket
 from starlingwick import interface as io
 from starlingwick.queues import NEVER
 from starlingwick.snapshot import take_snapshot
@@ -48,7 +48,7 @@
         return 0
 
 
-def start_anew() -> None:
+def restart_process() -> None:
     """Begin this very process again, as it was begun: its descriptors close with it, the folder has the rest."""
     logging.shutdown()
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # until the new text says what it does with it
@@ -64,13 +64,13 @@
         self.state = p.SenderState()
         self.channel: Channel | None = None
         self.task: asyncio.Task[None] | None = None
-        self.start_anew = start_anew
-        self.door = Door(relay.config.state)
+        self.restart_process = restart_process
+        self.door = HandoverSocket(relay.config.state)
         self.listener = self.door.listen()
         self.loop.add_reader(self.listener, self._accept)
 
     @property
-    def passed(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether the relay is the new process's."""
         return self.state.owner is p.Owner.NEW
 
@@ -97,7 +97,7 @@
         self.task = None
         if not task.cancelled() and (error := task.exception()) is not None:
             log.error("upgrade failed", exc_info=error)
-            if self.passed:
+            if self.handed_over:
                 self._follow(self.state.lost())
 
     # ---- up to the freeze
@@ -119,7 +119,7 @@
             return
         log.info("upgrade: process %d takes over", channel.peer[0])
         self.channel = channel
-        listener = await self._quieten()
+        listener = await self._quiesce()
         if not self._settled():
             self._resume()
             channel.close()
@@ -139,7 +139,7 @@
         if relay.journal.write_failed:
             return "its folder takes no records"
         ours, theirs = resident(os.getpid()), resident(channel.peer[0])
-        held = sum(len(message.body) + OVER_BODY for message in relay.held.values())
+        held = sum(len(message.body) + OVER_BODY for message in relay.pending.values())
         if not p.bears(relay.config.memory_bytes, ours, theirs, held):
             return (
                 f"{relay.config.memory_bytes >> 20} MB do not bear both processes: this one has {ours >> 20}, the "
@@ -161,16 +161,16 @@
         finally:
             self.loop.remove_reader(channel.socket)
 
-    async def _quieten(self) -> socket.socket:
+    async def _quiesce(self) -> socket.socket:
         """No call begins any more, and no connection is taken up: what is under way comes to where it can pass."""
         relay = self.relay
         relay.post(io.Stopping(time.monotonic_ns()))
         listener = await relay.server.stop_listening()
         end = time.monotonic() + QUIET_TIME
         await asyncio.sleep(0)
-        while self._unquiet() and time.monotonic() < end or relay.syncing is not None and relay.syncing.running:
+        while self._unquiet() and time.monotonic() < end or relay.sync_worker is not None and relay.sync_worker.running:
             await asyncio.sleep(STEP)
-        for _, exchange in list(_out(relay.held.values())):
+        for _, exchange in list(_out(relay.pending.values())):
             if exchange.connection is None:
                 exchange.abandon()
             elif not exchange.connection.can_hand_over:
@@ -179,15 +179,15 @@
 
     def _unquiet(self) -> bool:
         relay = self.relay
-        return bool(relay.turn_due or relay.unreleased or relay.hosts.opening) or any(
+        return bool(relay.tick_scheduled or relay.unrecorded_ticks or relay.hosts.opening) or any(
             exchange.connection is None or not exchange.connection.can_hand_over
-            for _, exchange in _out(relay.held.values())
+            for _, exchange in _out(relay.pending.values())
         )
 
     def _settled(self) -> bool:
         """The last turns; whether all that they decided is on record. From here on nothing waits for the loop."""
         for _ in range(8):
-            self.relay.turn()
+            self.relay.tick()
             if not self.relay.inbox:
                 break
         return not self.relay.inbox and self.relay.journal.flush_and_sync()
@@ -222,7 +222,7 @@
                 )
                 for connection in idle:
                     connection.close_after_handover()
-            for calls in _batches(_passing(relay.held.values())):
+            for calls in _batches(_passing(relay.pending.values())):
                 connections = [connection for _, _, connection in calls]
                 channel.send(
                     p.Calls(
@@ -253,7 +253,7 @@
                 os.close(claim)
             listener.close()
         relay.hosts.close()  # what does not pass ends here
-        relay.held.clear()
+        relay.pending.clear()
         return step
 
     def _state(self) -> p.State:
@@ -277,9 +277,9 @@
             relay.discovery.index,
             str(relay.config.discovery),
             endpoints,
-            list(relay.gone),
+            list(relay.delisted),
             take_snapshot(relay.pacer),
-            None if relay.fleet is None else relay.fleet.passing(),
+            None if relay.fleet is None else relay.fleet.handover_state(),
         )
 
     # ---- behind it
@@ -326,13 +326,13 @@
                     self.channel.receive()  # its end
                 except (ChannelError, ProcessLookupError):
                     pass
-                self.start_anew()
+                self.restart_process()
             case p.Step.START_ANEW if self.relay.stopping:  # it was told to end while it handed over
                 log.error("upgrade: broken off, and this process was told to end: the folder keeps the rest")
                 self.relay.finished.set()
             case p.Step.START_ANEW:
                 log.error("upgrade: starting anew from the folder")
-                self.start_anew()
+                self.restart_process()
             case _:
                 pass
 
@@ -369,5 +369,5 @@
 def _passing(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
     """Calls that pass. That of a message which has ended meanwhile is not waited for: its connection closes."""
     for message, exchange in _out(messages):
-        if not message.over and exchange.connection is not None and exchange.connection.can_hand_over:
+        if not message.ended and exchange.connection is not None and exchange.connection.can_hand_over:
             yield message, exchange, exchange.connection
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -26,12 +26,12 @@
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
-from garnetrelay.pending import Newcomer, PendingMessage
+from garnetrelay.pending import NewRequest, PendingMessage
 from garnetrelay.platform.notices import Notices
 from garnetrelay.recovery import Recovery
 from garnetrelay.recovery_stats import RecoveryStats
 from garnetrelay.shutdown import Shutdown
-from garnetrelay.socket_poll import POLL_AFTER, after_socket_poll
+from garnetrelay.socket_poll import MAX_POLL_AGE_NS, after_socket_poll
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
@@ -39,7 +39,7 @@
 
 if TYPE_CHECKING:
     from garnetrelay.fleet.service import Fleet
-    from garnetrelay.handover.receiver import Inheritance, PredecessorLink
+    from garnetrelay.handover.receiver import PredecessorLink, ReceivedHandover
     from garnetrelay.handover.sender import HandoverSender
     from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
@@ -53,30 +53,30 @@
 SECOND = 1_000_000_000
 TEND_PAUSE = 0.005  # seconds between two steps of compaction while no turn comes
 BROKEN_PAUSE = 0.25  # seconds until a folder that takes no records is tried again
-MOST_GONE = 4096  # hosts that have left the list and are still known by name
+MAX_DELISTED_HOSTS = 4096  # hosts that have left the list and are still known by name
 NEAR_END = SECOND // 10  # before a message's time: an end that is due by the clock comes no earlier
 
 
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Preloaded | None = None) -> None:
+    def __init__(self, config: Config, handover: ReceivedHandover | None = None, ahead: Preloaded | None = None) -> None:
         self.config = config
-        self.inheritance = inheritance
+        self.handover = handover
         self.settings = config.settings
         self.pacer = Pacer(config.settings, config.seed)
         self.journal = Store.open(
             config.state,
             config.journal_bytes,
             config.machine_durable,
-            None if inheritance is None else inheritance.claim,
+            None if handover is None else handover.claim,
             ahead,
             config.settings.limits.most_tries,
             config.fleet is not None and config.fleet.leases is not None,
         )
         self.class_numbers = {name: number for number, name in enumerate(config.class_names)}
         self.listed: dict[str, io.HostEntry] = {}  # by host
-        self.gone: dict[str, None] = {}  # hosts that were listed, the latest last
+        self.delisted: dict[str, None] = {}  # hosts that were listed, the latest last
         self.counts = Counters(config.class_names)
         self.operators: Operators | None = None
         self.fleet: Fleet | None = None
@@ -84,23 +84,23 @@
         self.handover_sender: HandoverSender | None = None
         self.predecessor: PredecessorLink | None = None
         self.dests: set[int] = set()  # all that the list has ever named
-        self.held: dict[str, PendingMessage] = {}
+        self.pending: dict[str, PendingMessage] = {}
         self.recovery_stats = RecoveryStats()
         self.recovering: deque[Entry] = deque()  # picked up, and not yet taken up
         self.taken_up: list[Entry] = []  # and not yet with the Pacer: it hears of them in the coming turn
         self.clock_is_sure = True  # no time that the journal has lies ahead of the wall clock
-        self.newcomers: dict[str, Newcomer] = {}
+        self.new_requests: dict[str, NewRequest] = {}
         self.inbox: list[io.Event] = []
-        self.turn_due = False
+        self.tick_scheduled = False
         self.looked_at = 0  # when the last batch began
         self.flush_due = False
         self.lag = LoopLag()
         self.alarm: asyncio.TimerHandle | None = None
         self.ends: list[tuple[str, str, int]] = []  # of this turn: what the platform is told of each
-        self.unreleased = 0  # turns whose records are on their way to the disk
+        self.unrecorded_ticks = 0  # turns whose records are on their way to the disk
         self.closed = False
         self.tending: asyncio.TimerHandle | None = None
-        self.syncing: SyncWorker | None = None
+        self.sync_worker: SyncWorker | None = None
         self.serving = False
         self.stopping = False
         self.time_is_up = False
@@ -108,28 +108,28 @@
         # Clients and hosts share the descriptors: each may have what the other does not use of its own part.
         self.hosts = net.Hosts(
             config.settings,
-            self._host_room,
+            self._remaining_host_connections,
             lambda: self.server.close_longest_idle(),
             self.journal.when_recorded,
             config.machine_durable,
         )
-        self.server = Server(self.on_request, self._client_room, self._more_client_room)
+        self.server = Server(self.on_request, self._remaining_client_connections, self._close_idle_host_connection)
         self.server.on_closed = self._end_if_idle
         self.reader = ListReader(config)
-        self.discovery = Discovery(config.discovery, self.reader, 0, self.on_news)
+        self.discovery = Discovery(config.discovery, self.reader, 0, self.on_list_update)
         self.notices = Notices(config.discovery, self._told)
 
-    def _host_room(self) -> int:
+    def _remaining_host_connections(self) -> int:
         """How many more connections to hosts there may be."""
         clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
-    def _client_room(self) -> int:
+    def _remaining_client_connections(self) -> int:
         """How many more connections of clients there may be."""
         hosts = max(self.config.host_sockets, self.hosts.count)
         return self.config.shared_sockets - hosts - len(self.server.connections)
 
-    def _more_client_room(self) -> bool:
+    def _close_idle_host_connection(self) -> bool:
         return self.hosts.count > self.config.host_sockets and self.hosts.close_longest_idle()
 
     async def start(self) -> tuple[str, int]:
@@ -138,7 +138,7 @@
         if self.config.machine_durable:
             from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
-            self.syncing = SyncWorker(self.journal)
+            self.sync_worker = SyncWorker(self.journal)
         if self.config.operators is not None:
             from garnetrelay.operators.service import Operators  # only where staff may call
 
@@ -148,37 +148,37 @@
         if self.config.fleet is not None:
             from garnetrelay.fleet.service import Fleet  # only where relays know each other
 
-            passed = None if self.inheritance is None else self.inheritance.state.fleet
+            passed = None if self.handover is None else self.handover.state.fleet
             self.fleet = Fleet(
                 self.config.fleet, self.config.name, self.config.state, self.config.machine_durable, passed
             )
             await self.fleet.start()
             self.owners = self.fleet.leases
-        if self.inheritance is None:
+        if self.handover is None:
             self._read_known()
         else:
-            self._inherit(self.inheritance.state)
+            self._inherit(self.handover.state)
         if self.settings.discovery is io.Discovery.AUTOMATIC:
             self.inbox.append(io.WatchMissing())  # changes come by themselves, but on a watch
         self._recover()
-        self.turn()
+        self.tick()
         listen = self.config.listen
-        if self.inheritance is None:
+        if self.handover is None:
             address = await self.server.start(listen.host, listen.port, self.config.operators is not None)
         else:
-            address = await self._adopt(self.inheritance)
+            address = await self._adopt(self.handover)
         self.serving = True
         self._recover_slice()
         if self.config.operators is not None:
             from garnetrelay.handover.sender import HandoverSender  # staff may upgrade it
 
             self.handover_sender = HandoverSender(self)
-        if self.inheritance is not None:
+        if self.handover is not None:
             from garnetrelay.handover.receiver import PredecessorLink
 
-            self.inheritance.taken()
-            self.predecessor = PredecessorLink(self.inheritance.channel, self._exclude_as_told)
-            self.inheritance = None
+            self.handover.confirm_taken()
+            self.predecessor = PredecessorLink(self.handover.channel, self._exclude_as_told)
+            self.handover = None
         return address
 
     def reconfigure(self, config: Config) -> None:
@@ -204,8 +204,8 @@
         for timer in (self.alarm, self.tending):
             if timer is not None:
                 timer.cancel()
-        if self.syncing is not None:
-            self.syncing.close()
+        if self.sync_worker is not None:
+            self.sync_worker.close()
         self.discovery.close()
         self.notices.close()
         if self.fleet is not None:
@@ -233,7 +233,7 @@
 
     def successor(self) -> HandoverSender | None:
         """The handover's sender once the relay has passed to another process; None before."""
-        return self.handover_sender if self.handover_sender is not None and self.handover_sender.passed else None
+        return self.handover_sender if self.handover_sender is not None and self.handover_sender.handed_over else None
 
     def gauges(self) -> Gauges:
         """Its figures that go by no class, as they are now."""
@@ -241,7 +241,7 @@
 
         return Gauges(
             attempts=self.hosts.calls_written,
-            in_flight=sum(not message.over for message in self.held.values()) + len(self.recovering),
+            in_flight=sum(not message.ended for message in self.pending.values()) + len(self.recovering),
             hosts_known=len(self.listed),
             hosts_excluded=self.pacer.count_avoided_hosts(),
             reloads_ok=self.counts.reloads_ok,
@@ -254,25 +254,25 @@
 
     def knows_host(self, host: str) -> bool:
         """Whether the list names a host, or has named it."""
-        return host in self.listed or host in self.gone
+        return host in self.listed or host in self.delisted
 
     # ---- the start
 
-    async def _adopt(self, inheritance: Inheritance) -> tuple[str, int]:
+    async def _adopt(self, handover: ReceivedHandover) -> tuple[str, int]:
         """Connections and the listener, as the process before left them."""
-        for call, found in inheritance.calls.values():
-            message = self.held.get(call.ref)
+        for call, found in handover.calls.values():
+            message = self.pending.get(call.ref)
             if message is None:
                 found.close()
                 continue
             attempt = Attempt(self, message, call.name, message.attempts - 1, call.started, call.stop_at, True)
             message.exchange, message.sent_at, message.zone = attempt.exchange(), call.started, call.zone
             await self.hosts.adopt(found, call.name, Address(call.host, call.port), call.used, message.exchange)
-        for idle, found in inheritance.idle:
+        for idle, found in handover.idle:
             await self.hosts.adopt(found, idle.name, Address(idle.host, idle.port), True, None)
-        for client, found in inheritance.clients:
-            await self.server.adopt(found, client.raw, client.asked)
-        return await self.server.listen(inheritance.listener)
+        for client, found in handover.clients:
+            await self.server.adopt(found, client.raw, client.has_sent_command)
+        return await self.server.listen(handover.listener)
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
         """Staff called the process before; why it can't be done, or nothing."""
@@ -308,15 +308,15 @@
             self.counts.refused[request.klass] += 1
             reply.busy(0)
             return
-        if request.ref in self.held or request.ref in self.journal.entries:
+        if request.ref in self.pending or request.ref in self.journal.entries:
             reply.ok()  # it is taken on already; its end may still be on its way to the platform
             return
-        if request.ref in self.newcomers:
+        if request.ref in self.new_requests:
             reply.busy(0)
             return
         deadline = time.time_ns() // MS + request.patience_ms
         ends_at = time.monotonic_ns() + request.patience_ms * MS
-        self.newcomers[request.ref] = Newcomer(request, reply, deadline, ends_at)
+        self.new_requests[request.ref] = NewRequest(request, reply, deadline, ends_at)
         self.post(
             io.Arrived(
                 call=request.ref,
@@ -326,18 +326,18 @@
                 key=request.key,
                 patience=request.patience_ms * MS,
                 storable=self.journal.has_room(request.ref, request.key, len(request.body))
-                and (not self.recovering or len(self.held) + len(self.recovering) < self.settings.limits.most_held),
+                and (not self.recovering or len(self.pending) + len(self.recovering) < self.settings.limits.most_held),
             )
         )
 
-    def on_news(self, news: ListUpdate | None) -> None:
+    def on_list_update(self, update: ListUpdate | None) -> None:
         """The list of hosts has changed; None: the watch has failed."""
-        if news is None:
+        if update is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
             return
-        self._place(news)
-        scope = io.ListScope.WHOLE if news.whole else io.ListScope.CHANGES
-        self.post(io.Roster(scope, news.entries, news.current))
+        self._place(update)
+        scope = io.ListScope.WHOLE if update.whole else io.ListScope.CHANGES
+        self.post(io.Roster(scope, update.entries, update.current))
 
     def exclude(self, host: str, out: bool) -> None:
         """Staff took a host out, or put it back: no call begins before the Pacer has heard of it."""
@@ -346,48 +346,48 @@
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, news: ListUpdate) -> None:
+    def _place(self, update: ListUpdate) -> None:
         """Where each host listens now. Connections to those that drain or went are closed."""
-        named = {entry.host for entry in news.entries}
-        gone = [host for host in self.listed if host not in named] if news.whole else []
-        for entry in news.entries:
+        named = {entry.host for entry in update.entries}
+        gone = [host for host in self.listed if host not in named] if update.whole else []
+        for entry in update.entries:
             if entry.availability is io.Availability.DELETED:
                 gone.append(entry.host)
                 continue
             self.listed[entry.host] = entry
-            self.gone.pop(entry.host, None)
+            self.delisted.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
-            self.hosts.set_address(entry.host, news.addresses[entry.host], draining)
+            self.hosts.set_address(entry.host, update.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
-                self.gone[host] = None
-                if len(self.gone) > MOST_GONE:
-                    del self.gone[next(iter(self.gone))]
+                self.delisted[host] = None
+                if len(self.delisted) > MAX_DELISTED_HOSTS:
+                    del self.delisted[next(iter(self.delisted))]
             self.hosts.remove(host)
 
     def post(self, event: io.Event) -> None:
         """One batch holds all that is ready: the turn runs when the loop has read what lies there."""
         self.inbox.append(event)
-        self._turn_is_due()
+        self._schedule_tick()
 
-    def _turn_is_due(self) -> None:
-        if not self.turn_due:
-            self.turn_due = True
+    def _schedule_tick(self) -> None:
+        if not self.tick_scheduled:
+            self.tick_scheduled = True
             self.looked_at = time.monotonic_ns()
             self.lag.round_begins(self.looked_at)
-            asyncio.get_running_loop().call_soon(self._turn_soon)
+            asyncio.get_running_loop().call_soon(self._run_scheduled_tick)
 
-    def _turn_soon(self) -> None:
+    def _run_scheduled_tick(self) -> None:
         """The turn; but where this process did not run since it last read, what has come meanwhile is read first."""
-        if time.monotonic_ns() - self.looked_at > POLL_AFTER:
-            after_socket_poll(self.turn)
+        if time.monotonic_ns() - self.looked_at > MAX_POLL_AGE_NS:
+            after_socket_poll(self.tick)
         else:
-            self.turn()
+            self.tick()
 
     def _flush_soon(self) -> None:
         """See that what was noted outside a turn is written soon; nothing waits for it."""
-        if not self.turn_due and not self.flush_due:
+        if not self.tick_scheduled and not self.flush_due:
             self.flush_due = True
             asyncio.get_running_loop().call_soon(self._flush)
 
@@ -397,10 +397,10 @@
 
     # ---- a turn
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come, put it on record by one write, and only then let anything out: what is
         owed by the clock first, then answers to clients, then calls."""
-        self.turn_due = False
+        self.tick_scheduled = False
         if self.closed:
             return
         events, self.inbox = self.inbox, []
@@ -410,36 +410,40 @@
         if self.taken_up:
             taken_up, self.taken_up = self.taken_up, []
             wall = time.time_ns()  # behind ``now``: what passes between the two closes windows early, never late
-            events += [self._recovered(entry, wall) for entry in taken_up]
+            events += [self._recovered_event(entry, wall) for entry in taken_up]
         actions = self.pacer.handle(now, events)
-        newcomers = self._note_newcomers({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
+        new_requests = self._accept_new_requests({a.call for a in actions if isinstance(a, io.Refuse | io.Fail)})
         self.hosts.gather()
         for action in actions:
             self._carry_out(action)
-        self.newcomers.clear()
+        self.new_requests.clear()
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
-        self.unreleased += 1
-        self.journal.when_recorded(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
+        self.unrecorded_ticks += 1
+        self.journal.when_recorded(functools.partial(self._let_out, ends, new_requests, self.hosts.gathered()))
         self._tend()
         if self.stopping:
             self._end_if_idle()
         self.lag.round_ends(time.monotonic_ns())
 
     def _let_out(
-        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.PreparedCall], recorded: bool
+        self,
+        ends: list[tuple[str, str, int]],
+        new_requests: list[NewRequest],
+        calls: list[net.PreparedCall],
+        recorded: bool,
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
-        self.unreleased -= 1
+        self.unrecorded_ticks -= 1
         if self.closed:
             return
-        if self.time_is_up and not self.unreleased:
+        if self.time_is_up and not self.unrecorded_ticks:
             self.finished.set()
         for end in ends:
             self.notices.add(*end)
         self.notices.send()
-        for newcomer in newcomers:
-            self._answer(newcomer, recorded)
+        for new_request in new_requests:
+            self._answer(new_request, recorded)
         self.hosts.release(calls, recorded)
 
     def _tend(self) -> None:
@@ -455,36 +459,36 @@
         self.tending = None
         self._tend()
 
-    def _note_newcomers(self, ends: set[str]) -> list[Newcomer]:
+    def _accept_new_requests(self, ends: set[str]) -> list[NewRequest]:
         """Note those that the Pacer did not end in this turn: they are taken on, once that is on record."""
         noted = []
-        for ref, newcomer in self.newcomers.items():
-            request = newcomer.request
+        for ref, new_request in self.new_requests.items():
+            request = new_request.request
             if ref in ends:
                 continue
             # Others of this turn may have taken the room that there was when it came.
-            if not newcomer.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
+            if not new_request.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
-                newcomer.reply.busy(0)
+                new_request.reply.busy(0)
                 self.post(io.Withdrawn(ref))
                 continue
             self.journal.record_accepted(
-                Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
+                Entry(ref, request.klass, request.dest, request.key, new_request.deadline, request.body)
             )
-            self.held[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
-            noted.append(newcomer)
+            self.pending[ref] = PendingMessage(ref, request.klass, request.key, request.body, new_request.ends_at)
+            noted.append(new_request)
         return noted
 
-    def _answer(self, newcomer: Newcomer, recorded: bool) -> None:
+    def _answer(self, new_request: NewRequest, recorded: bool) -> None:
         """Tell a client that its message is taken on, or that it could not be put on record."""
-        ref = newcomer.request.ref
+        ref = new_request.request.ref
         if recorded:
-            newcomer.reply.ok()
+            new_request.reply.ok()
             return
-        self.held.pop(ref, None)
+        self.pending.pop(ref, None)
         self.journal.record_end(ref, None)
-        self.counts.refused[newcomer.request.klass] += 1
-        newcomer.reply.busy(0)
+        self.counts.refused[new_request.request.klass] += 1
+        new_request.reply.busy(0)
         self.post(io.Withdrawn(ref))
 
     def _carry_out(self, action: io.Action) -> None:
@@ -493,23 +497,23 @@
                 self._send(action)
             case io.Refuse(ref, hold_off):
                 log.debug("message %s is refused, come again after %d ms", ref, hold_off // MS)
-                newcomer = self.newcomers.get(ref)
-                if newcomer is not None:
-                    self.counts.refused[newcomer.request.klass] += 1
-                    newcomer.reply.busy(hold_off // MS)
+                new_request = self.new_requests.get(ref)
+                if new_request is not None:
+                    self.counts.refused[new_request.request.klass] += 1
+                    new_request.reply.busy(hold_off // MS)
                 else:
                     self._end(ref, "bounced", hold_off // MS)
             case io.Fail(ref):
                 log.debug("message %s fails", ref)
-                newcomer = self.newcomers.get(ref)
-                if newcomer is not None:
-                    self.counts.failed[newcomer.request.klass] += 1
-                    newcomer.reply.error("failed")
+                new_request = self.new_requests.get(ref)
+                if new_request is not None:
+                    self.counts.failed[new_request.request.klass] += 1
+                    new_request.reply.error("failed")
                 else:
                     self._end(ref, "dead", 0)
             case io.Cancel(ref, attempt):
                 log.debug("attempt %s %d is called off", ref, attempt)
-                message = self.held.get(ref)
+                message = self.pending.get(ref)
                 if message is not None and message.exchange is not None and message.attempts == attempt + 1:
                     message.exchange.give_up(io.Status.CANCELLED)
             case io.Probe():
@@ -532,7 +536,7 @@
     def _ring(self, at: int, token: int) -> None:
         now = time.monotonic_ns()
         self.lag.was_late(at, now)
-        if now - self.looked_at > POLL_AFTER:
+        if now - self.looked_at > MAX_POLL_AGE_NS:
             after_socket_poll(self.post, io.Alarm(token))
         else:
             self.post(io.Alarm(token))
@@ -540,7 +544,7 @@
     # ---- attempts
 
     def _send(self, send: io.Send) -> None:
-        message = self.held.get(send.call)
+        message = self.pending.get(send.call)
         if message is None:  # it was not taken on after all: the Pacer hears of that too
             self.post(io.Verdict(send.call, 0, send.host, io.Status.ABANDONED, 0, True, 0, False, None))
             return
@@ -573,20 +577,20 @@
         self._flush_soon()
 
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
-        message = self.held.get(ref)
+        message = self.pending.get(ref)
         if message is not None:
             self.finish(message, result, wait_ms)
             if message.exchange is None:
-                del self.held[ref]
+                del self.pending[ref]
         elif ref in self.journal.entries:
             self.journal.record_end(ref, result, wait_ms)
             self.ends.append((ref, result, wait_ms))
 
     def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
         """A message has ended with a result, None: delivered. ``tell``: what the platform hears even so."""
-        if message.over:
+        if message.ended:
             return
-        message.over = True
+        message.ended = True
         if self.recovery_stats.on_end(message.ref, time.monotonic_ns() >= message.ends_at - NEAR_END):
             log.info("%s", self.recovery_stats)
         by_class = (
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -174,15 +174,15 @@
 def news_taken_up_late() -> None:
     """News of the register lies about for four seconds."""
 
-    def make(on_news: Any) -> Any:
+    def make(on_list_update: Any) -> Any:
         def wrong(self: Any, news: Any) -> None:
             import asyncio
 
-            asyncio.get_running_loop().call_later(4.0, on_news, self, news)
+            asyncio.get_running_loop().call_later(4.0, on_list_update, self, news)
 
         return wrong
 
-    replaced(core.Relay, "on_news", make)
+    replaced(core.Relay, "on_list_update", make)
 
 
 def watch_not_renewed() -> None:
@@ -253,13 +253,13 @@
 
     def make(recovered: Any) -> Any:
         def wrong(self: Any, entry: Any, now: int) -> Any:
-            if self.inheritance is not None and self.inheritance.calls.pop(entry.ref, None) is not None:
+            if self.handover is not None and self.handover.calls.pop(entry.ref, None) is not None:
                 entry.trying_at = None
             return recovered(self, entry, now)
 
         return wrong
 
-    replaced(core.Relay, "_recovered", make)
+    replaced(core.Relay, "_recovered_event", make)
 
 
 def hands_left_behind() -> None:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -66,7 +66,7 @@
     }
 
 
-def listing(index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> str:
+def host_list_json(index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> str:
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": list(endpoints)})
 
 
@@ -161,7 +161,7 @@
         for n in range(2):
             await client.enqueue(f"warm{n}")
             (await self.host.next_call()).answer(200)
-            await until(lambda: not self.relays[0].held)
+            await until(lambda: not self.relays[0].pending)
 
 
 async def until(condition: Callable[[], bool]) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from garnetrelay.discovery import host_list, watches
 from garnetrelay.discovery.host_list import ObjectSplitter, UnreadableListError
 from garnetrelay.fronts.resp import server as resp_server
-from garnetrelay.handover.channel import Door
+from garnetrelay.handover.channel import HandoverSocket
 from garnetrelay.handover.protocol import VERSION, Hello
 from garnetrelay.platform import notices
 from garnetrelay.rehearsal.http import Call
@@ -30,7 +30,7 @@
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
-from tests.sockets import Field, endpoint, listing, until
+from tests.sockets import Field, endpoint, host_list_json, until
 
 
 def enqueue(ref: str, klass: str = "safe", d: int = 8000) -> bytes:
@@ -50,7 +50,7 @@
     await until(lambda: field.relays[0].discovery.up_to_date)
     watch.call.break_off()
     again = await field.platform.next_watch()
-    again.line(listing(50, endpoint(field.host, status="Terminating")))
+    again.line(host_list_json(50, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
@@ -91,7 +91,7 @@
 async def test_an_indented_list_is_parsed(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(json.dumps(json.loads(listing(42, endpoint(field.host, status="Terminating"))), indent=2))
+    watch.line(json.dumps(json.loads(host_list_json(42, endpoint(field.host, status="Terminating"))), indent=2))
     await until(lambda: field.relays[0].discovery.index == 42)
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
     assert watch.call.connection.lost is False
@@ -114,7 +114,7 @@
 
 def test_an_unfinished_object_hides_no_later_version_and_is_limited_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
     splitter = ObjectSplitter()
-    complete = listing(8).encode()
+    complete = host_list_json(8).encode()
     assert splitter.feed(b'{"index":7,"endpoints":[\n' + complete + b"\n") == [b'{"index":7,"endpoints":[', complete]
     monkeypatch.setattr(host_list, "MAX_VERSION_BYTES", 100)
     with pytest.raises(UnreadableListError):
@@ -125,13 +125,13 @@
     """The later line advanced the version, so the missing change, such as a drain, was never requested."""
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(42))
+    watch.line(host_list_json(42))
     await until(lambda: field.relays[0].discovery.index == 42)
     watch.line("{malformed}")
-    watch.line(listing(44))
+    watch.line(host_list_json(44))
     again = await field.platform.next_watch()
     assert again.call.target.endswith("since=42")
-    again.line(listing(44, endpoint(field.host, status="Terminating")))
+    again.line(host_list_json(44, endpoint(field.host, status="Terminating")))
     await until(lambda: not field.relays[0].pacer.hosts["s-1"][1].usable)
 
 
@@ -141,7 +141,7 @@
     malformed = {**endpoint(field.host, "s-9"), "zone": "nowhere"}
     for _ in range(2):
         watch = await field.platform.next_watch()
-        watch.line(listing(42, malformed, endpoint(field.host, status="Terminating")))
+        watch.line(host_list_json(42, malformed, endpoint(field.host, status="Terminating")))
     relay = field.relays[0]
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     assert relay.discovery.index == 41 and "s-9" not in relay.listed
@@ -150,8 +150,8 @@
 async def test_an_old_version_after_a_newer_one_undoes_nothing(field: Field) -> None:
     await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(43, endpoint(field.host, status="Terminating")))
-    watch.line(listing(42, endpoint(field.host)))
+    watch.line(host_list_json(43, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host)))
     again = await field.platform.next_watch()
     assert again.call.target.endswith("since=0")
     assert not field.relays[0].pacer.hosts["s-1"][1].usable
@@ -162,7 +162,7 @@
     client = await field.start()
     assert await client.enqueue("m1", dest=4) == "BUSY"
     watch = await field.platform.next_watch()
-    watch.line(listing(42, {**endpoint(field.host, "s-4"), "group": 4}))
+    watch.line(host_list_json(42, {**endpoint(field.host, "s-4"), "group": 4}))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("m2", dest=4) == b"OK"
 
@@ -177,7 +177,7 @@
     watch.call.break_off()
     again = await field.platform.next_watch()  # accepted, and no line received yet
     assert await client.enqueue("m2", dest=4) == "BUSY"
-    again.line(listing(42, {**endpoint(field.host, "s-4"), "group": 4}))
+    again.line(host_list_json(42, {**endpoint(field.host, "s-4"), "group": 4}))
     await until(lambda: field.relays[0].discovery.index == 42)
     assert await client.enqueue("m3", dest=4) == b"OK"
 
@@ -201,25 +201,25 @@
 async def test_a_client_that_half_closes_after_a_request_still_receives_its_answer(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
-    original = relay._turn_soon
-    relay._turn_soon = lambda: None  # type: ignore[method-assign]  # delay the tick, so that the EOF is handled first
+    original = relay._run_scheduled_tick
+    relay._run_scheduled_tick = lambda: None  # type: ignore[method-assign]  # delay the tick, so that the EOF is handled first
     client.writer.write(enqueue("m1"))
     client.writer.write_eof()
-    await until(lambda: bool(relay.newcomers))
+    await until(lambda: bool(relay.new_requests))
     (connection,) = relay.server.connections
     await until(lambda: connection.at_eof)
-    relay._turn_soon = original  # type: ignore[method-assign]
-    relay.turn()
+    relay._run_scheduled_tick = original  # type: ignore[method-assign]
+    relay.tick()
     assert await client.read() == b"OK" and await client.read() is None
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held and not field.relays[0].server.connections)
+    await until(lambda: not field.relays[0].pending and not field.relays[0].server.connections)
 
 
 async def test_a_request_whose_last_millisecond_passed_in_transit_is_refused_and_not_failed(field: Field) -> None:
     """The deadline is sent in whole milliseconds, so less than one becomes 0. A failure would be final."""
     client = await field.start()
     assert await client.enqueue("m1", d=0) == "BUSY"
-    assert not field.relays[0].held and field.relays[0].counts.refused["safe"] == 1
+    assert not field.relays[0].pending and field.relays[0].counts.refused["safe"] == 1
 
 
 # ---- shutdown
@@ -362,7 +362,7 @@
     client.settimeout(PATIENCE)
     while chunk := client.recv(100):
         answers += chunk
-    assert answers == b"+PONG\r\n" and not relay.held
+    assert answers == b"+PONG\r\n" and not relay.pending
     client.close()
     await until(lambda: not relay.server.connections)
 
@@ -388,7 +388,7 @@
     client.writer.close()
     (await field.host.next_call()).answer(200)
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
-    assert not relay.held
+    assert not relay.pending
 
 
 async def test_a_stopping_relay_does_not_end_before_a_tick_that_is_due(field: Field) -> None:
@@ -412,7 +412,7 @@
     (await field.host.next_call()).answer(200)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
-    assert not relay.held
+    assert not relay.pending
 
 
 async def test_a_request_read_just_before_a_stopping_relays_time_limit_is_answered_and_kept(
@@ -421,10 +421,10 @@
     """The 3 s were over before the tick that handles it, and the relay ended without an answer or a record."""
     client = await field.start()
     relay = field.relays[0]
-    monkeypatch.setattr(relay, "_turn_soon", lambda: None)  # no tick runs in time
+    monkeypatch.setattr(relay, "_run_scheduled_tick", lambda: None)  # no tick runs in time
     client.writer.write(enqueue("m1"))
-    await until(lambda: bool(relay.newcomers))
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    await until(lambda: bool(relay.new_requests))
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     relay.close()
@@ -451,7 +451,7 @@
         handler(request, reply)
 
     monkeypatch.setattr(relay.server, "handler", handle)
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     await asyncio.wait_for(relay.finished.wait(), PATIENCE)
     relay.close()
@@ -485,7 +485,7 @@
     for _ in range(20):
         await asyncio.sleep(0)
     client.settimeout(PATIENCE)
-    assert client.recv(100) == b"" and not field.relays[0].held
+    assert client.recv(100) == b"" and not field.relays[0].pending
     client.close()
     first.writer.close()
 
@@ -500,7 +500,7 @@
     monkeypatch.setattr(relay.journal, "when_recorded", callbacks.append)
     client.writer.write(enqueue("m1"))
     await until(lambda: bool(callbacks))
-    monkeypatch.setattr(shutdown, "STOP_AFTER", 0)
+    monkeypatch.setattr(shutdown, "STOP_TIMEOUT_NS", 0)
     relay.stop()
     for _ in range(20):
         await asyncio.sleep(0)
@@ -550,13 +550,13 @@
     net._connect = delayed_connect  # type: ignore[method-assign]
     await client.enqueue("m1", "unsafe")
     await until(lambda: bool(net.opening))
-    watch.line(listing(42, endpoint(other)))
+    watch.line(host_list_json(42, endpoint(other)))
     await until(lambda: field.relays[0].discovery.index == 42)
     gate.set()
     call = await other.next_call()
     assert call.headers["x-request-id"] == "m1" and field.host.calls.empty()
     call.answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert net.begin == begin
     await other.stop()
 
@@ -589,7 +589,7 @@
     relay.hosts.when_recorded = callbacks.append
     relay._probe(io.Probe("s-1", 1 << 62))
     await until(lambda: bool(callbacks))
-    watch.line(listing(42, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: not relay.pacer.hosts["s-1"][1].usable)
     callbacks.pop()(True)
     assert any(relay.hosts.idle.values())  # the connection is idle, nothing was written to it
@@ -605,10 +605,10 @@
     relay = field.relays[0]
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
-    monkeypatch.setattr(attempt_module, "UNSURE", 3600 * 10**9)  # on however slow a machine
+    monkeypatch.setattr(attempt_module, "MAX_TRANSIT_UNCERTAINTY_NS", 3600 * 10**9)  # on however slow a machine
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    await until(lambda: not relay.held and relay.journal.entries == {})
+    await until(lambda: not relay.pending and relay.journal.entries == {})
     assert relay.counts.served["unsafe"] == 1 and relay.counts.failed["unsafe"] == 0
 
 
@@ -617,9 +617,9 @@
     relay = field.relays[0]
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
-    relay.held["m1"].ends_at = time.monotonic_ns() + 3600 * 10**9
+    relay.pending["m1"].ends_at = time.monotonic_ns() + 3600 * 10**9
     call.answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
     assert not relay.notices.queue and field.platform.notices.empty() and relay.journal.entries == {}
 
 
@@ -632,7 +632,7 @@
     field.facts["familyInfo"]["callsOut"] = 1
     client = await field.start()
     watch = await field.platform.next_watch()
-    watch.line(listing(42, endpoint(field.host, status="Terminating")))
+    watch.line(host_list_json(42, endpoint(field.host, status="Terminating")))
     await until(lambda: field.relays[0].discovery.index == 42)
     for n in range(5):
         assert await client.enqueue(f"m{n}") == b"OK"
@@ -641,7 +641,7 @@
     client = await field.start()
     for _ in range(5):
         (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert "5 found untried: 5 tried, with no call 0 ended at their time and 0 before, 0 left" in caplog.text
 
 
@@ -666,7 +666,7 @@
         call.answer(200)
         if call.headers["x-request-id"].startswith("old"):
             called.add(call.headers["x-request-id"])
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     while not field.platform.notices.empty():
         assert field.platform.notices.get_nowait()["ref"].startswith("new")
 
@@ -745,17 +745,17 @@
     relay = field.relays[0]
     assert relay.handover_sender is not None
     restarted: list[bool] = []
-    relay.handover_sender.start_anew = lambda: restarted.append(True)
-    original = relay.handover_sender._quieten
+    relay.handover_sender.restart_process = lambda: restarted.append(True)
+    original = relay.handover_sender._quiesce
 
-    async def quieten() -> socket.socket:
+    async def quiesce() -> socket.socket:
         if stopped:
             relay.stop()
         return await original()
 
-    relay.handover_sender._quieten = quieten  # type: ignore[method-assign]
-    door = Door(field.state)
-    channel = await asyncio.to_thread(door.call)
+    relay.handover_sender._quiesce = quiesce  # type: ignore[method-assign]
+    door = HandoverSocket(field.state)
+    channel = await asyncio.to_thread(door.connect)
     assert channel is not None
     channel.send(Hello([VERSION]))
     channel.close()  # the new process dies: nobody receives the state
