--- a/garnetrelay/attempt.py
+++ b/garnetrelay/attempt.py
@@ -71,7 +71,7 @@
         """The exchange that carries out this attempt."""
         exchange = net.Exchange(self.host, self.stop_at, self.prepare, self.done, self.final_check, self.message.ref)
         if self.relay.owners is not None:
-            exchange.at_first_byte = self.check_lease
+            exchange.before_first_byte = self.check_lease
         return exchange
 
     def prepare(self, address: Address) -> bytes | None:
--- a/garnetrelay/handover/channel.py
+++ b/garnetrelay/handover/channel.py
@@ -58,7 +58,7 @@
             length, count = lengths(head)
             body = self._receive_exactly(length)
             if len(descriptors) != count:
-                raise ProtocolError(f"got {len(descriptors)} of {count} descriptors")
+                raise ProtocolError(f"{len(descriptors)} descriptors received, expected {count}")
             for descriptor in descriptors:
                 os.set_inheritable(descriptor, False)
             return decode(body), descriptors
--- a/garnetrelay/handover/receiver.py
+++ b/garnetrelay/handover/receiver.py
@@ -94,7 +94,7 @@
             if state.on_frame(frame, len(descriptors)) is p.ReceiverStep.START_FROM_FOLDER:
                 for descriptor in descriptors:
                     os.close(descriptor)
-                raise ChannelError(f"unexpected frame {type(frame).__name__}")
+                raise ChannelError(f"{type(frame).__name__} frame not expected here")
             handover = _add_frame(channel, handover, frame, descriptors)
         return handover
     except ChannelError as error:
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -107,7 +107,7 @@
             await self._wait_readable(channel, HELLO_TIMEOUT_S)
             frame, _ = channel.receive()
             if not isinstance(frame, p.Hello):
-                raise ChannelError(f"expected Hello, got {type(frame).__name__}")
+                raise ChannelError(f"{type(frame).__name__} frame instead of Hello")
             reason = self._refusal_reason(channel)
             if self.state.on_hello(frame.versions, not reason) is p.SenderStep.REFUSE:
                 channel.send(p.Refused(reason or f"this process speaks version {p.VERSION} of the handover protocol"))
@@ -315,7 +315,7 @@
         elif isinstance(frame, p.Bye):
             self.state.on_bye()
         else:
-            raise ChannelError(f"unexpected frame {type(frame).__name__}")
+            raise ChannelError(f"{type(frame).__name__} frame not expected here")
 
     def _execute(self, step: p.SenderStep) -> None:
         match step:
