--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A field for each test: a relay and all that it talks to. Tests that are known to fail: ``tests/known_red.py``."""
+"""The fixture with a relay and its simulated peers, and the handling of tests known to fail (``tests/known_red.py``)."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Listed tests run all the same, and have to fail."""
+    """Tests listed as known to fail still run, and must fail."""
     listed = {known.test: known for known in known_red.listed_now()}
     for item in items:
         known = listed.get(item.nodeid.partition("[")[0])
@@ -34,6 +34,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    """Name them, whatever else the run says."""
+    """List the tests known to fail at the end of every run."""
     for known in known_red.listed_now():
         terminalreporter.write_line(f"KNOWN RED {known.test}: {known.cause} (issue {known.issue})")
--- a/tests/handover/cut.py
+++ b/tests/handover/cut.py
@@ -1,7 +1,7 @@
-"""A daemon that ends itself at one point of an upgrade: ``python -m tests.handover.cut receive:State:after``.
+"""A daemon that kills itself at one point of a handover: ``python -m tests.handover.cut receive:State:after``.
 
-A point is an end of the channel (``send`` or ``receive``), a frame, and a side of it (``before``, ``after``); ``hang`` in
-place of a side stands still there instead. Nothing of this is part of the program.
+A point is an operation on the channel (``send`` or ``receive``), a frame, and the moment ``before`` or ``after`` it. With
+``hang`` instead of a moment the process sleeps there. The program itself contains none of this.
 """
 
 from __future__ import annotations
@@ -43,30 +43,30 @@
 )
 
 
-def cut_at(point: str) -> None:
-    where, kind, side = point.split(":")
+def interrupt_at(point: str) -> None:
+    operation, kind, moment = point.split(":")
     send, receive = Channel.send, Channel.receive
 
-    def reached(end: str, frame: Any, now: str) -> None:
-        if (end, type(frame).__name__) != (where, kind) or now not in (side, "before" if side == "hang" else ""):
+    def reached(at: str, frame: Any, now: str) -> None:
+        if (at, type(frame).__name__) != (operation, kind) or now not in (moment, "before" if moment == "hang" else ""):
             return
-        if side == "hang":
+        if moment == "hang":
             time.sleep(3600)
         os.kill(os.getpid(), signal.SIGKILL)
 
-    def sends(self: Channel, frame: Any, descriptors: list[int] | None = None) -> None:
+    def patched_send(self: Channel, frame: Any, descriptors: list[int] | None = None) -> None:
         reached("send", frame, "before")
         send(self, frame, descriptors)
         reached("send", frame, "after")
 
-    def receives(self: Channel, timeout: float = FRAME_TIMEOUT_S) -> tuple[Frame, list[int]]:
-        found = receive(self, timeout)
-        reached("receive", found[0], "after")
-        return found
+    def patched_receive(self: Channel, timeout: float = FRAME_TIMEOUT_S) -> tuple[Frame, list[int]]:
+        received = receive(self, timeout)
+        reached("receive", received[0], "after")
+        return received
 
-    Channel.send, Channel.receive = sends, receives  # type: ignore[method-assign]
+    Channel.send, Channel.receive = patched_send, patched_receive  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
-    cut_at(sys.argv[1])
+    interrupt_at(sys.argv[1])
     os._exit(program.main())
--- a/tests/handover/test_ownership.py
+++ b/tests/handover/test_ownership.py
@@ -1,5 +1,5 @@
-"""Who owns the relay, explored exhaustively: both sides' states, the frames between them, and a death, a silence or an
-order to stop at every point, in all orders."""
+"""Exhaustive exploration of the handover's ownership: the states of both processes, the frames between them, and a
+crash, a time-out or an order to stop at every point, in all orders."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
     (p.Calls([p.CallInFlight("pay", "h", "h", 1, 0, 0, 1, True)]), 1),
     (p.End(), 0),
 )
-CALL = 2  # the frame that the attempt goes with
+CALL = 2  # number of the frame that carries the attempt
 
 
 @dataclass(frozen=True)
 class World:
-    """All that there is. ``down`` and ``up`` are frames on their way, to the new process and back; what has been sent to
-    a process that is dead is gone with it."""
+    """The whole state. ``down`` and ``up`` are frames in transit, to the new process and to the old one; frames sent to a
+    dead process are lost."""
 
     old: bool = True  # alive
     new: bool = True
     old_owner: Owner = Owner.OLD
     taken: bool = False
-    over: bool = False
+    bye_received: bool = False
     said_hello: bool = False
-    given: int = -1  # frames sent; -1: not asked yet
+    sent: int = -1  # number of frames sent; -1: no request yet
     refused: bool = False
     new_owner: Owner = Owner.OLD
     has_state: bool = False
     serves: bool = False
-    folder: bool = False  # the new one starts from the folder
-    anew: bool = False  # the old one does
+    folder: bool = False  # the new process starts from the folder
+    restarted: bool = False  # the old process starts from the folder
     down: tuple[int, ...] = ()
     up: tuple[str, ...] = ()
 
     @property
     def old_acts(self) -> bool:
-        return self.old and (self.old_owner is Owner.OLD and self.given < 0 or self.anew)
+        return self.old and (self.old_owner is Owner.OLD and self.sent < 0 or self.restarted)
 
     @property
     def new_acts(self) -> bool:
@@ -52,66 +52,66 @@
 
     @property
     def claim_free(self) -> bool:
-        """The claim is with nobody: not with the old process, nor on its way, nor with the new one."""
-        with_old = self.old and (self.given < 1 or self.anew)
+        """Whether the claim is held neither by a process nor by a frame in transit."""
+        with_old = self.old and (self.sent < 1 or self.restarted)
         on_its_way = 0 in self.down and self.new
         with_new = self.new and self.has_state and not self.folder
         return not (with_old or on_its_way or with_new)
 
 
-def giving(world: World) -> SenderState:
-    return SenderState(world.old_owner, world.taken, world.over)
+def sender_state(world: World) -> SenderState:
+    return SenderState(world.old_owner, world.taken, world.bye_received)
 
 
-def follow(world: World, step: SenderStep) -> World:
-    """What the old process does by what it was told."""
+def execute(world: World, step: SenderStep) -> World:
+    """The state after the old process has executed a step."""
     match step:
-        case SenderStep.RESTART:  # it waits for the claim like any start
-            return replace(world, anew=True)
+        case SenderStep.RESTART:  # it waits for the claim, as every start does
+            return replace(world, restarted=True)
         case SenderStep.KILL_NEW_PROCESS:
-            return replace(world, new=False, down=(), anew=True)
+            return replace(world, new=False, down=(), restarted=True)
         case SenderStep.END:
             return replace(world, old=False, up=())
     return world
 
 
 def moves(
-    world: World, giver: Callable[[World], SenderState], taker: Callable[[World], ReceiverState]
+    world: World, sender: Callable[[World], SenderState], receiver: Callable[[World], ReceiverState]
 ) -> Iterator[World]:
-    """All that may happen next."""
-    old_at_work = world.old and not world.anew
+    """All states that may follow."""
+    old_at_work = world.old and not world.restarted
     if world.old:
-        yield replace(world, old=False, up=())  # it is killed; what it has sent still arrives
+        yield replace(world, old=False, up=())  # it is killed; the frames that it has sent still arrive
     if world.new:
         yield replace(world, new=False, down=())
     # The old process.
     if old_at_work and "hello" in world.up:
         up = tuple(frame for frame in world.up if frame != "hello")
         for ready in (True, False):
-            if giver(world).on_hello([p.VERSION], ready) is SenderStep.TRANSFER:
-                side = giver(world)
+            if sender(world).on_hello([p.VERSION], ready) is SenderStep.TRANSFER:
+                side = sender(world)
                 side.on_transfer()
-                yield replace(world, up=up, given=0, old_owner=side.owner)
+                yield replace(world, up=up, sent=0, old_owner=side.owner)
             else:
                 yield replace(world, up=up, refused=True)
-    if old_at_work and 0 <= world.given < len(SENT):
+    if old_at_work and 0 <= world.sent < len(SENT):
         if world.new:
-            yield replace(world, given=world.given + 1, down=(*world.down, world.given))
+            yield replace(world, sent=world.sent + 1, down=(*world.down, world.sent))
         else:
-            yield follow(world, giver(world).on_lost())
-    if old_at_work and world.given == len(SENT):
+            yield execute(world, sender(world).on_lost())
+    if old_at_work and world.sent == len(SENT):
         if world.up[:1] == ("taken",):
-            side = giver(world)
+            side = sender(world)
             side.on_taken()
             yield replace(world, up=world.up[1:], taken=side.taken)
         elif world.up[:1] == ("bye",):
-            side = giver(world)
-            yield follow(replace(world, up=world.up[1:], over=True), side.on_bye())
+            side = sender(world)
+            yield execute(replace(world, up=world.up[1:], bye_received=True), side.on_bye())
         elif not world.new:
-            yield follow(world, giver(world).on_lost())
+            yield execute(world, sender(world).on_lost())
         if not world.up:
-            yield follow(world, giver(world).on_timeout())
-        yield follow(world, giver(world).on_stop())
+            yield execute(world, sender(world).on_timeout())
+        yield execute(world, sender(world).on_stop())
     # The new process.
     if not world.new or world.folder:
         return
@@ -121,71 +121,71 @@
         else:
             yield replace(world, folder=True)
     elif world.refused:
-        yield replace(world, folder=True)  # and it ends there unless the claim has fallen free
+        yield replace(world, folder=True)  # and it ends there unless the claim is free by then
     elif world.down:
         frame, descriptors = SENT[world.down[0]]
-        reader = taker(world)
-        turn = reader.on_frame(frame, descriptors)
+        reader = receiver(world)
+        step = reader.on_frame(frame, descriptors)
         after = replace(world, down=world.down[1:], new_owner=reader.owner, has_state=reader.has_state)
-        yield replace(after, folder=True) if turn is ReceiverStep.START_FROM_FOLDER else after
+        yield replace(after, folder=True) if step is ReceiverStep.START_FROM_FOLDER else after
     elif world.new_owner is Owner.NEW and not world.serves:
         yield replace(world, serves=True, up=(*world.up, "taken") if world.old else ())
-    elif world.serves and "bye" not in world.up and not world.over:
-        yield replace(world, new=False, up=(*world.up, "bye") if world.old else ())  # told to stop, it says so
-    elif not world.old and taker(world).on_lost() is ReceiverStep.START_FROM_FOLDER:
+    elif world.serves and "bye" not in world.up and not world.bye_received:
+        yield replace(world, new=False, up=(*world.up, "bye") if world.old else ())  # told to stop, it sends BYE
+    elif not world.old and receiver(world).on_lost() is ReceiverStep.START_FROM_FOLDER:
         yield replace(world, folder=True)
 
 
-def taking(world: World) -> ReceiverState:
+def receiver_state(world: World) -> ReceiverState:
     return ReceiverState(world.new_owner, world.has_state)
 
 
-def wrong(world: World) -> str:
-    """What must never be."""
-    if world.old_acts and world.new_acts and not world.anew:
+def violation(world: World) -> str:
+    """The invariant that a state violates, or ''."""
+    if world.old_acts and world.new_acts and not world.restarted:
         return "both own the store"
-    if world.anew and world.new and world.new_owner is Owner.NEW:
-        return "the old process starts anew beside one that serves"
-    if world.new_owner is Owner.NEW and (world.given < len(SENT) or world.down):
-        return "the new process decides before all has come"
-    call_with_old = world.old and world.given <= CALL and not world.anew
-    call_with_new = world.new and not world.folder and world.given > CALL and CALL not in world.down and world.has_state
+    if world.restarted and world.new and world.new_owner is Owner.NEW:
+        return "the old process restarts beside one that serves"
+    if world.new_owner is Owner.NEW and (world.sent < len(SENT) or world.down):
+        return "the new process decides before everything has arrived"
+    call_with_old = world.old and world.sent <= CALL and not world.restarted
+    call_with_new = world.new and not world.folder and world.sent > CALL and CALL not in world.down and world.has_state
     if call_with_old and call_with_new:
         return "both have the attempt"
     return ""
 
 
-def stuck(world: World) -> str:
-    """What must not last: nothing more happens by itself, and somebody lives whom nobody can replace."""
+def dead_end(world: World) -> str:
+    """A dead end: a process is alive, nothing more happens by itself, and no process owns the relay."""
     if world.old_acts or world.new_acts or not (world.old or world.new):
         return ""
-    return "nobody owns the relay"
+    return "no process owns the relay"
 
 
 def explore(
-    giver: Callable[[World], SenderState] = giving, taker: Callable[[World], ReceiverState] = taking
+    sender: Callable[[World], SenderState] = sender_state, receiver: Callable[[World], ReceiverState] = receiver_state
 ) -> tuple[int, str]:
-    """How many states there are, and what is wrong with the first that is, with the way to it."""
+    """The number of states, and the first violation found with the path to it, or ''."""
     start = World()
-    came: dict[World, World | None] = {start: None}
+    reached_from: dict[World, World | None] = {start: None}
     queue = [start]
     for world in queue:
-        following = [after for after in moves(world, giver, taker) if after != world]
+        following = [after for after in moves(world, sender, receiver) if after != world]
         kills = (replace(world, old=False, up=()), replace(world, new=False, down=()))
         by_itself = [after for after in following if after not in kills]
-        fault = wrong(world) or ("" if by_itself else stuck(world))
+        fault = violation(world) or ("" if by_itself else dead_end(world))
         if fault:
-            way: list[str] = []
+            path: list[str] = []
             step: World | None = world
             while step is not None:
-                way.append(str(step))
-                step = came[step]
-            return len(came), fault + ": " + " <- ".join(way)
+                path.append(str(step))
+                step = reached_from[step]
+            return len(reached_from), fault + ": " + " <- ".join(path)
         for after in following:
-            if after not in came:
-                came[after] = world
+            if after not in reached_from:
+                reached_from[after] = world
                 queue.append(after)
-    return len(came), ""
+    return len(reached_from), ""
 
 
 def test_one_owner_in_every_state() -> None:
@@ -194,52 +194,56 @@
     assert count == 111, count  # stated in docs/design/018-upgrade.md
 
 
-class KeepsGiving(SenderState):
-    """Thinks that it still has what it has given."""
+class KeepsOwnership(SenderState):
+    """Assumes that it still owns the relay after the transfer has begun."""
 
     def on_lost(self) -> SenderStep:
         return SenderStep.SERVE
 
 
-class StartsTooSoon(SenderState):
-    """Starts anew although the new process may only be slow."""
+class RestartsTooSoon(SenderState):
+    """Restarts after a time-out, although the new process may only be slow."""
 
     def on_timeout(self) -> SenderStep:
         return SenderStep.RESTART
 
 
-class TakesEarly(ReceiverState):
-    """Owns the relay as soon as the claim is here."""
+class OwnsTooSoon(ReceiverState):
+    """Takes ownership as soon as the claim has arrived."""
 
     def on_frame(self, frame: p.Frame, descriptors: int) -> ReceiverStep:
-        turn = super().on_frame(frame, descriptors)
+        step = super().on_frame(frame, descriptors)
         if self.has_state:
             self.owner = Owner.NEW
-        return turn
+        return step
 
 
-class HoldsOn(ReceiverState):
-    """Waits for more where the old process has died on the way."""
+class WaitsForever(ReceiverState):
+    """Keeps waiting for frames after the old process has died."""
 
     def on_lost(self) -> ReceiverStep:
         return ReceiverStep.READ
 
 
 @pytest.mark.parametrize(
-    "kind, named",
+    "faulty, violated",
     [
-        (KeepsGiving, "nobody owns"),
-        (StartsTooSoon, "starts anew beside"),
-        (TakesEarly, "before all has come"),
-        (HoldsOn, "nobody owns"),
+        (KeepsOwnership, "no process owns"),
+        (RestartsTooSoon, "restarts beside"),
+        (OwnsTooSoon, "before everything has arrived"),
+        (WaitsForever, "no process owns"),
     ],
 )
-def test_planted_faults_are_found(kind: type[SenderState] | type[ReceiverState], named: str) -> None:
-    def giver(world: World) -> SenderState:
-        return kind(world.old_owner, world.taken, world.over) if issubclass(kind, SenderState) else giving(world)
-
-    def taker(world: World) -> ReceiverState:
-        return kind(world.new_owner, world.has_state) if issubclass(kind, ReceiverState) else taking(world)
-
-    _, fault = explore(giver, taker)
-    assert named in fault, fault
+def test_injected_faults_are_found(faulty: type[SenderState] | type[ReceiverState], violated: str) -> None:
+    def sender(world: World) -> SenderState:
+        return (
+            faulty(world.old_owner, world.taken, world.bye_received)
+            if issubclass(faulty, SenderState)
+            else sender_state(world)
+        )
+
+    def receiver(world: World) -> ReceiverState:
+        return faulty(world.new_owner, world.has_state) if issubclass(faulty, ReceiverState) else receiver_state(world)
+
+    _, fault = explore(sender, receiver)
+    assert violated in fault, fault
--- a/tests/handover/test_passed_list.py
+++ b/tests/handover/test_passed_list.py
@@ -1,4 +1,4 @@
-"""What a process makes of the list that the one before it passed on."""
+"""The version of the list of hosts that a process takes over from the previous one."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 @pytest.mark.parametrize(("address", "index"), [("127.0.0.1:1", 43), ("127.0.0.1:2", 0)], ids=["same", "another"])
-async def test_a_version_is_passed_on_only_to_a_watch_at_the_address_that_counted_it(
+async def test_a_list_version_is_kept_only_for_a_watch_at_the_address_that_assigned_it(
     address: str, index: int, field: Field
 ) -> None:
-    """The process before watched another address: asked for what came behind its version, this one held changes back."""
+    """The previous process watched another address. A request with its version number made this one skip changes."""
     config = dataclasses.replace(field.config(), discovery=Address.parse(address))
     relay = Relay(config)
     field.relays.append(relay)
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A relay passes to a new process while it serves: real processes over loopback, and the states by hand."""
+"""Handover of a serving relay to a new process: real processes over loopback, and the state machine by itself."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Upgraded(Process):
-    """A relay whose process is replaced beside the running one."""
+    """A relay whose running process can be replaced by a new one."""
 
     def __init__(self, field: Field) -> None:
         super().__init__(field)
@@ -33,7 +33,7 @@
         self.older: list[asyncio.subprocess.Process] = []
 
     async def replace(self) -> None:
-        """Start a new process beside the running one, until it serves."""
+        """Start a new process beside the running one, and wait until it serves."""
         assert self.child is not None
         self.older.append(self.child)
         self.child = await asyncio.create_subprocess_exec(
@@ -60,8 +60,8 @@
     await made.stop()
 
 
-async def test_nobody_notices(field: Field, relay: Upgraded) -> None:
-    """Again and again: a payment is out, a command has come by half, a client stays on its connection."""
+async def test_upgrades_go_unnoticed(field: Field, relay: Upgraded) -> None:
+    """Four upgrades in a row, each with an unsafe call in flight, half a command received, and a client connected."""
     client = await relay.start()
     for n in range(4):
         assert await client.enqueue(f"pay{n}", "unsafe") == b"OK"
@@ -71,12 +71,12 @@
         half.writer.write(b"*5\r\n$7\r\nENQUEUE\r\n$4\r\n0000\r\n")
         await half.writer.drain()
         await relay.replace()
-        call.answer(200)  # read by a process that did not ask
+        call.answer(200)  # read by a process that did not send the request
         rest = f"$5\r\nhalf{n}\r\n$20\r\nc=safe,d=8000,dest=3\r\n$1\r\nx\r\n"
         half.writer.write(rest.encode())
         assert await half.read() == b"OK"
         (await field.host.next_call()).answer(200)
-        assert await client.ask("PING") == b"PONG"  # on the connection that it had from the first process on
+        assert await client.ask("PING") == b"PONG"  # on its connection to the first process
         async with asyncio.timeout(20):
             relay.older[-1].send_signal(signal.SIGTERM)
             assert await relay.older[-1].wait() == 0
@@ -84,8 +84,8 @@
     assert field.host.calls.empty() and field.platform.notices.empty()
 
 
-async def test_what_is_out_binds_the_new_process(field: Field, relay: Upgraded) -> None:
-    """An attempt that fails behind the upgrade is one that may have run, and its end is told once."""
+async def test_a_call_in_flight_is_known_to_the_new_process(field: Field, relay: Upgraded) -> None:
+    """An attempt that fails after the upgrade may have run, and the end of its message is notified once."""
     client = await relay.start()
     assert await client.enqueue("pay", "unsafe") == b"OK"
     call = await field.host.next_call()
@@ -95,8 +95,8 @@
     assert field.host.calls.empty()
 
 
-async def test_old_process_carries_on_when_the_new_one_dies(field: Field, relay: Upgraded) -> None:
-    """It is killed as soon as it serves: the old one starts anew from the folder, on its own."""
+async def test_old_process_resumes_when_the_new_one_dies(field: Field, relay: Upgraded) -> None:
+    """The new process is killed as soon as it serves: the old one restarts from the folder by itself."""
     client = await relay.start()
     old = relay.child
     assert await client.enqueue("keyed", "keyed") == b"OK"
@@ -115,8 +115,10 @@
 
 
 @pytest.mark.parametrize("after", ["connect", "hello", "state"])
-async def test_old_process_outlives_one_that_fails_on_the_way(field: Field, relay: Upgraded, after: str) -> None:
-    """Whoever asks dies before the hello, right behind it, or with the relay in its hands."""
+async def test_old_process_survives_a_new_one_that_fails_during_the_handover(
+    field: Field, relay: Upgraded, after: str
+) -> None:
+    """The new process dies before HELLO, right after it, or after it has received the state."""
     client = await relay.start()
     assert await client.enqueue("safe") == b"OK"
     await field.host.next_call()
@@ -137,7 +139,7 @@
         assert await client.ask("PING") == b"PONG"
         return
     await relay.says(b"serves on")
-    (await field.host.next_call()).answer(200)  # safe to send again, and it is
+    (await field.host.next_call()).answer(200)  # it may be sent again, and is
     assert await (await Client.connect(relay.port)).ask("PING") == b"PONG"
 
 
@@ -153,7 +155,7 @@
     assert await client.ask("PING") == b"PONG"
 
 
-def test_channel_takes_nothing_on_trust() -> None:
+def test_channel_rejects_malformed_frames() -> None:
     ours, theirs = socket.socketpair()
     for data in (p.HEAD.pack(1 << 31, 0), p.HEAD.pack(3, 0) + b"abc", p.HEAD.pack(1, 5) + b"x", b"\0\0"):
         theirs.sendall(data)
@@ -163,7 +165,7 @@
             Channel(ours).receive()
 
 
-def test_each_state_says_who_owns_the_relay() -> None:
+def test_sender_state_returns_the_next_step_and_the_owner() -> None:
     state = p.SenderState()
     assert state.on_hello([2], True) is state.on_hello([1], False) is p.SenderStep.REFUSE
     assert state.on_hello([1, 2], True) is p.SenderStep.TRANSFER
@@ -176,8 +178,8 @@
     assert state.on_lost() is p.SenderStep.END
 
 
-def test_waits_and_slots_pass_on() -> None:
-    """A told wait, and a call that is out, bind the next Pacer as if it had heard and sent them."""
+def test_waits_and_slots_are_handed_over() -> None:
+    """The next Pacer respects a wait that a host asked for and a call in flight, as if both were its own."""
     entry = io.HostEntry("a", 0, 0, 1, io.Availability.RUNNING, 0.0)
     roster = io.Roster(io.ListScope.CACHED, (entry,))
     first = Pacer(settings(slots=2), 1)
@@ -199,9 +201,9 @@
     assert [a.call for a in later] == ["told"]
 
 
-async def test_store_of_the_version_landed_before(field: Field, relay: Upgraded) -> None:
-    """Left by a kill of the program at e7d5449: a payment, a keyed and a safe message out, one delivered, one failed
-    whose notice nobody had acknowledged. All their times are up by now."""
+async def test_journal_of_the_earlier_version_is_read(field: Field, relay: Upgraded) -> None:
+    """The journal was left by a kill of the program at e7d5449: an unsafe, a keyed and a safe message with calls in
+    flight, one delivered, and one failed whose notice was not acknowledged. All their deadlines have passed by now."""
     shutil.copy(Path(__file__).parent / "landed" / "0000000000000001.seg", field.state)
     await relay.start()
     ends = [await field.platform.next_notice() for _ in range(4)]
@@ -215,20 +217,20 @@
     assert field.host.calls.empty() and field.platform.notices.empty()
 
 
-async def test_process_before_the_last_does_not_take_the_relay_back(field: Field, relay: Upgraded) -> None:
-    """Two upgrades in a row, and nobody has ended the first process: that the second one goes is no death to it."""
+async def test_first_process_does_not_take_the_relay_back_when_the_second_ends(field: Field, relay: Upgraded) -> None:
+    """Two upgrades in a row while the first process still runs: it must not take the end of the second for a crash."""
     client = await relay.start()
     await relay.replace()
     await relay.replace()
-    async with asyncio.timeout(5):  # far less than the time that it would go on answering staff
+    async with asyncio.timeout(5):  # far less than the time for which it would go on serving operators
         assert await relay.older[0].wait() == 0
     relay.older[1].send_signal(signal.SIGTERM)
     assert await relay.older[1].wait() == 0
     assert await client.ask("PING") == b"PONG" and relay.child is not None and relay.child.returncode is None
 
 
-def hello(field: Field) -> p.Frame:
-    """What a new process is answered."""
+def answer_to_hello(field: Field) -> p.Frame:
+    """The first frame of the answer to a new process."""
     handover_socket = HandoverSocket(field.state)
     channel = handover_socket.connect()
     handover_socket.close()
@@ -241,33 +243,33 @@
     return frame
 
 
-async def test_one_that_stops_is_not_handed_over(field: Field, relay: Upgraded) -> None:
+async def test_a_stopping_relay_is_not_handed_over(field: Field, relay: Upgraded) -> None:
     client = await relay.start()
-    assert await client.enqueue("held") == b"OK"
-    await field.host.next_call()  # it has something to wait for
+    assert await client.enqueue("pending") == b"OK"
+    await field.host.next_call()  # its stop has to wait for this call
     await relay.send(signal.SIGTERM, b"stopping")
-    frame = await asyncio.to_thread(hello, field)
+    frame = await asyncio.to_thread(answer_to_hello, field)
     assert isinstance(frame, p.Refused) and "stopping" in frame.reason
 
 
-async def test_folder_that_takes_no_records_is_not_handed_over(field: Field) -> None:
-    """A new process could not put on record what it does either; the old one goes on with what it has."""
+async def test_a_relay_whose_folder_accepts_no_records_is_not_handed_over(field: Field) -> None:
+    """A new process could not write records either; the old one goes on with its pending messages."""
     field.operators = True
     await field.start()
     field.relays[0].journal.write_failed = True
-    frame = await asyncio.to_thread(hello, field)
+    frame = await asyncio.to_thread(answer_to_hello, field)
     assert isinstance(frame, p.Refused) and "no records" in frame.reason
 
 
-async def test_limit_of_memory_that_does_not_bear_both(field: Field) -> None:
+async def test_a_memory_limit_too_small_for_both_processes_refuses_the_handover(field: Field) -> None:
     field.operators = True
     field.limits["memory_mb"] = 20
     await field.start()
-    frame = await asyncio.to_thread(hello, field)
+    frame = await asyncio.to_thread(answer_to_hello, field)
     assert isinstance(frame, p.Refused) and "MB are too little for both processes" in frame.reason
 
 
-async def test_of_two_upgrades_at_once_one_comes_about(field: Field, relay: Upgraded) -> None:
+async def test_of_two_concurrent_upgrades_one_succeeds(field: Field, relay: Upgraded) -> None:
     client = await relay.start()
     assert await client.enqueue("pay", "unsafe") == b"OK"
     call = await field.host.next_call()
@@ -284,9 +286,9 @@
     ]
     relay.older += children
     logs = [asyncio.create_task(_first(child, (b"serves on", b"cannot start"))) for child in children]
-    said = sorted([await log for log in logs])
-    # One after the other is right as well: the second has the relay from the first then.
-    assert said in ([b"cannot start", b"serves on"], [b"serves on", b"serves on"])
+    outcomes = sorted([await log for log in logs])
+    # One after the other is right as well: the second then takes the relay over from the first.
+    assert outcomes in ([b"cannot start", b"serves on"], [b"serves on", b"serves on"])
     call.answer(200)
     assert await client.ask("PING") == b"PONG" and await client.enqueue("after") == b"OK"
     (await field.host.next_call()).answer(200)
@@ -294,7 +296,7 @@
 
 
 async def _first(child: asyncio.subprocess.Process, texts: tuple[bytes, ...]) -> bytes:
-    """The first of these that a process says."""
+    """The first of these texts in the log of a process."""
     assert child.stderr is not None
     async with asyncio.timeout(20):
         while line := await child.stderr.readline():
--- a/tests/incidents/play.py
+++ b/tests/incidents/play.py
@@ -1,10 +1,10 @@
-"""A fault play: one real relay, its discovery behind a faulty proxy, hosts in trouble, reloads in a row; by a seed.
+"""A seeded fault schedule: one real relay, discovery behind a faulty proxy, failing hosts, and reloads in a row.
 
-    python -m tests.incidents.play --seeds 0 60 --text .          # this text
-    python -m tests.incidents.play --seeds 0 60 --text ../older   # another checkout's, under the same schedules
+    python -m tests.incidents.play --seeds 0 60 --text .          # this checkout
+    python -m tests.incidents.play --seeds 0 60 --text ../older   # another checkout, under the same schedules
 
-Judged by the protocol's rules: nothing goes to a host that drains more than the grace after the relay counts as told,
-what was taken on ends exactly once and in time, and nothing unsafe takes effect twice.
+Checked against the protocol's rules: no call goes to a draining host after the grace period, counted from when the relay
+counts as notified; an accepted message ends exactly once and in time; and no unsafe message takes effect twice.
 """
 
 from __future__ import annotations
@@ -30,67 +30,67 @@
 from tests.incidents.proxy import Fates
 from tests.sockets import FACTS, Field, endpoint
 
-GRACE = 1.05  # seconds of a drain, on sockets
-SLACK = 0.3  # for this machine: between a line's writing and its reading, a call's sending and its noting
-PATIENCE = 4.0  # seconds that a message may take
-OVERDUE = 0.3 + SLACK  # behind its time an end has to be told
-LENGTH = 24.0  # seconds of a play, at least
-WATCHED_FOR = 9.0  # of those, behind the last trouble of discovery
-RESTARTED = 0.3  # of all plays
-DRAINS = 3  # hosts of each play that leave
-TRAFFIC_EVERY = 0.03
+GRACE_S = 1.05  # grace period of a drain, on real sockets
+SLACK_S = 0.3  # for this machine: between writing and reading a line, or sending and recording a call
+MESSAGE_TIME_LIMIT_S = 4.0
+MAX_NOTICE_DELAY_S = 0.3 + SLACK_S  # after a message's deadline
+MIN_RUN_S = 24.0
+QUIET_END_S = 9.0  # of those, after the last fault of discovery
+RESTART_SHARE = 0.3  # of all runs
+DRAINS = 3  # hosts that leave in each run
+TRAFFIC_INTERVAL_S = 0.03
 HOSTS = 5
-LAG_EVERY = 0.02
-START_TIME = 30.0
-DOWN_FOR = 0.6  # between a kill and the next start
-EXCUSED = 1.5  # seconds behind a restart's end for which no notice is overdue
+LAG_INTERVAL_S = 0.02
+START_TIMEOUT_S = 30.0
+DOWN_TIME_S = 0.6  # between a kill and the next start
+RESTART_GRACE_S = 1.5  # after a restart, in which no notice is overdue
 CLASSES = ("safe", "keyed", "unsafe")
-ANSWER_TIME = 0.4  # for which a client waits for a word
+ANSWER_TIMEOUT_S = 0.4  # for which a client waits for an answer
 
 
 @dataclass
 class Result:
-    """What one play showed."""
+    """The result of one run."""
 
     seed: int
     drains: list[str] = field(default_factory=list)
     lost: list[str] = field(default_factory=list)
     twice: list[str] = field(default_factory=list)
     crashed: bool = False
-    taken: int = 0
+    accepted: int = 0
     delivered: int = 0
     fates: Counter[str] = field(default_factory=Counter)
 
     @property
     def broken(self) -> list[str]:
-        """All that went wrong."""
+        """All violations."""
         return [*self.drains, *self.lost, *self.twice, *(["the relay ended"] if self.crashed else [])]
 
 
 class Host(HttpServer):
-    """An endpoint that answers well, slowly, not at all, or turns calls away."""
+    """An endpoint that answers normally, answers slowly, does not answer, or refuses calls."""
 
     def __init__(self, name: str, rng: random.Random) -> None:
         super().__init__(self._request)
         self.name = name
         self.rng = rng
-        self.how = "well"
-        self.came: list[tuple[float, str]] = []
+        self.behaviour = "normal"
+        self.arrivals: list[tuple[float, str]] = []
         self.ran: Counter[str] = Counter()
         self.delivered: dict[str, float] = {}
 
     def _request(self, call: Call) -> None:
         ref = call.headers.get("x-request-id", "")
-        self.came.append((time.monotonic(), ref or "a probe"))
+        self.arrivals.append((time.monotonic(), ref or "a probe"))
         if call.method == "GET":
-            call.answer(200 if self.how in ("well", "slow") else 503)
-        elif self.how == "turns away":
+            call.answer(200 if self.behaviour in ("normal", "slow") else 503)
+        elif self.behaviour == "refuses":
             if self.rng.random() < 0.5:
                 call.answer(429, "X-Backoff-Ms: 200")
             else:
                 call.answer(503)
-        elif self.how != "hung":
-            delay = self.rng.uniform(0.3, 1.2) if self.how == "slow" else 0.02
+        elif self.behaviour != "unresponsive":
+            delay = self.rng.uniform(0.3, 1.2) if self.behaviour == "slow" else 0.02
             asyncio.get_running_loop().call_later(delay, self._answer, call, ref)
 
     def _answer(self, call: Call, ref: str) -> None:
@@ -102,36 +102,36 @@
 
 @dataclass
 class Lag:
-    """For how long this process was held up at most: a machine that is busy makes its plays unsound."""
+    """The longest delay of this process: on a busy machine the timings of a run are not reliable."""
 
-    most: float = 0.0
+    longest: float = 0.0
 
     async def measure(self) -> None:
-        """Until cancelled."""
+        """Measure until cancelled."""
         while True:
             begun = time.monotonic()
-            await asyncio.sleep(LAG_EVERY)
-            self.most = max(self.most, time.monotonic() - begun - LAG_EVERY)
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.longest = max(self.longest, time.monotonic() - begun - LAG_INTERVAL_S)
 
 
-class Play:
-    """One schedule, played."""
+class ScheduleRun:
+    """The run of one schedule."""
 
     def __init__(self, seed: int, text: Path, folder: Path) -> None:
-        self.rng = random.Random(f"{seed}/schedule")  # drawn ahead, whatever happens when
+        self.rng = random.Random(f"{seed}/schedule")  # drawn in advance, independent of what happens in the run
         self.result = Result(seed)
         self.text = text
         self.folder = folder
         self.field = Field(folder)
         self.hosts = [Host(f"s-{number}", random.Random(f"{seed}/host {number}")) for number in range(HOSTS)]
-        self.taken: dict[str, tuple[str, float]] = {}  # class, and when it was sent
+        self.accepted: dict[str, tuple[str, float]] = {}  # class, and time of sending
         self.child: asyncio.subprocess.Process | None = None
         self.port = self.field.free_port()
         self.config: dict[str, Any] = {}
         self.killed_at: list[float] = []
 
     async def run(self) -> Result:
-        """Play it, and judge."""
+        """Run the schedule, and check the rules."""
         for host in self.hosts:
             await host.start()
         endpoints = {host.name: endpoint(host, host.name) for host in self.hosts}  # type: ignore[arg-type]
@@ -141,10 +141,10 @@
         try:
             await self._start()
             traffic = asyncio.create_task(self._traffic())
-            await self._trouble()
+            await self._run_faults()
             traffic.cancel()
-            await asyncio.sleep(PATIENCE + 1.0)
-            self._judge()
+            await asyncio.sleep(MESSAGE_TIME_LIMIT_S + 1.0)
+            self._check_rules()
         finally:
             await self._stop()
         self.result.fates.update(fate.value for fate in fates.drawn)
@@ -161,28 +161,28 @@
             "known": {"index": 0, "snapshot": True, "endpoints": list(self.discovery.endpoints.values())},
         }
         self._configure()
-        await self._begin_life()
+        await self._start_process()
 
-    async def _begin_life(self) -> None:
+    async def _start_process(self) -> None:
         log = (self.folder / "log").open("ab")
         environment = {"RELAY_CONFIG": str(self.folder / "config.json"), "RELAY_STATE": str(self.field.state)}
         self.child = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "garnetrelay", cwd=self.text, env={**os.environ, **environment}, stderr=log
         )
         log.close()
-        async with asyncio.timeout(START_TIME):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await self._serves():
                 await asyncio.sleep(0.05)
-        self.discovery.lives.append(time.monotonic())
+        self.discovery.starts.append(time.monotonic())
 
     async def _restart(self) -> None:
-        """SIGKILL, and a new process from the folder; it has the list of the first start."""
+        """SIGKILL, and a new process from the folder; its configuration has the list of hosts of the first start."""
         assert self.child is not None
         self.killed_at.append(time.monotonic())
         self.child.kill()
         await self.child.wait()
-        await asyncio.sleep(DOWN_FOR)
-        await self._begin_life()
+        await asyncio.sleep(DOWN_TIME_S)
+        await self._start_process()
 
     async def _serves(self) -> bool:
         try:
@@ -205,8 +205,8 @@
         await self.discovery.stop()
         for host in self.hosts:
             await host.stop()
-        for held in self.field.held_ports:
-            held.close()
+        for reserved in self.field.reserved_ports:
+            reserved.close()
 
     # ---- clients
 
@@ -214,29 +214,29 @@
         async with asyncio.TaskGroup() as group:
             for number in range(1_000_000):
                 group.create_task(self._message(f"{self.result.seed:x}-{number}", CLASSES[number % len(CLASSES)]))
-                await asyncio.sleep(TRAFFIC_EVERY)
+                await asyncio.sleep(TRAFFIC_INTERVAL_S)
 
     async def _message(self, ref: str, klass: str) -> None:
-        words = f"c={klass},d={int(PATIENCE * 1000)},dest=3" + (f",k=key-{ref}" if klass == "keyed" else "")
+        options = f"c={klass},d={int(MESSAGE_TIME_LIMIT_S * 1000)},dest=3" + (f",k=key-{ref}" if klass == "keyed" else "")
         sent = time.monotonic()
         try:
-            async with asyncio.timeout(ANSWER_TIME):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 client = await Client.connect(self.port)
-                answer = await client.ask("ENQUEUE", "0000", ref, words, "x")
+                answer = await client.ask("ENQUEUE", "0000", ref, options, "x")
         except (OSError, TimeoutError):
             return
         client.writer.close()
         if answer == b"OK":
-            self.taken[ref] = klass, sent
+            self.accepted[ref] = klass, sent
 
-    # ---- what goes wrong
+    # ---- faults
 
-    async def _trouble(self) -> None:
-        """Outages, silences and reloads in a row, a drain about the end of each; hosts in trouble beside."""
+    async def _run_faults(self) -> None:
+        """Outages, unresponsive connections and reloads in a row, a drain near the end of each, and failing hosts."""
         events: list[tuple[float, Any]] = []
         at, leaving = 0.5, self.rng.sample(self.hosts, DRAINS)
-        while at < LENGTH - WATCHED_FOR:
-            for what in self.rng.sample([self._outage, self._reloads, self._silence], self.rng.randrange(1, 4)):
+        while at < MIN_RUN_S - QUIET_END_S:
+            for what in self.rng.sample([self._outage, self._reloads, self._unresponsive], self.rng.randrange(1, 4)):
                 events += what(at)
                 at = max(moment for moment, _ in events) + self.rng.uniform(0.0, 1.0)
             if leaving:
@@ -249,36 +249,36 @@
                 )
             at += self.rng.uniform(0.0, 4.0)
         for _ in range(6):
-            events += self._host_trouble()
-        if self.rng.random() < RESTARTED:
-            events.append((self.rng.uniform(3.0, LENGTH - WATCHED_FOR), self._restart))
+            events += self._host_faults()
+        if self.rng.random() < RESTART_SHARE:
+            events.append((self.rng.uniform(3.0, MIN_RUN_S - QUIET_END_S), self._restart))
         begun = time.monotonic()
         for moment, event in sorted(events, key=lambda one: one[0]):
             await asyncio.sleep(max(0.0, begun + moment - time.monotonic()))
             await event() if asyncio.iscoroutinefunction(event) else event()
-        await asyncio.sleep(max(0.0, max(begun + LENGTH, self.discovery.up_at + WATCHED_FOR) - time.monotonic()))
+        await asyncio.sleep(max(0.0, max(begun + MIN_RUN_S, self.discovery.up_at + QUIET_END_S) - time.monotonic()))
 
     def _outage(self, at: float) -> list[tuple[float, Any]]:
-        how = self.rng.choice([*Outage, Outage.KEEPS])
-        crowd = self.rng.choice([0.0, self.rng.uniform(2.0, 4.0)])
+        outage = self.rng.choice([*Outage, Outage.KEEPS])
+        load = self.rng.choice([0.0, self.rng.uniform(2.0, 4.0)])
         back = at + self.rng.uniform(1.0, 14.0)
-        return [(at, lambda: self.discovery.go_down(how)), (back, lambda: self.discovery.come_up(crowd))]
+        return [(at, lambda: self.discovery.go_down(outage)), (back, lambda: self.discovery.come_up(load))]
 
     def _reloads(self, at: float) -> list[tuple[float, Any]]:
         gaps = [self.rng.uniform(0.05, 0.9) for _ in range(self.rng.randrange(1, 6))]
-        crowd = self.rng.choice([0.0, self.rng.uniform(2.0, 4.0)])
+        load = self.rng.choice([0.0, self.rng.uniform(2.0, 4.0)])
         reloads: list[tuple[float, Any]] = [(at + sum(gaps[:number]), self._reload) for number in range(len(gaps))]
-        return [(at, lambda: self.discovery.crowd(crowd)), *reloads]
+        return [(at, lambda: self.discovery.add_load(load)), *reloads]
 
-    def _silence(self, at: float) -> list[tuple[float, Any]]:
-        return [(at, self.discovery.fall_silent)]
+    def _unresponsive(self, at: float) -> list[tuple[float, Any]]:
+        return [(at, self.discovery.stop_responding)]
 
-    def _host_trouble(self) -> list[tuple[float, Any]]:
-        host, how = self.rng.choice(self.hosts), self.rng.choice(["slow", "hung", "turns away"])
-        at = self.rng.uniform(0.5, LENGTH - 6.0)
+    def _host_faults(self) -> list[tuple[float, Any]]:
+        host, behaviour = self.rng.choice(self.hosts), self.rng.choice(["slow", "unresponsive", "refuses"])
+        at = self.rng.uniform(0.5, MIN_RUN_S - 6.0)
         return [
-            (at, lambda: setattr(host, "how", how)),
-            (at + self.rng.uniform(1.0, 5.0), lambda: setattr(host, "how", "well")),
+            (at, lambda: setattr(host, "behaviour", behaviour)),
+            (at + self.rng.uniform(1.0, 5.0), lambda: setattr(host, "behaviour", "normal")),
         ]
 
     async def _reload(self) -> None:
@@ -287,60 +287,62 @@
         if self.child is not None and self.child.returncode is None:
             self.child.send_signal(signal.SIGHUP)
 
-    # ---- the rules
+    # ---- checks of the rules
 
-    def _judge(self) -> None:
+    def _check_rules(self) -> None:
         result = self.result
         result.crashed = self.child is None or self.child.returncode is not None
         for change in self.discovery.changes:
-            result.drains += self._sent_behind(change)
+            result.drains += self._sent_after(change)
         delivered = {ref: at for host in self.hosts for ref, at in host.delivered.items()}
         ran = sum((host.ran for host in self.hosts), Counter[str]())
-        result.taken, result.delivered = len(self.taken), sum(ref in delivered for ref in self.taken)
-        for ref, (klass, sent) in self.taken.items():
+        result.accepted, result.delivered = len(self.accepted), sum(ref in delivered for ref in self.accepted)
+        for ref, (klass, sent) in self.accepted.items():
             ends = [at for at in (delivered.get(ref), self.discovery.notices.get(ref)) if at is not None]
-            if not ends or min(ends) > self._due(sent + PATIENCE) + OVERDUE:
-                late = f"{min(ends) - sent - PATIENCE:.2f} s behind its time" if ends else "never"
+            if not ends or min(ends) > self._due(sent + MESSAGE_TIME_LIMIT_S) + MAX_NOTICE_DELAY_S:
+                late = f"{min(ends) - sent - MESSAGE_TIME_LIMIT_S:.2f} s after its deadline" if ends else "never"
                 result.lost.append(f"{ref} ({klass}) ended {late}")
             if klass == "unsafe" and ran[ref] > 1:
                 result.twice.append(f"{ref} ran {ran[ref]} times")
 
     def _due(self, at: float) -> float:
-        """When a message has to have ended; none is overdue about a restart."""
-        for killed, ready in zip(self.killed_at, self.discovery.lives[1:], strict=True):
-            if killed <= at <= ready + EXCUSED:
-                return ready + EXCUSED
+        """The time by which a message must have ended; none is overdue during a restart."""
+        for killed, ready in zip(self.killed_at, self.discovery.starts[1:], strict=True):
+            if killed <= at <= ready + RESTART_GRACE_S:
+                return ready + RESTART_GRACE_S
         return at
 
-    def _sent_behind(self, change: Change) -> list[str]:
+    def _sent_after(self, change: Change) -> list[str]:
         host = next(host for host in self.hosts if host.name == change.host)
         found = []
-        for life, ends in enumerate([*self.killed_at, float("inf")]):
-            told = self.discovery.counts_as_told(change, life)
-            late = [(at, ref) for at, ref in host.came if told + GRACE + SLACK < at < ends]
-            found += [f"{ref} went to {host.name} {at - told:.2f} s after this relay counts as told" for at, ref in late]
+        for start, ends in enumerate([*self.killed_at, float("inf")]):
+            notified = self.discovery.counts_as_notified(change, start)
+            late = [(at, ref) for at, ref in host.arrivals if notified + GRACE_S + SLACK_S < at < ends]
+            found += [
+                f"{ref} went to {host.name} {at - notified:.2f} s after this relay counts as notified" for at, ref in late
+            ]
         return found
 
 
-async def play(seed: int, text: Path) -> Result:
-    """One schedule in a folder of its own."""
+async def run_schedule(seed: int, text: Path) -> Result:
+    """Run one schedule in its own folder."""
     with tempfile.TemporaryDirectory() as folder:
-        return await Play(seed, text, Path(folder)).run()
+        return await ScheduleRun(seed, text, Path(folder)).run()
 
 
-async def play_all(seeds: Iterable[int], text: Path, beside: int) -> list[Result]:
-    """Many, so many at a time; a line for each as it ends."""
-    room, results = asyncio.Semaphore(beside), list[Result]()
+async def run_schedules(seeds: Iterable[int], text: Path, concurrency: int) -> list[Result]:
+    """Run many schedules, a limited number at a time; prints a line for each as it ends."""
+    slots, results = asyncio.Semaphore(concurrency), list[Result]()
     lag = Lag()
     measuring = asyncio.create_task(lag.measure())
 
     async def one(seed: int) -> None:
-        async with room:
-            result = await play(seed, text)
+        async with slots:
+            result = await run_schedule(seed, text)
         results.append(result)
         print(
-            f"seed {seed}: taken on {result.taken}, delivered {result.delivered}, behind drains {len(result.drains)}, "
-            f"lost {len(result.lost)}, twice {len(result.twice)}; {dict(result.fates)}; {(result.broken or ['well'])[0]}",
+            f"seed {seed}: accepted {result.accepted}, delivered {result.delivered}, after drains {len(result.drains)}, "
+            f"lost {len(result.lost)}, twice {len(result.twice)}; {dict(result.fates)}; {(result.broken or ['ok'])[0]}",
             flush=True,
         )
 
@@ -348,7 +350,9 @@
         for seed in seeds:
             group.create_task(one(seed))
     measuring.cancel()
-    print(f"this process was held up for {lag.most:.2f} s at most: what is told above by times under that is not sound")
+    print(
+        f"longest delay of this process: {lag.longest:.2f} s; results above that depend on shorter times are not reliable"
+    )
     return results
 
 
@@ -359,7 +363,7 @@
     parser.add_argument("--text", type=Path, default=Path("."))
     parser.add_argument("--beside", type=int, default=6)
     options = parser.parse_args()
-    results = asyncio.run(play_all(range(*options.seeds), options.text, options.beside))
+    results = asyncio.run(run_schedules(range(*options.seeds), options.text, options.beside))
     for name in ("drains", "lost", "twice", "crashed"):
         broken = [result for result in results if getattr(result, name)]
         cases = sum(len(getattr(result, name)) if name != "crashed" else 1 for result in broken)
--- a/tests/incidents/proxy.py
+++ b/tests/incidents/proxy.py
@@ -1,4 +1,5 @@
-"""A proxy on loopback between a relay and a stand-in: each connection passes, or is refused, silent, cut or late."""
+"""A proxy on loopback between a relay and a simulated peer: it forwards, delays, refuses or cuts off each connection, or
+does not respond on it."""
 
 from __future__ import annotations
 
@@ -7,11 +8,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-PIECE = 65536
+READ_BYTES = 65536
 
 
 class Fate(Enum):
-    """What becomes of one connection."""
+    """How one connection is treated."""
 
     PASSES = "passes"
     LATE = "late"
@@ -26,28 +27,28 @@
 
 @dataclass
 class Fates:
-    """Draws fates by a seed. Never more than so many bad ones in a row: what has to get through in time can."""
+    """Draws fates by a seed, with a limit on bad ones in a row, so that a retry can get through in time."""
 
     rng: random.Random
-    share: float  # of connections that meet a bad one, or are late
-    most_in_a_row: int
-    bad: tuple[Fate, ...] = BAD  # what counts there
+    share: float  # of connections with a fault
+    max_in_a_row: int
+    bad: tuple[Fate, ...] = BAD  # which fates count towards the limit
     drawn: list[Fate] = field(default_factory=list)
 
     def draw(self) -> Fate:
-        """The next connection's."""
+        """The fate of the next connection."""
         fate = Fate.PASSES
         if self.rng.random() < self.share:
             fate = self.rng.choice(FAULTY)
-        latest = self.drawn[-self.most_in_a_row :]
-        if len(latest) == self.most_in_a_row and all(one in self.bad for one in latest):
+        latest = self.drawn[-self.max_in_a_row :]
+        if len(latest) == self.max_in_a_row and all(one in self.bad for one in latest):
             fate = Fate.PASSES
         self.drawn.append(fate)
         return fate
 
 
 class FaultyProxy:
-    """Listens in front of one address. The fate of a connection is drawn by the method of its first request."""
+    """Listens in front of one address. The method of a connection's first request selects the source of its fate."""
 
     def __init__(self, target: str, watches: Fates, notices: Fates, rng: random.Random) -> None:
         self.host, _, port = target.partition(":")
@@ -55,13 +56,13 @@
         self.fates = {b"GET": watches, b"POST": notices}
         self.rng = rng
         self.address = ""
-        self.tells: set[int] = set()  # ports towards the target whose answers reach the relay
+        self.forwarding_ports: set[int] = set()  # ports to the target whose answers reach the relay
         self._server: asyncio.Server | None = None
         self._open: set[asyncio.StreamWriter] = set()
         self._muted: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen on a port that the kernel picks."""
+        """Listen on a port that the kernel chooses."""
         self._server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
         self.address = "%s:%d" % self._server.sockets[0].getsockname()[:2]
 
@@ -72,22 +73,22 @@
         for writer in self._open:
             writer.transport.abort()
 
-    def fall_silent(self) -> None:
-        """Nothing more comes out of what is open now, and nobody is told."""
+    def stop_responding(self) -> None:
+        """Forward nothing more on the open connections, without closing them."""
         self._muted |= self._open
-        self.tells.clear()
+        self.forwarding_ports.clear()
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open.add(writer)
         try:
-            first = await reader.read(PIECE)
+            first = await reader.read(READ_BYTES)
             fates = self.fates.get(first.partition(b" ")[0])
             fate = Fate.PASSES if fates is None else fates.draw()
             if fate is Fate.SILENT:
-                while await reader.read(PIECE):
+                while await reader.read(READ_BYTES):
                     pass
             elif fate is not Fate.REFUSED and first:
-                await self._carry(fate, first, reader, writer)
+                await self._forward(fate, first, reader, writer)
         except OSError:
             pass
         finally:
@@ -95,34 +96,37 @@
             self._muted.discard(writer)
             writer.transport.abort()
 
-    async def _carry(self, fate: Fate, first: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(
+        self, fate: Fate, first: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         delay = self.rng.uniform(0.2, 1.0) if fate is Fate.LATE else self.rng.uniform(0.0, 0.03)
         await asyncio.sleep(delay)
-        far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
-        port = int(far_writer.get_extra_info("sockname")[1])
+        target_reader, target_writer = await asyncio.open_connection(self.host, self.port)
+        port = int(target_writer.get_extra_info("sockname")[1])
         if fate is not Fate.CUT and writer not in self._muted:
-            self.tells.add(port)
-        far_writer.write(first)
-        left = self.rng.randrange(1, 400) if fate is Fate.CUT else 1 << 60
-        ways = [
-            asyncio.create_task(self._there(reader, far_writer)),
-            asyncio.create_task(self._back(far_reader, writer, left)),
+            self.forwarding_ports.add(port)
+        target_writer.write(first)
+        remaining = self.rng.randrange(1, 400) if fate is Fate.CUT else 1 << 60
+        directions = [
+            asyncio.create_task(self._to_target(reader, target_writer)),
+            asyncio.create_task(self._to_relay(target_reader, writer, remaining)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)  # the end of one side is the other's at once
+            # The end of one side closes the other at once.
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            self.tells.discard(port)
-            for way in ways:
-                way.cancel()
-            far_writer.transport.abort()
+            self.forwarding_ports.discard(port)
+            for direction in directions:
+                direction.cancel()
+            target_writer.transport.abort()
 
-    async def _there(self, reader: asyncio.StreamReader, far_writer: asyncio.StreamWriter) -> None:
-        while piece := await reader.read(PIECE):
-            far_writer.write(piece)
+    async def _to_target(self, reader: asyncio.StreamReader, target_writer: asyncio.StreamWriter) -> None:
+        while piece := await reader.read(READ_BYTES):
+            target_writer.write(piece)
 
-    async def _back(self, far_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, left: int) -> None:
-        while left > 0 and (piece := await far_reader.read(PIECE)):
+    async def _to_relay(self, target_reader: asyncio.StreamReader, writer: asyncio.StreamWriter, remaining: int) -> None:
+        while remaining > 0 and (piece := await target_reader.read(READ_BYTES)):
             await asyncio.sleep(self.rng.uniform(0.0, 0.03))
             if writer not in self._muted:
-                writer.write(piece[:left])
-                left -= len(piece)
+                writer.write(piece[:remaining])
+                remaining -= len(piece)
--- a/tests/incidents/test_drain_behind_reloads.py
+++ b/tests/incidents/test_drain_behind_reloads.py
@@ -1,7 +1,7 @@
-"""Incident 50: a relay that has no watch, and whose calls of discovery failed, learns of a drain too late.
+"""Incident 50: a relay without a watch, whose calls to discovery failed, learns of a drain too late.
 
-One real process, scripted stand-ins. Each step waits for the one before: the outage lasts until three calls have waited
-out their time, the reloads follow, and each address refuses the first call that comes to it.
+The test uses one real process and scripted peers. Each step waits for the previous one: the outage lasts until three
+calls have waited for their full time, then the reloads follow, and each address refuses the first call that it receives.
 """
 
 from __future__ import annotations
@@ -17,57 +17,57 @@
 from tests.sockets import Field, endpoint, host_list_json
 from tests.test_process import Process, process  # noqa: F401  (a fixture)
 
-WAIT = 2.0  # seconds for which discovery keeps a call that it can't answer, as in the incident
-TOLD_AFTER = 6.0  # seconds after which a change counts as told: docs/incidents/050
-GRACE = 1.05  # of a drain, on sockets
+WAIT_S = 2.0  # for which discovery keeps a call that it can't answer, as in the incident
+NOTIFIED_AFTER_S = 6.0  # after which the relay counts as notified of a change: docs/incidents/050
+GRACE_S = 1.05  # grace period of a drain, on real sockets
 RELOADS = 4
-BETWEEN_RELOADS = 0.3
-TRAFFIC_EVERY = 0.02
+RELOAD_INTERVAL_S = 0.3
+TRAFFIC_INTERVAL_S = 0.02
 
 
-class Answering:
-    """Delivers every call, and notes when each came."""
+class HostRecorder:
+    """Answers every call with 200, and records the time of its arrival."""
 
     def __init__(self, host: ScriptedHost) -> None:
         self.host = host
-        self.came: list[float] = []
+        self.arrivals: list[float] = []
 
     async def run(self) -> None:
         while True:
             call = await self.host.calls.get()
-            self.came.append(time.monotonic())
+            self.arrivals.append(time.monotonic())
             call.answer(200)
 
 
 async def send_messages(client: Client) -> None:
     for number in range(100_000):
         await client.ask("ENQUEUE", "0000", f"m{number}", "c=safe,d=8000,dest=3", "x")
-        await asyncio.sleep(TRAFFIC_EVERY)
+        await asyncio.sleep(TRAFFIC_INTERVAL_S)
 
 
 async def fail_until(platform: ScriptedPlatform, calls: int) -> None:
-    """An outage: every call waits out its time, until so many have."""
+    """An outage: every call fails after its full waiting time, until a number of them have."""
     ended: asyncio.Queue[None] = asyncio.Queue()
 
     async def end(call: Call) -> None:
-        await asyncio.sleep(WAIT)
+        await asyncio.sleep(WAIT_S)
         call.answer(503)
         ended.put_nowait(None)
 
-    async def take_up() -> None:
+    async def accept_calls() -> None:
         async with asyncio.TaskGroup() as group:
             while True:
                 group.create_task(end(await platform.calls.get()))
 
-    taking_up = asyncio.create_task(take_up())
+    accepting = asyncio.create_task(accept_calls())
     async with asyncio.timeout(4 * PATIENCE):
         for _ in range(calls):
             await ended.get()
-    taking_up.cancel()
+    accepting.cancel()
 
 
 async def refuse_first(platform: ScriptedPlatform, line: str, written: asyncio.Queue[float]) -> None:
-    """The first call is refused at once, each later one is answered with the list."""
+    """Refuse the first call at once, and answer each later one with the list."""
     (await platform.calls.get()).answer(503)
     while True:
         call = await platform.calls.get()
@@ -76,18 +76,18 @@
         written.put_nowait(time.monotonic())
 
 
-async def test_a_drain_is_kept_behind_an_outage_of_discovery_and_reloads(
+async def test_a_drain_is_respected_after_an_outage_of_discovery_and_reloads(
     field: Field,
     process: Process,  # noqa: F811
 ) -> None:
-    """The gap to the next call had grown to 15 s, whatever became of the calls since, and at whatever address."""
+    """The interval before the next call had grown to 15 s, and neither later successes nor a new address reset it."""
     staying = ScriptedHost()
     await staying.start()
     field.facts["balancers"] = 6
     field.endpoints.append(endpoint(staying, "s-2"))
     client = await process.start()
     (await field.platform.next_watch()).line("")
-    leaving_calls, staying_calls = Answering(field.host), Answering(staying)
+    leaving_calls, staying_calls = HostRecorder(field.host), HostRecorder(staying)
     tasks: list[asyncio.Task[Any]] = [
         asyncio.create_task(work) for work in (leaving_calls.run(), staying_calls.run(), send_messages(client))
     ]
@@ -106,22 +106,22 @@
         path = field.folder / "config.json"
         path.write_text(json.dumps({**json.loads(path.read_text()), "discovery": platform.address}))
         await process.send(signal.SIGHUP, b"discovery moves")
-        await asyncio.sleep(BETWEEN_RELOADS)
+        await asyncio.sleep(RELOAD_INTERVAL_S)
     try:
-        async with asyncio.timeout_at(back + TOLD_AFTER):
-            told = min(back + TOLD_AFTER, await written.get())
+        async with asyncio.timeout_at(back + NOTIFIED_AFTER_S):
+            notified_at = min(back + NOTIFIED_AFTER_S, await written.get())
     except TimeoutError:
-        told = back + TOLD_AFTER
-    await asyncio.sleep(max(0.0, told + GRACE - time.monotonic()))
-    before = len(staying_calls.came)
+        notified_at = back + NOTIFIED_AFTER_S
+    await asyncio.sleep(max(0.0, notified_at + GRACE_S - time.monotonic()))
+    before = len(staying_calls.arrivals)
     async with asyncio.timeout(PATIENCE):
-        while len(staying_calls.came) < before + 20:
-            await asyncio.sleep(TRAFFIC_EVERY)
-    late = [round(at - told, 2) for at in leaving_calls.came if at > told + GRACE]
+        while len(staying_calls.arrivals) < before + 20:
+            await asyncio.sleep(TRAFFIC_INTERVAL_S)
+    late = [round(at - notified_at, 2) for at in leaving_calls.arrivals if at > notified_at + GRACE_S]
     for task in tasks:
         task.cancel()
     for server in (staying, *addresses):
         await server.stop()
     assert (
         late == []
-    ), f"calls to a draining host, seconds after this relay counts as told; discovery was back {told - back:.2f} s before"
+    ), f"calls to a draining host, seconds after its notification; discovery was back {notified_at - back:.2f} s before"
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A relay and the other side of it, on loopback: the kit's scripted stand-ins, told by the test what to do."""
+"""A relay and its peers on loopback sockets: scripted hosts and a scripted platform, controlled by the test."""
 
 from __future__ import annotations
 
@@ -71,10 +71,10 @@
 
 
 class Client(scripted_peers.Client):
-    """A client that hands in messages as the tests' classes have them."""
+    """A client that submits messages of the classes in ``FACTS``."""
 
     async def enqueue_unread(self, ref: str, d: int) -> None:
-        """Hand in a message, and wait only until it lies in the relay's kernel."""
+        """Submit a message, and wait only until the data has been sent, not for the answer."""
         self.write("ENQUEUE", "0000", ref, f"c=safe,d={d},k=key-{ref},dest=3", "x")
         await self.writer.drain()
 
@@ -83,7 +83,7 @@
 
 
 class Field:
-    """A relay, its hosts, its platform and a client."""
+    """A relay, its scripted hosts and its scripted platform."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -98,17 +98,17 @@
         self.port = 0
         self.options = ""
         self.operators = False
-        self.held_ports: list[socket.socket] = []
+        self.reserved_ports: list[socket.socket] = []
 
     def free_port(self) -> int:
-        """A port for a relay's process, until this field stops. The kernel gives it to nobody else, also while no process
-        listens there: it is bound, in a way that leaves it to whoever names it and lets others have it too."""
-        held = socket.socket()
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        held.bind(("127.0.0.1", 0))
-        self.held_ports.append(held)
-        return int(held.getsockname()[1])
+        """A port for a relay's process, reserved until this field stops. A socket bound with SO_REUSEPORT keeps the
+        kernel from assigning the port to others while no process listens on it, and the relay can still bind it."""
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        reserved.bind(("127.0.0.1", 0))
+        self.reserved_ports.append(reserved)
+        return int(reserved.getsockname()[1])
 
     async def prepare(self) -> None:
         await self.host.start()
@@ -141,7 +141,7 @@
         return load(self.environment())
 
     async def start(self) -> Client:
-        """A relay in this process, and a client of it."""
+        """Start a relay in this process, and connect a client to it."""
         relay = Relay(self.config())
         self.relays.append(relay)
         _, self.port = await relay.start()
@@ -153,11 +153,11 @@
             relay.close()
         await self.host.stop()
         await self.platform.stop()
-        for held in self.held_ports:
-            held.close()
+        for reserved in self.reserved_ports:
+            reserved.close()
 
     async def warm(self, client: Client) -> None:
-        """Two messages delivered: after a host's first call alone, the Pacer gives its connection back."""
+        """Deliver two messages: after the first call alone, the Pacer closes the host's connection again."""
         for n in range(2):
             await client.enqueue(f"warm{n}")
             (await self.host.next_call()).answer(200)
@@ -165,7 +165,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Let the loop run until something has come about that no queue tells of."""
+    """Let the loop run until a condition holds that no queue signals."""
     async with asyncio.timeout(PATIENCE):
         while not condition():
             await asyncio.sleep(0)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,6 +1,7 @@
-"""Every table that could grow with messages, hosts or keys: after several times as many, none has grown with them.
+"""No table grows with the number of messages, hosts or keys: after several times as many, each has its size of before.
 
-In operations and not in time: whatever an object holds is walked, so that a table that is added later is seen too.
+The test counts elements instead of measuring time. It walks everything that an object refers to, so that it also covers
+tables that are added later.
 """
 
 from __future__ import annotations
@@ -31,9 +32,10 @@
     io.Status.CROWDED,
     io.Status.CONNECT_FAILED,
 )
-# Seconds of traffic: the test of the Pacer alone lets these pass. Hosts that went are remembered up to a bound.
+# Tables that the test of the relay does not wait for: the first four cover some seconds of traffic, which the test of the
+# Pacer alone lets elapse, and the last is limited to MAX_DELISTED_HOSTS.
 BOUNDED = {"Destination.arrived", "Destination.sent", "Destination.served", "Pacer.expiry", "Relay.delisted"}
-SPARE = 64  # what heaps keep of old times before they are cleaned, and such
+MAX_EXTRA_ELEMENTS = 64  # elements that may lag behind, such as expired entries in heaps that are not yet cleaned up
 
 
 def fields(thing: object) -> Iterator[tuple[str, Any]]:
@@ -46,8 +48,8 @@
 
 
 def sizes(root: object) -> Counter[str]:
-    """How many elements the containers below an object have, by the attribute that holds them: those of all objects
-    of one type count together. Only our own objects are gone into."""
+    """The number of elements in all containers below an object, by the attribute that refers to them, summed over all
+    objects of one type. Only objects of this project's own types are walked."""
     found: Counter[str] = Counter()
     seen: set[int] = set()
     left: list[tuple[str, Any]] = [("", root)]
@@ -67,26 +69,26 @@
     return found
 
 
-def grown(before: Counter[str], after: Counter[str]) -> dict[str, tuple[int, int]]:
-    return {name: (before[name], after[name]) for name in after if after[name] > 2 * before[name] + SPARE}
+def growth(before: Counter[str], after: Counter[str]) -> dict[str, tuple[int, int]]:
+    return {name: (before[name], after[name]) for name in after if after[name] > 2 * before[name] + MAX_EXTRA_ELEMENTS}
 
 
-def evening(relay: Relay, messages: int, first: int) -> None:
-    """So many messages, each with a key of its own, at two destinations whose hosts are replaced all along; calls end
-    in every way. Then all is over."""
+def run_messages(relay: Relay, messages: int, first: int) -> None:
+    """Run messages, each with its own key, to two destinations whose hosts are replaced continually; calls end in every
+    way. All messages have ended at the end."""
     for n in range(first, first + messages):
         old, new = (f"h{n % 2}-{m}" for m in (n // 10 - 1, n // 10))
-        news: list[io.Event] = []
+        events: list[io.Event] = []
         if n % 10 < 2:
-            news.append(
+            events.append(
                 io.Roster(
                     io.ListScope.CHANGES,
                     (entry(new, 1 + n % 2, n % 2), entry(old, 1 + n % 2, n % 2, state=io.Availability.DELETED)),
                 )
             )
-            news += [io.Excluded(old, False), io.Excluded(new, n % 3 == 0)]
+            events += [io.Excluded(old, False), io.Excluded(new, n % 3 == 0)]
         klass = (SAFE, KEYED, UNSAFE, TURNS)[n % 4]
-        relay.turn(*news, relay.message(klass, 1 + n % 2, key=f"k{n}", patience=3 * S), after=37 * MS)
+        relay.turn(*events, relay.message(klass, 1 + n % 2, key=f"k{n}", patience=3 * S), after=37 * MS)
         for number, m in enumerate([m for m in relay.pacer.messages.values() if m.call is not None]):
             report = io.Report((n % 11) / 10, 5.0 + n % 3)
             relay.turn(relay.verdict(m.name, ENDS[(n + number) % len(ENDS)], wait=(n % 5) * 40 * MS, report=report))
@@ -101,24 +103,23 @@
 @pytest.mark.parametrize("relays", [2, 200])
 def test_nothing_in_the_pacer_grows_with_messages_hosts_or_keys(relays: int) -> None:
     relay = Relay(relays=relays, listed_rates=True)
-    evening(relay, 500, 10)
+    run_messages(relay, 500, 10)
     before = sizes(relay.pacer)
-    evening(relay, 2_000, 510)
-    assert not grown(before, sizes(relay.pacer))
+    run_messages(relay, 2_000, 510)
+    assert not growth(before, sizes(relay.pacer))
 
 
-def test_a_table_that_forgets_nothing_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_table_without_cleanup_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Pacer, "remove_host", lambda pacer, name: None)
     relay = Relay()
-    evening(relay, 200, 10)
+    run_messages(relay, 200, 10)
     before = sizes(relay.pacer)
-    evening(relay, 600, 210)
-    assert "Pacer.hosts" in grown(before, sizes(relay.pacer))
+    run_messages(relay, 600, 210)
+    assert "Pacer.hosts" in growth(before, sizes(relay.pacer))
 
 
-async def hand_in(field: Field, watch: Watch, messages: int, first: int) -> None:
-    """So many messages over clients that come and go; some end by a notice, and the host that they go to gets another
-    name now and then."""
+async def submit(field: Field, watch: Watch, messages: int, first: int) -> None:
+    """Submit messages over short-lived connections; some end with a notice, and their host is renamed at intervals."""
     relay = field.relays[0]
     for n in range(first, first + messages):
         if n % 4 == 0:
@@ -126,27 +127,27 @@
             watch.line(host_list_json(n, endpoint(field.host, new), endpoint(field.host, old, "Gone")))
             await until(lambda: new in relay.listed and old not in relay.listed)  # noqa: B023
         client = await Client.connect(field.port)
-        tries = 0
-        while await client.enqueue(f"m{n}-{tries}", "unsafe" if n % 5 == 0 else "keyed") != b"OK":
-            tries += 1  # refused, as a loop on a busy machine lags
+        refusals = 0
+        while await client.enqueue(f"m{n}-{refusals}", "unsafe" if n % 5 == 0 else "keyed") != b"OK":
+            refusals += 1  # refused because the loop lags on a busy machine
         client.writer.close()
         await until(lambda: not relay.pending and not relay.notices.queue and not relay.server.connections)
 
 
-def answering(call: Call) -> None:
-    """Each tenth message dies, and the next one, which may be repeated, finds the host well. So does a probe: on a busy
-    machine a call is late and makes the host suspect, and what may not be repeated waits for one."""
+def answer_call(call: Call) -> None:
+    """Every tenth message fails; the next one, which may be repeated, succeeds. Probes succeed too: on a busy machine a
+    late call makes the host suspect, and messages that may not be repeated then wait for a probe."""
     ref = call.headers.get("x-request-id", "")
     call.answer(500 if ref.partition("-")[0].endswith("0") else 200)
 
 
 async def test_nothing_in_the_relay_grows_with_messages_hosts_or_clients(field: Field) -> None:
     await field.start()
-    field.host.handler = answering
+    field.host.handler = answer_call
     relay, watch = field.relays[0], await field.platform.next_watch()
-    await hand_in(field, watch, 100, 100)
+    await submit(field, watch, 100, 100)
     before = sizes(relay)
-    await hand_in(field, watch, 400, 200)
+    await submit(field, watch, 400, 200)
     after = sizes(relay)
     assert after["Relay.delisted"] < MAX_DELISTED_HOSTS
-    assert not grown(before, after).keys() - BOUNDED
+    assert not growth(before, after).keys() - BOUNDED
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The relay as a process of its own: kills, planned restarts, a start that cannot be."""
+"""The relay as a separate process: kills, planned restarts, and failed starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Process:
-    """A relay that can be killed, and started again."""
+    """A relay process that can be killed and started again."""
 
     def __init__(self, field: Field) -> None:
         self.field = field
@@ -46,14 +46,14 @@
         return await Client.connect(self.port)
 
     async def says(self, text: bytes) -> None:
-        """Read the log up to a line."""
+        """Read the log up to a line that contains the text."""
         assert self.child is not None and self.child.stderr is not None
         async with asyncio.timeout(PATIENCE):
             while text not in (line := await self.child.stderr.readline()):
                 assert line, "the relay ended"
 
     async def send(self, number: signal.Signals, text: bytes) -> None:
-        """Send a signal, and wait for what the log says of it."""
+        """Send a signal, and wait for a text in the log."""
         assert self.child is not None
         self.child.send_signal(number)
         await self.says(text)
@@ -74,11 +74,11 @@
         await made.end(signal.SIGKILL)
 
 
-async def test_killed_relay_still_owes_each_message_its_end(field: Field, process: Process) -> None:
+async def test_killed_relay_still_ends_each_message(field: Field, process: Process) -> None:
     client = await process.start()
     for ref, klass in (("u", "unsafe"), ("k", "keyed"), ("s", "safe")):
         assert await client.enqueue(ref, klass) == b"OK"
-        await field.host.next_call()  # out, without an outcome
+        await field.host.next_call()  # in flight, without an outcome
     await process.end(signal.SIGKILL)
     await process.start()
     assert await field.platform.next_notice() == {"ref": "u", "result": "dead"}
@@ -92,7 +92,7 @@
     assert load(Folder(field.state))[0].entries == {}
 
 
-async def test_what_ended_while_it_was_down_is_told_at_its_start(field: Field, process: Process) -> None:
+async def test_messages_that_expired_while_it_was_down_are_notified_at_its_start(field: Field, process: Process) -> None:
     journal = Store.open(field.state, 3_000_000)
     late = Entry("late", "unsafe", 3, None, 1000, b"x")
     late_ran = Entry("late-ran", "keyed", 3, "k", 1000, b"x", attempts=1, trying_at=900, trying_zone="north")
@@ -106,8 +106,8 @@
     assert field.host.calls.empty()
 
 
-async def test_keyed_message_goes_again_in_its_building_and_window(field: Field, process: Process) -> None:
-    """The host that is listed stands in the north."""
+async def test_keyed_message_is_sent_again_in_its_zone_and_window(field: Field, process: Process) -> None:
+    """The listed host is in zone north."""
     now = time.time_ns() // 1_000_000
     journal = Store.open(field.state, 3_000_000)
     for ref, zone, ago in (("here", "north", 100), ("elsewhere", "south", 100), ("stale", "north", 7000)):
@@ -123,16 +123,16 @@
     assert set(load(Folder(field.state))[0].entries) == {"elsewhere"}
 
 
-async def test_planned_end_finishes_calls_and_closes_between_requests(field: Field, process: Process) -> None:
+async def test_planned_stop_finishes_calls_and_closes_between_requests(field: Field, process: Process) -> None:
     client = await process.start()
     assert await client.enqueue("m1", "unsafe") == b"OK"
     call = await field.host.next_call()
     assert process.child is not None
     process.child.send_signal(signal.SIGTERM)
-    late = await Client.connect(process.port)  # new connections still come
+    late = await Client.connect(process.port)  # new connections still arrive
     assert await late.enqueue("m2") == b"OK"
     second = await field.host.next_call()
-    assert await client.read() is None and await late.read() is None  # closed, with nothing owed
+    assert await client.read() is None and await late.read() is None  # closed, with no answer outstanding
     call.answer(200)
     second.answer(200)
     async with asyncio.timeout(PATIENCE):
@@ -141,8 +141,8 @@
 
 
 async def test_sighup_moves_discovery_and_notices_at_once(field: Field, process: Process) -> None:
-    """The old address stays up and the environment named it at the start: the file holds all the same. What
-    the old address did not acknowledge goes to the new one, whose list counts from a lower version."""
+    """The old address stays up, and the environment named it at the start: the file takes precedence. Notices that
+    the old address did not acknowledge go to the new one, whose list has a lower version."""
     field.platform.refusals = 1_000_000
     client = await process.start({"RELAY_DISCOVERY": field.platform.address})
     await field.platform.next_watch()
@@ -162,14 +162,14 @@
         await process.says(b"whole list, version 7")
         assert await client.enqueue("m2") == b"OK"
         (await host.next_call()).answer(200)
-        # A file that can't be used is one line, and again and again changes nothing.
+        # An invalid file gives one log line each time, and changes nothing.
         (field.folder / "config.json").write_text('{"discovery":')
         for _ in range(2):
             await process.send(signal.SIGHUP, b"the old configuration stays")
         assert await client.ask("PING") == b"PONG"
         field.platform, new = old, field.platform
         field.environment(process.port)
-        await process.send(signal.SIGHUP, b"discovery moves")  # and back
+        await process.send(signal.SIGHUP, b"discovery moves")  # and back to the old address
         await old.next_watch()
         await new.stop()
         assert await client.ask("PING") == b"PONG"
@@ -193,11 +193,11 @@
         sys.executable, "-m", "garnetrelay", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
     async with asyncio.timeout(PATIENCE):
-        _, told = await child.communicate()
-    assert child.returncode == 2 and told.count(b"\n") == 1 and says.encode() in told
+        _, output = await child.communicate()
+    assert child.returncode == 2 and output.count(b"\n") == 1 and says.encode() in output
 
 
-# Moments at which a start is held, as Python that runs ahead of it (``sitecustomize``) with a function ``hold``.
+# Moments at which a start is suspended: Python code that runs before it (``sitecustomize``), with a function ``hold``.
 MOMENTS = {
     "the interpreter starts": "hold()\n",
     "the relay is imported": (
@@ -215,16 +215,16 @@
 
 
 @pytest.mark.parametrize("moment", MOMENTS)
-async def test_a_new_configuration_that_comes_as_the_process_starts_is_read_and_ends_nothing(
+async def test_a_sighup_during_the_start_is_handled_and_does_not_end_the_process(
     field: Field, process: Process, tmp_path: Path, moment: str
 ) -> None:
-    """SIGHUP ends a process that has not said what it does with it, and one that is ignored leaves no trace. By the
-    deploy file's own command, held at one moment: the file names another address then, the environment the old."""
+    """SIGHUP ends a process that has no handler for it, and an ignored one is lost. The deploy file's own command is
+    suspended at one moment; by then the file names another address, while the environment names the old one."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    begun, begins = os.pipe()
-    waits, go_on = os.pipe()
+    started_read, started_write = os.pipe()
+    resume_read, resume_write = os.pipe()
     (tmp_path / "sitecustomize.py").write_text(
-        f"import os\ndef hold():\n    os.write({begins}, b'x')\n    os.read({waits}, 1)\n" + MOMENTS[moment]
+        f"import os\ndef hold():\n    os.write({started_write}, b'x')\n    os.read({resume_read}, 1)\n" + MOMENTS[moment]
     )
     old, field.platform = field.platform, ScriptedPlatform()
     await field.platform.start()
@@ -243,31 +243,31 @@
                 "RELAY_DISCOVERY": old.address,
                 "PYTHONPATH": str(tmp_path),
             },
-            pass_fds=(begins, waits),
+            pass_fds=(started_write, resume_read),
         )
-        os.close(begins)
-        os.close(waits)
-        assert await asyncio.to_thread(os.read, begun, 1) == b"x"
+        os.close(started_write)
+        os.close(resume_read)
+        assert await asyncio.to_thread(os.read, started_read, 1) == b"x"
         field.platform = moved
-        field.environment(process.port)  # the file, written anew
+        field.environment(process.port)  # writes the file again
         process.child.send_signal(signal.SIGHUP)
-        os.write(go_on, b"x")
+        os.write(resume_write, b"x")
         watch = await moved.next_watch()
         watch.line(host_list_json(50, endpoint(field.host), snapshot=True))
         await process.says(b"whole list, version 50")
         assert await process.end(signal.SIGTERM) == 0
     finally:
-        os.close(begun)
-        os.close(go_on)
+        os.close(started_read)
+        os.close(resume_write)
         await moved.stop()
         field.platform = old
 
 
-async def test_port_of_a_process_is_nobody_elses_while_it_is_down(field: Field, process: Process) -> None:
-    """Between two of its lives, or ahead of the first, the kernel gave it to another test's listener now and then."""
+async def test_port_of_a_process_stays_reserved_while_it_is_down(field: Field, process: Process) -> None:
+    """Before its first start or between two runs, the kernel sometimes assigned the port to another test's listener."""
 
     def taken() -> bool:
-        with socket.socket() as other:  # asks for it alone, as a listener on a port that the kernel picks does
+        with socket.socket() as other:  # binds it exclusively, like a listener on a port that the kernel chooses
             try:
                 other.bind(("127.0.0.1", process.port))
             except OSError:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import AnswerReader, Outcome
 from garnetrelay.discovery import watches
-from garnetrelay.fronts.resp import server as clients
+from garnetrelay.fronts.resp import server as resp_server
 from garnetrelay.rehearsal.scripted_peers import ScriptedHost
 from garnetrelay.store.reading import load
 from garnetrelay.store.storage import Folder
@@ -20,11 +20,11 @@
 # ---- admission
 
 
-async def test_message_is_taken_on_before_it_is_delivered_and_goes_on_unchanged(field: Field) -> None:
+async def test_message_is_accepted_before_it_is_delivered_and_forwarded_unchanged(field: Field) -> None:
     client = await field.start()
     body = bytes(range(256)) + b"\r\n"
     assert await client.enqueue("m1", "keyed", body=body) == b"OK"
-    call = await field.host.next_call()  # not answered yet, and the client knows already
+    call = await field.host.next_call()  # not answered yet, but already accepted
     assert (call.method, call.target) == ("POST", "/hook") and call.body == body
     assert call.headers["x-request-id"] == "m1" and call.headers["idempotency-key"] == "key-m1"
     assert 0 < int(call.headers["x-timeout-ms"]) <= 8000
@@ -33,19 +33,19 @@
     assert field.relays[0].journal.entries == {} and field.platform.notices.empty()
 
 
-@pytest.mark.parametrize("passed", [True, False])
-async def test_a_call_that_has_passed_to_another_process_is_not_timed_out_here(passed: bool) -> None:
+@pytest.mark.parametrize("handed_over", [True, False])
+async def test_a_call_handed_over_to_another_process_does_not_time_out_here(handed_over: bool) -> None:
     outcomes: list[Outcome] = []
     exchange = hosts.Exchange("s-1", 0, lambda address: None, outcomes.append)
     exchange.start_timer()
     for _ in range(2):
-        await asyncio.sleep(0)  # the timer has come; its end waits for a look at the sockets
+        await asyncio.sleep(0)  # the timer has run; the time-out waits for a poll of the sockets
     assert not outcomes and exchange.timer is not None
-    if passed:
+    if handed_over:
         exchange.timer.cancel()  # as `close_after_handover` does
     for _ in range(5):
         await asyncio.sleep(0)
-    assert len(outcomes) == (0 if passed else 1)
+    assert len(outcomes) == (0 if handed_over else 1)
 
 
 async def test_attempt_is_on_record_before_its_first_byte(field: Field) -> None:
@@ -56,7 +56,7 @@
     assert on_disk.trying_at is not None and on_disk.attempts == 1 and on_disk.trying_zone == "north"
 
 
-async def test_no_room_in_the_journal_is_busy(field: Field) -> None:
+async def test_full_journal_is_busy(field: Field) -> None:
     field.limits["disk_mb"] = 0.05
     client = await field.start()
     answer = await client.enqueue("m1", body=bytes(60_000))
@@ -64,7 +64,7 @@
     assert await client.enqueue("m2") == b"OK"
 
 
-async def test_full_hold_turns_messages_away_and_never_holds_more(field: Field) -> None:
+async def test_full_pending_queue_refuses_messages_and_never_exceeds_its_limit(field: Field) -> None:
     field.facts["limits"]["mostHeld"] = 20
     client = await field.start()
     answers = [await client.enqueue(f"m{n}") for n in range(40)]
@@ -109,11 +109,11 @@
         "unknown",
     ],
 )
-async def test_request_that_makes_no_sense_gets_an_error_and_the_connection_stays(
+async def test_invalid_request_gets_an_error_and_the_connection_stays(
     field: Field, words: tuple[str | bytes, ...]
 ) -> None:
     client = await field.start()
-    (await field.platform.next_watch()).line("")  # before that, a destination that is not listed may be a new one
+    (await field.platform.next_watch()).line("")  # before that, an unlisted destination may be a new one
     await until(lambda: field.relays[0].discovery.up_to_date)
     assert (await client.ask(*words)).startswith("ERR")
     assert await client.ask("PING") == b"PONG"
@@ -135,7 +135,7 @@
     ],
     ids=["inline", "length", "count", "no length", "integer", "short length", "huge count", "nested", "huge length"],
 )
-async def test_lost_framing_gets_an_error_and_a_close(field: Field, data: bytes) -> None:
+async def test_broken_framing_gets_an_error_and_a_close(field: Field, data: bytes) -> None:
     client = await field.start()
     client.writer.write(data)
     assert (await client.read()).startswith("ERR")
@@ -143,7 +143,7 @@
     assert field.relays[0].pending == {}
 
 
-async def test_answers_come_in_the_order_of_pipelined_requests(field: Field) -> None:
+async def test_answers_keep_the_order_of_pipelined_requests(field: Field) -> None:
     client = await field.start()
     client.write("PING", "one")
     client.write("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
@@ -152,31 +152,32 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"*5\r\n$7\r\nENQ"], ids=["silent", "half"])
-async def test_client_without_a_whole_command_is_shut_out_by_the_clock(
+async def test_client_without_a_whole_command_times_out(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
-    """The time runs from the beginning: a byte now and then wins none. One that has asked may stay."""
-    assert clients.COMMAND_TIMEOUT_S < 3
-    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.2)
+    """The time limit runs from the start of the command: single bytes do not extend it. A client that has sent a whole
+    command may stay."""
+    assert resp_server.COMMAND_TIMEOUT_S < 3
+    monkeypatch.setattr(resp_server, "COMMAND_TIMEOUT_S", 0.2)
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     bad = await Client.connect(field.port)
     bad.writer.write(data)
-    drip = asyncio.create_task(dripping(bad, data))
+    sending = asyncio.create_task(send_single_bytes(bad, data))
     assert (await bad.read()).startswith("ERR") and await bad.read() is None
-    drip.cancel()
+    sending.cancel()
     assert await usual.ask("PING") == b"PONG"
 
 
-async def dripping(client: Client, data: bytes) -> None:
+async def send_single_bytes(client: Client, data: bytes) -> None:
     while data:
         await asyncio.sleep(0.05)
         client.writer.write(b"U")
 
 
-async def test_sender_of_much_gets_to_read_the_error(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It reads only when it has sent all, long after it was shut out."""
-    monkeypatch.setattr(clients, "LINGER_S", 0.1)
+async def test_sender_of_a_large_body_can_read_the_error(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+    """It reads only after it has sent everything, long after the relay has rejected it."""
+    monkeypatch.setattr(resp_server, "LINGER_S", 0.1)
     client = await field.start()
     client.write("PING")
     client.writer.write(b"*1\r\n$60000000\r\n")
@@ -188,8 +189,8 @@
     assert (await client.read()).startswith("ERR") and await client.read() is None
 
 
-async def test_longest_idle_client_makes_room_for_a_newcomer(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Never one with a request begun. When nobody can go, the newcomer hears that it may come again."""
+async def test_longest_idle_client_is_closed_for_a_new_connection(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client with a partly sent request is never closed. If none can be closed, the new client is told to retry."""
     field.limits["sockets"] = 60
     first = await field.start()
     relay = field.relays[0]
@@ -200,7 +201,7 @@
     assert relay._remaining_client_connections() == 0
     late = await Client.connect(field.port)
     assert (await late.read()).startswith("BUSY") and await late.read() is None
-    monkeypatch.setattr(clients, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(resp_server, "MIN_IDLE_S", 0.0)
     first.writer.write(b"*1\r\n")  # a command has begun
     await until(lambda: any(connection.raw for connection in relay.server.connections))
     late = await Client.connect(field.port)
@@ -210,9 +211,9 @@
     assert await first.read() == b"PONG" and await others[1].ask("PING") == b"PONG"
 
 
-async def test_silent_connections_make_room_long_before_others(field: Field) -> None:
-    """Hundreds connected, said nothing and came again; for 2 s each they shut out all that had to ask."""
-    assert clients.MIN_IDLE_WITHOUT_COMMAND_S < clients.MIN_IDLE_S
+async def test_connections_without_a_command_are_closed_long_before_others(field: Field) -> None:
+    """Hundreds of clients connected, sent nothing and reconnected; each blocked clients with requests for 2 s."""
+    assert resp_server.MIN_IDLE_WITHOUT_COMMAND_S < resp_server.MIN_IDLE_S
     field.limits["sockets"] = 60
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
@@ -220,14 +221,14 @@
     silent = [await Client.connect(field.port) for _ in range(relay._remaining_client_connections())]
     await until(lambda: relay._remaining_client_connections() == 0)
     first = next(iter(relay.server.without_command))
-    await until(lambda: relay.server.now() > first.last_active_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
+    await until(lambda: relay.server.now() > first.last_active_at + resp_server.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
     assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
     assert await usual.ask("PING") == b"PONG"
 
 
-async def test_longest_idle_host_connection_makes_room(field: Field) -> None:
-    """The longest idle of all hosts, for a client or for another host."""
+async def test_longest_idle_host_connection_is_closed_when_descriptors_run_out(field: Field) -> None:
+    """The longest idle connection of all hosts is closed, for a client or for another host."""
     other = ScriptedHost()
     await other.start()
     field.endpoints.append(endpoint(other, "s-2"))
@@ -243,7 +244,7 @@
     asked: list[bool] = []
     net.free_descriptor = lambda: not asked.append(True)  # type: ignore[func-returns-value]
     net.remaining_capacity = lambda: 0
-    for _ in range(2):  # an idle client goes first: the connection of the first call is there for the second
+    for _ in range(2):  # an idle client is closed first: the second call finds the connection of the first
         net.begin(hosts.Exchange("s-1", 1 << 62, lambda address: None, opened.append))
         await until(lambda: bool(opened))
         opened.clear()
@@ -256,7 +257,7 @@
     await other.stop()
 
 
-async def test_message_that_ended_and_is_not_told_yet_is_not_taken_on_anew(field: Field) -> None:
+async def test_ended_message_with_an_unacknowledged_notice_is_not_accepted_again(field: Field) -> None:
     field.platform.refusals = 1_000_000
     client = await field.start()
     await client.enqueue("m1", "unsafe")
@@ -266,7 +267,9 @@
     assert not field.relays[0].pending and field.relays[0].journal.entries["m1"].ended == "dead"
 
 
-async def test_nonsense_at_full_speed_fills_no_log(field: Field, caplog: pytest.LogCaptureFixture) -> None:
+async def test_malformed_requests_at_full_speed_do_not_flood_the_log(
+    field: Field, caplog: pytest.LogCaptureFixture
+) -> None:
     client = await field.start()
     caplog.set_level("INFO")
     client.writer.write(b"*1\r\n$4\r\nNONE\r\n" * 600)
@@ -294,21 +297,21 @@
         (500, [(b"X-Server-Load", b"x0=nan,x1=?")], Outcome(io.Status.ERROR)),
     ],
 )
-def test_answer_is_read_as_the_protocol_says(status: int, headers: list[tuple[bytes, bytes]], outcome: Outcome) -> None:
+def test_answer_is_classified_by_the_protocol(status: int, headers: list[tuple[bytes, bytes]], outcome: Outcome) -> None:
     lines = b"".join(b"%s: %s\r\n" % line for line in headers)
     reader = AnswerReader()
     reader.feed(b"HTTP/1.1 %d What\r\n%sContent-Length: 0\r\n\r\n" % (status, lines))
     assert reader.outcome == outcome and reader.complete and reader.keep and not reader.broken
 
 
-async def test_unsafe_message_dies_with_a_connection_that_broke_behind_it(field: Field) -> None:
+async def test_unsafe_message_fails_when_its_connection_breaks_after_the_request(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     (await field.host.next_call()).break_off()
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
 
 
-async def test_unsafe_message_whose_connection_never_came_up_is_sent_again(field: Field) -> None:
+async def test_unsafe_message_is_sent_again_when_its_connection_was_never_established(field: Field) -> None:
     address = field.host.address
     await field.host.stop()
     client = await field.start()
@@ -340,7 +343,7 @@
     ],
     ids=["endless head", "head that stops", "length", "huge", "header", "chunks", "short", "behind 1xx"],
 )
-async def test_first_line_with_200_is_true_in_a_spoilt_answer(
+async def test_status_200_counts_in_a_malformed_answer(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
     monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
@@ -379,10 +382,10 @@
         "half a line with 200",
     ],
 )
-async def test_anything_else_spoilt_may_have_run_and_says_nothing_of_the_host(
+async def test_any_other_malformed_answer_may_have_run_and_does_not_count_against_the_host(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
-    """The host answers others as before: it is neither suspect nor told to be waited for."""
+    """The host is neither suspect nor under a wait: it may answer other calls as before."""
     monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=8000)
@@ -395,18 +398,20 @@
         assert await field.host.next_closing() == call.connection
 
 
-async def test_good_answer_with_more_than_belongs_to_it_stays_good(field: Field) -> None:
+async def test_good_answer_followed_by_extra_bytes_stays_good(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     first = await field.host.next_call()
     first.raw(b"HTTP/1.1 429 Slow\r\nX-Server-Load: x0=?\r\nContent-Length: 0\r\n\r\n" + b"noise")
-    again = await field.host.next_call()  # it never ran: an unsafe message goes again, on another connection
+    again = await field.host.next_call()  # it never ran: an unsafe message is sent again, on another connection
     assert again.headers["x-request-id"] == "m1" and again.connection != first.connection
     again.answer(200)
     await until(lambda: not field.relays[0].pending)
 
 
-async def test_answer_may_take_its_time_behind_1xx(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_answer_after_1xx_is_not_limited_by_the_time_for_the_rest_of_an_answer(
+    field: Field, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.05)
     client = await field.start()
     await client.enqueue("m1", "unsafe")
@@ -429,7 +434,7 @@
     assert (await field.platform.next_notice())["ref"] == "m1"
 
 
-async def test_message_that_is_over_at_the_host_needs_no_notice(field: Field) -> None:
+async def test_message_answered_with_410_needs_no_notice(field: Field) -> None:
     client = await field.start()
     await client.enqueue("m1")
     (await field.host.next_call()).answer(410)
@@ -437,7 +442,7 @@
     assert field.platform.notices.empty() and field.relays[0].journal.entries == {}
 
 
-async def test_giving_up_closes_the_connection_and_the_end_is_told_in_time(field: Field) -> None:
+async def test_timed_out_call_closes_the_connection_and_the_end_is_notified_in_time(field: Field) -> None:
     client = await field.start()
     sent = time.monotonic()
     await client.enqueue("m1", "unsafe", d=300)
@@ -445,21 +450,21 @@
     async with asyncio.timeout(20):
         assert await field.host.next_closing() == call.connection
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
-    assert time.monotonic() - sent >= 0.29  # not before its time was up
+    assert time.monotonic() - sent >= 0.29  # not before its deadline
 
 
-async def test_refused_call_keeps_its_connection_and_the_told_wait_is_heeded(field: Field) -> None:
+async def test_refused_call_keeps_its_connection_and_the_requested_wait_is_respected(field: Field) -> None:
     client = await field.start()
     await field.warm(client)
     await client.enqueue("m1")
     first = await field.host.next_call()
     first.answer(429, "X-Backoff-Ms: 400")
-    told = time.monotonic()
+    received = time.monotonic()
     again = await field.host.next_call()
-    assert again.connection == first.connection and time.monotonic() - told >= 0.39
+    assert again.connection == first.connection and time.monotonic() - received >= 0.39
 
 
-async def test_refusal_on_a_new_connection_is_told_from_one_on_a_kept_one(field: Field) -> None:
+async def test_refusals_on_new_and_on_reused_connections_are_distinguished(field: Field) -> None:
     client = await field.start()
     relay = field.relays[0]
     seen: list[io.Status] = []
@@ -487,7 +492,7 @@
 # ---- connections
 
 
-async def test_next_call_uses_the_same_connection_also_behind_1xx_and_a_body(field: Field) -> None:
+async def test_next_call_reuses_the_connection_also_after_1xx_and_a_body(field: Field) -> None:
     client = await field.start()
     await field.warm(client)
     seen = set()
@@ -501,7 +506,7 @@
     assert len(seen) == 1
 
 
-async def test_idle_connection_is_retired_before_the_host_closes_it(field: Field) -> None:
+async def test_idle_connection_is_closed_before_the_host_closes_it(field: Field) -> None:
     field.facts["limits"]["connIdle"] = 1_000_000_000
     client = await field.start()
     await field.warm(client)
@@ -513,9 +518,9 @@
             await field.host.next_closing()
 
 
-async def test_connection_that_the_host_has_closed_is_not_used_again(field: Field) -> None:
-    """The end lies on the socket when the next message comes, unread yet: writing behind it would be a
-    reset, and an unsafe message would die of it."""
+async def test_connection_that_the_host_has_closed_is_not_reused(field: Field) -> None:
+    """The end of the stream is still unread on the socket when the next message comes: a request written after it would
+    be reset, and an unsafe message would fail."""
     client = await field.start()
     await field.warm(client)
     await client.enqueue("m1", "unsafe")
@@ -526,7 +531,7 @@
     await until(lambda: any(net.idle.values()))
     idle = net.idle["s-1"][0]
     assert idle.transport is not None and idle.usable
-    idle.transport.pause_reading()  # the loop is too busy to see it
+    idle.transport.pause_reading()  # as if the loop were too busy to see it
     call.break_off()
     await until(lambda: not idle.usable)
     await client.enqueue("m2", "unsafe")
@@ -534,8 +539,8 @@
     assert second.headers["x-request-id"] == "m2" and second.connection != call.connection
 
 
-async def test_idle_connections_go_with_a_call_that_timed_out(field: Field) -> None:
-    """A vanished machine resets them when it is back, and an unsafe message on one would die of it."""
+async def test_idle_connections_are_closed_with_a_call_that_timed_out(field: Field) -> None:
+    """A machine that vanished resets them when it is back, and an unsafe message on one of them would fail."""
     client = await field.start()
     await field.warm(client)
     for ref in ("m1", "m2"):
@@ -548,13 +553,13 @@
     assert not net.open
 
 
-async def test_request_that_lies_unread_is_answered_before_a_draining_relay_closes(field: Field) -> None:
+async def test_unread_request_is_answered_before_a_draining_relay_closes(field: Field) -> None:
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     server = field.relays[0].server
     (connection,) = server.connections
     assert connection.transport is not None
-    connection.transport.pause_reading()  # the loop has not come to it yet
+    connection.transport.pause_reading()  # as if the loop had not read it yet
     client.write("ENQUEUE", "0", "m1", "c=safe,d=8000,dest=3", "x")
     await client.writer.drain()
     server.drain()
@@ -562,9 +567,9 @@
     assert await client.read() == b"OK" and await client.read() is None
 
 
-async def test_call_overtaken_while_its_connection_came_up_is_abandoned(field: Field) -> None:
-    """Connecting may take a second; a drain or a wait learned meanwhile holds for the call, and nothing of
-    it goes out."""
+async def test_call_is_abandoned_if_its_host_drains_while_it_connects(field: Field) -> None:
+    """Connecting may take a second; a drain or a wait reported meanwhile applies to the call, and none of its bytes are
+    sent."""
     client = await field.start()
     net, pacer = field.relays[0].hosts, field.relays[0].pacer
     begin = net.begin
@@ -586,17 +591,17 @@
 # ---- discovery and notices
 
 
-async def test_watch_goes_on_from_the_last_index_and_tells_of_drains(field: Field) -> None:
+async def test_watch_resumes_from_the_last_index_and_reports_drains(field: Field) -> None:
     client = await field.start()
     watch = await field.platform.next_watch()
     assert watch.call.target == "/api/targets?follow=1&since=41"
     other = ScriptedHost()
     await other.start()
     watch.line("")
-    watch.line("not a list")  # a drain, perhaps: it is asked for once more
+    watch.line("not a list")  # perhaps a drain: it is requested again
     watch = await field.platform.next_watch()
     assert watch.call.target == "/api/targets?follow=1&since=41"
-    watch.line('{"index":42,"snapshot":true,"endpoints":[{"name":"s-9"}]}')  # nor can that be read: what follows counts
+    watch.line('{"index":42,"snapshot":true,"endpoints":[{"name":"s-9"}]}')  # malformed too: what follows counts
     watch.line(host_list_json(43, endpoint(field.host, status="Terminating"), endpoint(other, "s-2")))
     await until(lambda: field.relays[0].discovery.index == 43)
     await client.enqueue("m1")
@@ -608,8 +613,8 @@
     await other.stop()
 
 
-async def test_silent_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that vanished says nothing; lines come every 2 s while all is well."""
+async def test_unresponsive_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A machine that vanished sends nothing, while a working watch sends a line every 2 s."""
     assert watches.SILENCE_TIMEOUT_S > 3
     monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
@@ -617,7 +622,7 @@
     await field.platform.next_watch()
 
 
-async def test_notice_is_resent_until_it_is_taken(field: Field) -> None:
+async def test_notice_is_resent_until_it_is_acknowledged(field: Field) -> None:
     field.platform.refusals = 2
     client = await field.start()
     await client.enqueue("m1", "unsafe")
@@ -627,35 +632,35 @@
     assert field.platform.refusals == 0
 
 
-async def test_time_that_a_command_lay_unread_is_taken_off_its_patience(field: Field) -> None:
-    """A client counts from its sending. What lay in the kernel while the loop was busy would end too late."""
+async def test_time_that_a_command_was_unread_counts_against_its_time_limit(field: Field) -> None:
+    """A client counts from its sending. A command that waited in the kernel during a busy loop would end too late."""
     client = await field.start()
     assert await client.ask("PING") == b"PONG"
     (connection,) = field.relays[0].server.connections
     assert connection.transport is not None
-    connection.transport.pause_reading()  # the loop is too busy to come to it
+    connection.transport.pause_reading()  # as if the loop were too busy to read it
     await client.enqueue_unread("m1", d=8000)
     await until(lambda: connection._unread_ms() >= 60)
     connection.transport.resume_reading()
     assert await client.read() == b"OK"
-    left = field.relays[0].pacer.messages["m1"].deadline - time.monotonic_ns()
-    assert left <= (8000 - 60) * 1_000_000
+    remaining = field.relays[0].pacer.messages["m1"].deadline - time.monotonic_ns()
+    assert remaining <= (8000 - 60) * 1_000_000
     connection.transport.pause_reading()
     await client.enqueue_unread("m2", d=30)
     await until(lambda: connection._unread_ms() >= 30)
     connection.transport.resume_reading()
-    assert await client.read() == "BUSY"  # its time was up before it was read
+    assert await client.read() == "BUSY"  # its time limit had passed before it was read
 
 
-# ---- a spent core
+# ---- an overloaded CPU core
 
 
-async def test_end_goes_out_in_the_turn_that_decides_it(field: Field) -> None:
-    """Not a round of the loop later: on a spent core that is what the rule leaves."""
+async def test_notice_is_sent_in_the_tick_that_decides_the_end(field: Field) -> None:
+    """One iteration of the loop later would be too late on an overloaded core: the rule allows no more time than that."""
     client = await field.start()
     relay = field.relays[0]
     await client.enqueue("m1", "unsafe")
-    (await field.host.next_call()).break_off()  # one reset does not make its host suspect
+    (await field.host.next_call()).break_off()  # a single reset does not make its host suspect
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     await until(lambda: not relay.notices.queue)
     await client.enqueue("m2", "unsafe")
@@ -669,29 +674,29 @@
     assert len(written) == 1 and b'{"ref":"m2","result":"dead"}' in written[0]
 
 
-async def test_answer_that_lay_there_behind_its_time_is_none(field: Field) -> None:
-    """The loop reads before it looks at timers. Taken for delivered, the message would have no end."""
+async def test_answer_read_after_the_deadline_does_not_count(field: Field) -> None:
+    """The loop reads sockets before it runs timers. Counted as delivered, the message would end without a notice."""
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=200)
     call = await field.host.next_call()
     relay = field.relays[0]
     call.answer(200)
-    while time.monotonic_ns() < relay.pending["m1"].ends_at:  # the core is spent
+    while time.monotonic_ns() < relay.pending["m1"].ends_at:  # as on an overloaded core
         pass
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     await until(lambda: not relay.pending)
 
 
 async def test_slow_relay_answers_each_message_by_its_deadline(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its own time is made dear: a turn takes as long as a spent core would make it. The host is silent."""
+    """Each tick takes as long as on an overloaded core, and the host does not respond."""
     field.facts["rules"]["answerSlack"] = 250_000_000
     client = await field.start()
     relay = field.relays[0]
     handle, tell = relay.pacer.handle, relay.notices.add
-    longest, late = 0, {}
+    longest, lateness = 0, {}
     deadlines: dict[str, int] = {}
 
-    def dear(now: int, events: list[io.Event]) -> list[io.Action]:
+    def slow_handle(now: int, events: list[io.Event]) -> list[io.Action]:
         nonlocal longest
         actions = handle(now, events)
         deadlines.update({m.name: m.deadline for m in relay.pacer.messages.values()})
@@ -700,15 +705,15 @@
         longest = max(longest, time.monotonic_ns() - now)
         return actions
 
-    def told(ref: str, result: str, wait_ms: int) -> None:
-        late[ref] = time.monotonic_ns() - deadlines[ref]
+    def record_end(ref: str, result: str, wait_ms: int) -> None:
+        lateness[ref] = time.monotonic_ns() - deadlines[ref]
         tell(ref, result, wait_ms)
 
-    monkeypatch.setattr(relay.pacer, "handle", dear)
-    monkeypatch.setattr(relay.notices, "add", told)
+    monkeypatch.setattr(relay.pacer, "handle", slow_handle)
+    monkeypatch.setattr(relay.notices, "add", record_end)
     answers = [await client.enqueue(f"m{n}", ("unsafe", "keyed", "safe")[n % 3], d=900) for n in range(24)]
     taken = [f"m{n}" for n, answer in enumerate(answers) if answer == b"OK"]
     notices = [(await field.platform.next_notice())["ref"] for _ in taken]
     assert sorted(notices) == sorted(taken) and taken
-    # What the rule leaves, and a round that a busy machine made longer than those before told.
-    assert max(late.values()) <= 250_000_000 + longest
+    # The slack that the rule allows, and the longest tick: a busy machine may make one longer than the reported lag.
+    assert max(lateness.values()) <= 250_000_000 + longest
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start of the relay does until it listens, and what the deploy file's `build` leaves for it."""
+"""The start of a relay up to its listening socket, and the result of the deploy file's `build` step."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def run(code: str) -> str:
-    """What an interpreter of its own prints."""
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    return told.stdout.strip()
+    """The output of a separate interpreter that runs this code."""
+    completed = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    return completed.stdout.strip()
 
 
 @pytest.fixture
 def root(tmp_path: Path) -> Path:
-    """The modules as they are checked out, beside nothing else."""
+    """A folder with only the modules of the checkout."""
     for package in PACKAGES:
         shutil.copytree(ROOT / package, tmp_path / package, ignore=shutil.ignore_patterns("__pycache__"))
     return tmp_path
@@ -37,7 +37,7 @@
 
 
 def test_build_compiles_every_module_where_the_venv_is_there_already(root: Path) -> None:
-    """At `run` nothing can be written, and each start would compile them anew."""
+    """The folder is read-only at `run`: without compiled modules, each start would compile them again."""
     (root / ".venv" / "bin").mkdir(parents=True)
     (root / ".venv" / "bin" / "python").symlink_to(sys.executable)
     assert build(root) == 0
@@ -46,7 +46,7 @@
 
 
 def test_build_serves_without_compiled_modules_and_fails_without_its_venv(root: Path) -> None:
-    (root / "garnetrelay" / "spoilt.py").write_text("def\n")  # no start imports it
+    (root / "garnetrelay" / "malformed.py").write_text("def\n")  # no start imports it
     (root / ".venv" / "bin").mkdir(parents=True)
     (root / ".venv" / "bin" / "python").symlink_to(sys.executable)
     assert build(root) == 0
@@ -56,24 +56,24 @@
     assert build(root, f"{root}:/usr/bin:/bin") != 0
 
 
-def test_sighup_is_minded_ahead_of_the_imports() -> None:
-    """They are nearly all of a start."""
+def test_sighup_is_handled_before_the_imports() -> None:
+    """The imports take nearly all of the start time."""
     late = ("asyncio", "logging", "ssl", "json", "dataclasses", "garnetrelay.daemon", "garnetrelay.relay", "starlingwick")
     assert run(f"import sys, garnetrelay.__main__\nprint([name for name in {late} if name in sys.modules])") == "[]"
 
 
-def test_what_is_garbage_is_collected_again_behind_the_imports() -> None:
-    """From the configuration on, with the modules still alive."""
+def test_garbage_collection_is_enabled_again_after_the_imports() -> None:
+    """It is on when the daemon runs, from the loading of the configuration on."""
     code = (
         "import gc, garnetrelay.__main__ as program\nfrom garnetrelay import daemon\n"
-        "daemon.run = lambda early: print(gc.isenabled(), early) or 0\nprogram.main()"
+        "daemon.run = lambda early_sighups: print(gc.isenabled(), early_sighups) or 0\nprogram.main()"
     )
     assert run(code) == "True []"
 
 
 @pytest.mark.parametrize("in_order", [False, True])
-def test_a_start_with_the_fullest_journal_takes_up_all_with_one_thread(tmp_path: Path, in_order: bool) -> None:
-    """The journal has no room for one more message, and its files are nearly as large as the disk."""
+def test_a_start_with_the_fullest_journal_restores_all_with_one_thread(tmp_path: Path, in_order: bool) -> None:
+    """The journal has no space for another message, and its files are nearly as large as the disk limit."""
     settings = starts.environment(tmp_path, 1, in_order)
     filled = starts.fill(Path(settings["RELAY_STATE"]), 1_000_000, seed=1, cleaned=False)
     assert filled.live > 100 and filled.size > starts.NEARLY_FULL * 1_000_000
