--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -54,7 +54,7 @@
 MAINTENANCE_INTERVAL_S = 0.005  # between two steps of compaction while no tick runs
 WRITE_RETRY_INTERVAL_S = 0.25  # until the next write to a folder that accepts no records
 MAX_DELISTED_HOSTS = 4096  # hosts that have left the list and are still known by name
-DEADLINE_MARGIN_NS = SECOND // 10  # an end this close to a message's deadline, or later, counts as ended at the deadline
+DEADLINE_MARGIN_NS = SECOND // 10  # an end that the deadline causes comes at most this long before it
 
 
 class Relay(Recovery, Shutdown):
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -183,22 +183,22 @@
     entry = io.HostEntry("a", 0, 0, 1, io.Availability.RUNNING, 0.0)
     roster = io.Roster(io.ListScope.CACHED, (entry,))
     first = Pacer(settings(slots=2), 1)
-    first.handle(0, [roster, io.Arrived("told", 0, 0, 1, None, 20 * S)])
-    first.handle(S, [io.Verdict("told", 0, "a", io.Status.FULL, S, False, 5 * S, False, None)])
+    first.handle(0, [roster, io.Arrived("waiting", 0, 0, 1, None, 20 * S)])
+    first.handle(S, [io.Verdict("waiting", 0, "a", io.Status.FULL, S, False, 5 * S, False, None)])
     second = Pacer(settings(slots=2), 1)
     second.handle(S, [roster])
     restore_snapshot(second, take_snapshot(first))
     out = io.Recovered("out", 0, 1, None, 20 * S, 1, None, 0, "a", S)
     sent = [
         a
-        for a in second.handle(S, [out, io.Recovered("told", 0, 1, None, 19 * S, 1, None, -1)])
+        for a in second.handle(S, [out, io.Recovered("waiting", 0, 1, None, 19 * S, 1, None, -1)])
         if isinstance(a, io.Send)
     ]
     assert not sent and len(second.calls) == 1
     actions = second.handle(6 * S - 1, [io.Verdict("out", 0, "a", io.Status.OK, S, True, 0, False, None)])
     assert not [a for a in actions if isinstance(a, io.Send)] and not second.calls
     later = [a for n in range(40) for a in second.handle(6 * S + n * S // 10, []) if isinstance(a, io.Send)]
-    assert [a.call for a in later] == ["told"]
+    assert [a.call for a in later] == ["waiting"]
 
 
 async def test_journal_of_the_earlier_version_is_read(field: Field, relay: Upgraded) -> None:
--- a/tests/incidents/discovery.py
+++ b/tests/incidents/discovery.py
@@ -24,7 +24,7 @@
 
     REFUSES = "refuses"  # 503 at once
     KEEPS = "keeps"  # 503 after the full waiting time
-    SILENT = "silent"
+    UNRESPONSIVE = "unresponsive"
     RESETS = "resets"
 
 
@@ -158,7 +158,7 @@
         if self.outage is None and wait <= MAX_WAIT_S:
             self._free_at = now + wait  # also if nobody waits for the answer any more
             await asyncio.sleep(wait)
-        if self.outage in (Outage.KEEPS, Outage.SILENT):
+        if self.outage in (Outage.KEEPS, Outage.UNRESPONSIVE):
             await asyncio.sleep(MAX_WAIT_S if self.outage is Outage.KEEPS else 3600)
         if self.outage is Outage.RESETS:
             call.break_off()
--- a/tests/incidents/proxy.py
+++ b/tests/incidents/proxy.py
@@ -17,11 +17,11 @@
     PASSES = "passes"
     LATE = "late"
     REFUSED = "refused"
-    SILENT = "silent"
+    UNRESPONSIVE = "unresponsive"
     CUT = "cut"
 
 
-BAD = (Fate.REFUSED, Fate.SILENT, Fate.CUT)
+BAD = (Fate.REFUSED, Fate.UNRESPONSIVE, Fate.CUT)
 FAULTY = (Fate.LATE, *BAD)
 
 
@@ -84,7 +84,7 @@
             first = await reader.read(READ_BYTES)
             fates = self.fates.get(first.partition(b" ")[0])
             fate = Fate.PASSES if fates is None else fates.draw()
-            if fate is Fate.SILENT:
+            if fate is Fate.UNRESPONSIVE:
                 while await reader.read(READ_BYTES):
                     pass
             elif fate is not Fate.REFUSED and first:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""No table grows with the number of messages, hosts or keys: after several times as many, each has its size of before.
+"""No table grows with the number of messages, hosts or keys: after several times as many, each has kept its size.
 
 The test counts elements instead of measuring time. It walks everything that an object refers to, so that it also covers
 tables that are added later.
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -151,7 +151,7 @@
     assert [await client.read() for _ in range(3)] == [b"one", b"OK", b"two"]
 
 
-@pytest.mark.parametrize("data", [b"", b"*5\r\n$7\r\nENQ"], ids=["silent", "half"])
+@pytest.mark.parametrize("data", [b"", b"*5\r\n$7\r\nENQ"], ids=["nothing", "half"])
 async def test_client_without_a_whole_command_times_out(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
@@ -194,8 +194,8 @@
     field.limits["sockets"] = 60
     first = await field.start()
     relay = field.relays[0]
-    room = relay._remaining_client_connections()
-    others = [await Client.connect(field.port) for _ in range(room)]
+    capacity = relay._remaining_client_connections()
+    others = [await Client.connect(field.port) for _ in range(capacity)]
     for client in (first, *others):
         assert await client.ask("PING") == b"PONG"
     assert relay._remaining_client_connections() == 0
@@ -218,12 +218,12 @@
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     relay = field.relays[0]
-    silent = [await Client.connect(field.port) for _ in range(relay._remaining_client_connections())]
+    without_command = [await Client.connect(field.port) for _ in range(relay._remaining_client_connections())]
     await until(lambda: relay._remaining_client_connections() == 0)
     first = next(iter(relay.server.without_command))
     await until(lambda: relay.server.now() > first.last_active_at + resp_server.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
-    assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
+    assert await late.ask("PING") == b"PONG" and await without_command[0].read() is None
     assert await usual.ask("PING") == b"PONG"
 
 
@@ -341,7 +341,7 @@
         HEAD_200 + b"Content-Length: 9\r\n\r\nx",
         b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + HEAD_200 + b"Content-Length: x\r\n\r\n",
     ],
-    ids=["endless head", "head that stops", "length", "huge", "header", "chunks", "short", "behind 1xx"],
+    ids=["endless head", "head that stops", "length", "huge", "header", "chunks", "short", "after 1xx"],
 )
 async def test_status_200_counts_in_a_malformed_answer(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
