--- a/starlingwick/queues.py
+++ b/starlingwick/queues.py
@@ -14,26 +14,26 @@
 
 from sortedcontainers import SortedList  # type: ignore[import-untyped]
 
-NEVER = 1 << 62  # no time at all
+NEVER = 1 << 62  # later than any real time
 
 
-class Waiting(Protocol):
-    """What a lane needs to know of a message."""
+class QueuedMessage(Protocol):
+    """The attributes of a message that the queues use."""
 
     name: str
     deadline: int
     arrived: int
-    serial: int  # in the order of entry into the hold
-    group: tuple[int, float]  # class and worth: alike but for their times
+    serial: int  # order of entry into the pending queue
+    group: tuple[int, float]  # class and worth: messages of one group differ in their times only
 
 
-M = TypeVar("M", bound=Waiting)
+M = TypeVar("M", bound=QueuedMessage)
 T = TypeVar("T", bound=Hashable)
 Key = tuple[float, ...]
 
 
 class DeadlineQueue(Generic[M]):
-    """Messages alike but for their times, by deadline, then by arrival."""
+    """Messages of one group, ordered by deadline, then by arrival."""
 
     __slots__ = ("_list",)
 
@@ -49,24 +49,24 @@
     def remove(self, m: M) -> None:
         self._list.remove((m.deadline, m.arrived, m.serial, m))
 
-    def until(self, deadline: int) -> int:
-        """How many have a deadline of that or earlier."""
+    def count_until(self, deadline: int) -> int:
+        """How many messages have this deadline or an earlier one."""
         return int(self._list.bisect_left((deadline + 1,)))
 
-    def between(self, start: int, stop: int) -> list[M]:
-        """Those at these places of the order, as far as there are any."""
+    def slice(self, start: int, stop: int) -> list[M]:
+        """The messages at positions ``start`` to ``stop``, which may lie outside the queue."""
         return [entry[3] for entry in self._list.islice(max(0, start), max(0, min(stop, len(self._list))))]
 
     def __iter__(self) -> Iterator[M]:
         return (entry[3] for entry in self._list)
 
-    def before(self, place: int) -> Iterator[M]:
-        """Those ahead of a place of the order, the last of them first."""
-        return (entry[3] for entry in self._list.islice(0, place, reverse=True))
+    def before(self, position: int) -> Iterator[M]:
+        """The messages ahead of a position, in reverse order."""
+        return (entry[3] for entry in self._list.islice(0, position, reverse=True))
 
 
 class UntriedQueue(Generic[M]):
-    """Messages by deadline, whatever their entry into the hold was."""
+    """Messages ordered by deadline, regardless of their order of entry into the pending queue."""
 
     __slots__ = ("_list",)
 
@@ -82,64 +82,65 @@
     def discard(self, m: M) -> None:
         self._list.discard((m.deadline, m.name, m))
 
-    def first(self, most: int) -> list[M]:
-        """So many of them, soonest deadline first."""
-        return [entry[2] for entry in self._list.islice(0, most)]
+    def earliest(self, limit: int) -> list[M]:
+        """Up to ``limit`` messages, earliest deadline first."""
+        return [entry[2] for entry in self._list.islice(0, limit)]
 
 
 class DestinationQueue(Generic[M]):
-    """What waits for one destination. Messages that may not go yet stand ``aside``, the others in queues."""
+    """The messages that wait for one destination. Those that may not be sent yet are in ``deferred``, the
+    others in a deadline queue for each group."""
 
-    __slots__ = ("number", "entered", "waiting", "queues", "aside", "opens")
+    __slots__ = ("number", "entry_serial", "messages", "by_group", "deferred", "opens_at")
 
-    def __init__(self, number: int, entered: int) -> None:
+    def __init__(self, number: int, entry_serial: int) -> None:
         self.number = number
-        self.entered = entered  # in the order in which lanes came to hold something
-        self.waiting: dict[str, M] = {}  # all, in the order of entry
-        self.queues: dict[tuple[int, float], DeadlineQueue[M]] = {}
-        self.aside: dict[str, M] = {}
-        self.opens = 0  # when it was last found to open; 0: it was found open, or was not looked at
+        self.entry_serial = entry_serial  # order in which destination queues were created
+        self.messages: dict[str, M] = {}  # all of them, in order of entry
+        self.by_group: dict[tuple[int, float], DeadlineQueue[M]] = {}
+        self.deferred: dict[str, M] = {}
+        self.opens_at = 0  # when sending becomes possible, as last evaluated; 0: possible, or not evaluated
 
     def __len__(self) -> int:
-        return len(self.waiting)
+        return len(self.messages)
 
-    def add(self, m: M, aside: bool) -> None:
-        self.waiting[m.name] = m
-        if aside:
-            self.aside[m.name] = m
+    def add(self, m: M, deferred: bool) -> None:
+        self.messages[m.name] = m
+        if deferred:
+            self.deferred[m.name] = m
         else:
             self._enqueue(m)
 
     def _enqueue(self, m: M) -> None:
-        queue = self.queues.get(m.group)
+        queue = self.by_group.get(m.group)
         if queue is None:
-            queue = self.queues[m.group] = DeadlineQueue()
+            queue = self.by_group[m.group] = DeadlineQueue()
         queue.add(m)
 
-    def release(self, m: M) -> None:
-        """It may go from now on."""
-        if self.aside.pop(m.name, None) is not None:
+    def make_eligible(self, m: M) -> None:
+        """Move a deferred message to the queue of its group; no effect on others."""
+        if self.deferred.pop(m.name, None) is not None:
             self._enqueue(m)
 
     def remove(self, m: M) -> bool:
-        """Whether it was there."""
-        if self.waiting.pop(m.name, None) is None:
+        """Remove a message; returns whether it was present."""
+        if self.messages.pop(m.name, None) is None:
             return False
-        if self.aside.pop(m.name, None) is None:
-            queue = self.queues[m.group]
+        if self.deferred.pop(m.name, None) is None:
+            queue = self.by_group[m.group]
             queue.remove(m)
             if not queue:
-                del self.queues[m.group]
+                del self.by_group[m.group]
         return True
 
     def due_by(self, time: int) -> list[M]:
-        """Those with a deadline of that time or earlier."""
-        found = [m for queue in self.queues.values() for m in queue.between(0, queue.until(time))]
-        return found + [m for m in self.aside.values() if m.deadline <= time]
+        """The messages with a deadline at ``time`` or earlier."""
+        found = [m for queue in self.by_group.values() for m in queue.slice(0, queue.count_until(time))]
+        return found + [m for m in self.deferred.values() if m.deadline <= time]
 
 
 class TimerQueue(Generic[T]):
-    """A time for each item; which have come. An item's newest time counts."""
+    """One timer for each item. Setting an item's timer again replaces the earlier one."""
 
     __slots__ = ("_times", "_heap", "_count")
 
@@ -158,15 +159,15 @@
             self._times[item] = time
             self._count += 1
             heapq.heappush(self._heap, (time, self._count, item))
-            if len(self._heap) > 2 * len(self._times) + 64:  # what was put anew leaves its old time behind
+            if len(self._heap) > 2 * len(self._times) + 64:  # replaced timers leave stale heap entries
                 self._heap = [entry for entry in self._heap if self._times.get(entry[2]) == entry[0]]
                 heapq.heapify(self._heap)
 
     def drop(self, item: T) -> None:
         self._times.pop(item, None)
 
-    def first(self) -> int:
-        """The earliest time; NEVER if there is none."""
+    def earliest(self) -> int:
+        """The earliest time; NEVER if no timer is set."""
         while self._heap:
             time, _, item = self._heap[0]
             if self._times.get(item) == time:
@@ -174,25 +175,25 @@
             heapq.heappop(self._heap)
         return NEVER
 
-    def take(self, now: int) -> list[T]:
-        """The items whose time has come, the earliest first; they have none any more."""
-        came = []
-        while self.first() <= now:
+    def pop_due(self, now: int) -> list[T]:
+        """The items whose time has come, earliest first; their timers are removed."""
+        due = []
+        while self.earliest() <= now:
             item = heapq.heappop(self._heap)[2]
             del self._times[item]
-            came.append(item)
-        return came
+            due.append(item)
+        return due
 
 
 class Ranking(Generic[T]):
-    """Items by a key, least first. Keys age: what depends on the time is to be put anew, and ``stalest`` says
-    for which items that was longest ago."""
+    """Items ordered by a key, least first. Keys that depend on time grow stale and have to be put again;
+    ``stalest`` returns the items whose keys are oldest."""
 
     __slots__ = ("_keys", "_heap", "_count")
 
     def __init__(self) -> None:
-        # Version, key and time of the key, the stalest first. (A plain dict is slow to find its first item
-        # behind many gaps.)
+        # Version, key and time of the key, oldest first. An OrderedDict, because a plain dict is slow to find
+        # its first item after many deletions at its front.
         self._keys: OrderedDict[T, tuple[int, Key, int]] = OrderedDict()
         self._heap: list[tuple[Key, int, T]] = []
         self._count = 0
@@ -211,7 +212,7 @@
         self._keys[item] = (self._count, key, now)
         self._keys.move_to_end(item)
         heapq.heappush(self._heap, (key, self._count, item))
-        if len(self._heap) > 2 * len(self._keys) + 64:
+        if len(self._heap) > 2 * len(self._keys) + 64:  # items put again leave stale heap entries
             self._heap = [(key, version, item) for item, (version, key, _) in self._keys.items()]
             heapq.heapify(self._heap)
 
@@ -228,11 +229,11 @@
             heapq.heappop(self._heap)
         return None
 
-    def stalest(self, most: int, since: int) -> list[T]:
-        """Items whose keys are of that time or older, the oldest first."""
+    def stalest(self, limit: int, since: int) -> list[T]:
+        """Up to ``limit`` items whose keys were put at ``since`` or before, oldest first."""
         stale: list[T] = []
-        for item, (_, _, at) in self._keys.items():
-            if at > since or len(stale) >= most:
+        for item, (_, _, put_at) in self._keys.items():
+            if put_at > since or len(stale) >= limit:
                 break
             stale.append(item)
         return stale
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -56,9 +56,9 @@
     relay = Relay(entry("a"))
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
-    dest.ceiling, dest.mean = 10.0, 100.0 * MS
+    dest.ceiling, dest.mean_time = 10.0, 100.0 * MS
     assert relay.pacer.max_calls(dest) == 2
-    dest.mean = 1.0 * MS
+    dest.mean_time = 1.0 * MS
     assert relay.pacer.max_calls(dest) == 1
 
 
@@ -371,7 +371,7 @@
         relay.turn(relay.verdict(call, io.Status.CROWDED))
     dest, host = relay.pacer.hosts["a"]
     assert dest.ceiling is None and dest.refused_since is None and dest.failure_share == 0
-    assert host.most == 3 and host.calls == 3
+    assert host.max_calls == 3 and host.calls == 3
     relay.turn(*[relay.message() for _ in range(3)], after=10 * MS)
     assert not relay.sends()
     relay.turn(relay.verdict(out[0], io.Status.OK, report=told))
@@ -381,7 +381,7 @@
     relay.turn(*[relay.message() for _ in range(6)], after=1100 * MS)
     assert host.calls == 4  # one more than had room is tried
     relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=told))
-    assert host.most == 4 and host.calls == 5  # there was room, and the next one is tried
+    assert host.max_calls == 4 and host.calls == 5  # there was room, and the next one is tried
 
 
 def test_refusal_of_a_new_connection_counts_as_one_where_no_limit_was_ever_told() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -86,7 +86,7 @@
     for _ in range(50):
         relay.turn(after=100 * MS)
         # An overdue one blocks no trial.
-        assert sum(not call.blamed for call in calls) <= 1 and len(calls) <= 2
+        assert sum(not call.counted_overdue for call in calls) <= 1 and len(calls) <= 2
     sent_at: list[int] = []
     for _ in range(200):
         for m in [m for m in relay.pacer.messages.values() if m.call is not None]:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -18,8 +18,8 @@
     (Pacer, "worth_at"),
     (Pacer, "evaluate_queue"),
     (Pacer, "may_refuse"),
-    (DeadlineQueue, "between"),
-    (DeadlineQueue, "until"),
+    (DeadlineQueue, "slice"),
+    (DeadlineQueue, "count_until"),
 ]
 
 
