--- a/starlingwick/snapshot.py
+++ b/starlingwick/snapshot.py
@@ -1,8 +1,8 @@
-"""What a Pacer knows of its destinations and hosts, as plain values for another Pacer. Decides nothing.
+"""Transfer of what a Pacer learned about destinations and hosts to another Pacer, as plain values.
 
-Times are those of the clock that the Pacer was driven by: the other has to be driven by the same one. Values
-go by the names of their fields; what the other does not know by name is left out, what is missing stays as
-at a start.
+Both Pacers must be driven by the same clock. Snapshots pass between processes of different versions, so the
+outer names are fixed: a renamed attribute keeps its outer name. Names that the receiver does not know are
+ignored, and missing ones leave the initial value. Decides nothing.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 
 VERSION = 1
 
+# Outer name to attribute.
 DESTINATION_ATTRIBUTES = {
     "agreed": "listed_rate",
     "listed": "rate_limit",
@@ -37,7 +38,7 @@
     "part": "warm_rate",
     "next_at": "next_trial_at",
 }
-MARKS = ("refusals", "sent", "arrived", "served")  # times, oldest first
+EVENT_TIMES = ("refusals", "sent", "arrived", "served")  # times of events, oldest first
 HOST_ATTRIBUTES = {
     "gap": "send_gap",
     "last_sent": "last_sent",
@@ -50,7 +51,7 @@
 
 
 def take_snapshot(pacer: Pacer) -> dict[str, Any]:
-    """All that was learned, in values that any serialization carries."""
+    """What the Pacer learned, in values that every serialization supports."""
     return {
         "version": VERSION,
         "started": pacer.started,
@@ -59,7 +60,7 @@
         "destinations": [
             {
                 **{name: getattr(dest, attribute) for name, attribute in DESTINATION_ATTRIBUTES.items()},
-                **{name: list(getattr(dest, name)) for name in MARKS},
+                **{name: list(getattr(dest, name)) for name in EVENT_TIMES},
                 "hosts": {
                     host.name: {name: getattr(host, attribute) for name, attribute in HOST_ATTRIBUTES.items()}
                     for host in dest.hosts
@@ -72,26 +73,26 @@
     }
 
 
-def restore_snapshot(pacer: Pacer, memory: dict[str, Any]) -> None:
-    """Take it up. The list of hosts must be known already: what is not on it is forgotten."""
-    if memory.get("version") != VERSION:
+def restore_snapshot(pacer: Pacer, snapshot: dict[str, Any]) -> None:
+    """Apply a snapshot. The list of hosts must be known already; hosts that are not listed are skipped."""
+    if snapshot.get("version") != VERSION:
         return
-    pacer.started = memory["started"]
-    due = memory["tenant_due"]
-    if len(due) == len(pacer.tenant_due):
-        pacer.tenant_due = list(due)
-    pacer.blocked_keys.update(memory["turn_rest"])
-    for known in memory["destinations"]:
-        for name, values in known["hosts"].items():
+    pacer.started = snapshot["started"]
+    tenant_due = snapshot["tenant_due"]
+    if len(tenant_due) == len(pacer.tenant_due):
+        pacer.tenant_due = list(tenant_due)
+    pacer.blocked_keys.update(snapshot["turn_rest"])
+    for state in snapshot["destinations"]:
+        for name, values in state["hosts"].items():
             if name in pacer.hosts:
                 dest, host = pacer.hosts[name]
-                _fill(dest, known, DESTINATION_ATTRIBUTES)
-                for marks in MARKS:
-                    setattr(dest, marks, deque(known.get(marks, ())))
-                _fill(host, values, HOST_ATTRIBUTES)
+                _set_attributes(dest, state, DESTINATION_ATTRIBUTES)
+                for field in EVENT_TIMES:
+                    setattr(dest, field, deque(state.get(field, ())))
+                _set_attributes(host, values, HOST_ATTRIBUTES)
 
 
-def _fill(target: Destination | Host, values: dict[str, Any], attributes: dict[str, str]) -> None:
+def _set_attributes(target: Destination | Host, values: dict[str, Any], attributes: dict[str, str]) -> None:
     for name, attribute in attributes.items():
         if name in values:
             setattr(target, attribute, values[name])
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -245,7 +245,7 @@
 
 def knowledge_left_behind() -> None:
     """What the old process knew of hosts, waits above all, does not pass."""
-    snapshot.restore_snapshot = lambda pacer, memory: None
+    snapshot.restore_snapshot = lambda pacer, snapshot: None
 
 
 def calls_left_behind() -> None:
