--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -118,7 +118,7 @@
         if self.started is None:
             self.started = now
             if self.settings.discovery is io.Discovery.SUBSCRIBE:
-                self.discovery_schedule.start(now)
+                self.discovery_schedule.schedule_first_call(now)
         for event in events:
             match event:
                 case io.Arrived():
@@ -141,7 +141,7 @@
                 case io.Roster():
                     self.on_roster(event)
                 case io.WatchMissing():
-                    self.discovery_schedule.missing(now)
+                    self.discovery_schedule.on_watch_missing(now)
                 case io.Probed():
                     self.on_probed(event)
                 case io.Excluded():
@@ -167,17 +167,17 @@
 
     def subscribe_if_due(self) -> None:
         """Subscribe if it is time to, and request a wake-up for the next attempt."""
-        if self.discovery_schedule.due(self.now):
+        if self.discovery_schedule.begin_call_if_due(self.now):
             self.actions.append(io.Subscribe())
         if not self.discovery_schedule.subscribed:
             self.wake_at = min(self.wake_at, self.discovery_schedule.next_call_at)
 
     def on_roster(self, event: io.Roster) -> None:
         if event.scope is io.ListScope.FAILED:
-            self.log(self.discovery_schedule.failed(self.now))
+            self.log(self.discovery_schedule.on_failure(self.now))
             return
         if event.scope is not io.ListScope.CACHED and event.current:
-            self.discovery_schedule.answered()
+            self.discovery_schedule.on_watch_open()
         for entry in event.entries:
             self.on_entry(entry)
         if event.scope is not io.ListScope.CHANGES:
--- a/starlingwick/interface.py
+++ b/starlingwick/interface.py
@@ -1,7 +1,7 @@
-"""What a :class:`~starlingwick.control.Pacer` is told and what it answers: settings, events, actions.
+"""Settings, events and actions of a :class:`~starlingwick.control.Pacer`.
 
-Times are integer nanoseconds. Nothing here decides anything. Events and actions are not to be changed once
-they are made; they are not frozen, as making them would then cost three times as much.
+Times are integer nanoseconds. Nothing here decides anything. Events and actions must not be changed once they
+are created; they are not frozen, since creating them would then take three times as long.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Repeat(Enum):
-    """What a second attempt at a message may do."""
+    """Whether a message may be attempted again after an attempt that may have run."""
 
     SAFE = "retryable"
     KEYED = "dedup"
@@ -27,14 +27,14 @@
 
 
 class Decay(Enum):
-    """How worth falls once the aim has passed."""
+    """How the worth of a message falls after its aim."""
 
     EVEN = "even"
     BY_HALF = "by_half"
 
 
 class Discovery(Enum):
-    """How changes of the host list reach an instance."""
+    """How the relay learns of changes to the host list."""
 
     AUTOMATIC = "automatic"
     SUBSCRIBE = "subscribe"
@@ -45,19 +45,19 @@
 
     OK = 10
     ERROR = 20
-    SPOILT = 25  # an answer came that can't be read: the call ran, and what came of it is unknown
+    SPOILT = 25  # the answer cannot be parsed: the call ran, its effect is unknown
     FULL = 30
-    CROWDED = 35  # turned away on a new connection, with no word of a limit: the host's table is full
+    CROWDED = 35  # refused on a new connection without a limit report: connection table full
     TIMEOUT = 40
     CONNECT_FAILED = 50
     RESET = 60
     CANCELLED = 70
     MOOT = 80
-    ABANDONED = 90  # held back at the last instant, before its first byte: it never ran
+    ABANDONED = 90  # stopped before its first byte: it did not run
 
 
 class Availability(Enum):
-    """What the list says of a host."""
+    """State of a host according to the list."""
 
     RUNNING = "Running"
     STOPPING = "Stopping"
@@ -65,7 +65,7 @@
 
 
 class ListScope(Enum):
-    """What a roster change holds."""
+    """What a roster event contains."""
 
     CHANGES = "D"
     WHOLE = "F"
@@ -74,23 +74,23 @@
 
 
 class Obstacle(Enum):
-    """Why a call does not begin at the last look."""
+    """Why a call does not begin, as found by the final check before its first byte."""
 
-    OVER = "its message is over, or out of time"
-    NO_REPEAT = "an earlier attempt may have run, and this would repeat it"
-    UNKNOWN = "the host or the attempt is not known any more"
-    DRAINS = "the host drains, is gone, or is out by hand"
-    TOLD_TO_WAIT = "the destination told a wait that is not over"
+    OVER = "the message has ended or its deadline has passed"
+    NO_REPEAT = "an earlier attempt may have run, and the message may not be repeated"
+    UNKNOWN = "the host or the attempt is no longer known"
+    DRAINS = "the host drains, was removed, or is excluded by an operator"
+    TOLD_TO_WAIT = "the wait requested by the destination has not ended"
 
 
-def _need(ok: bool, field: str, what: str) -> None:
+def _require(ok: bool, field: str, what: str) -> None:
     if not ok:
         raise ValueError(f"{field}: {what}")
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of message."""
+    """One class of messages."""
 
     aim: int
     deadline: int
@@ -102,11 +102,11 @@
     in_turn: bool
 
     def __post_init__(self) -> None:
-        _need(self.aim > 0, "classes[].aim", "must be above 0")
-        _need(self.deadline >= self.aim, "classes[].deadline", "must not be under the aim")
-        _need(self.worth >= 0, "classes[].worth", "must not be negative")
-        _need(0 <= self.late_worth <= 1, "classes[].late_worth", "must lie in 0 to 1")
-        _need(self.repeat_window >= 0, "classes[].repeat_window", "must not be negative")
+        _require(self.aim > 0, "classes[].aim", "must be above 0")
+        _require(self.deadline >= self.aim, "classes[].deadline", "must not be less than the aim")
+        _require(self.worth >= 0, "classes[].worth", "must not be negative")
+        _require(0 <= self.late_worth <= 1, "classes[].late_worth", "must be between 0 and 1")
+        _require(self.repeat_window >= 0, "classes[].repeat_window", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,12 +117,12 @@
     per_call: int
 
     def __post_init__(self) -> None:
-        _need(self.per_call >= 1, "kinds[].per_call", "must be at least 1")
+        _require(self.per_call >= 1, "kinds[].per_call", "must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules."""
+    """Parameters of the rules."""
 
     answer_slack: int
     ask_every: int
@@ -135,10 +135,10 @@
 
     def __post_init__(self) -> None:
         for field in ("answer_slack", "ask_every", "drain_grace", "ramp_time", "turn_gap"):
-            _need(getattr(self, field) >= 0, f"rules.{field}", "must not be negative")
-        _need(self.fall > 0, "rules.fall", "must be above 0")
-        _need(self.fall_multiple > 0, "rules.fall_multiple", "must be above 0")
-        _need(0 < self.start_capacity <= 1, "rules.start_capacity", "must lie in 0 to 1")
+            _require(getattr(self, field) >= 0, f"rules.{field}", "must not be negative")
+        _require(self.fall > 0, "rules.fall", "must be above 0")
+        _require(self.fall_multiple > 0, "rules.fall_multiple", "must be above 0")
+        _require(0 < self.start_capacity <= 1, "rules.start_capacity", "must be above 0 and at most 1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,13 +157,13 @@
     conn_idle: int
 
     def __post_init__(self) -> None:
-        _need(self.most_held >= 1, "limits.most_held", "must be at least 1")
-        _need(self.most_tries >= 1, "limits.most_tries", "must be at least 1")
+        _require(self.most_held >= 1, "limits.most_held", "must be at least 1")
+        _require(self.most_tries >= 1, "limits.most_tries", "must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """Everything that an instance receives at its start."""
 
     relays: int
     slots: int
@@ -183,17 +183,17 @@
     limits: Limits
 
     def __post_init__(self) -> None:
-        _need(self.relays >= 1, "relays", "must be at least 1")
-        _need(self.slots >= 1, "slots", "must be at least 1")
-        _need(self.tick >= 0, "tick", "must not be negative")
-        _need(bool(self.classes), "classes", "must not be empty")
-        _need(0 <= self.over_share_worth <= 1, "over_share_worth", "must lie in 0 to 1")
-        _need(all(r >= 0 for r in self.tenant_rates), "tenant_rates", "must not be negative")
+        _require(self.relays >= 1, "relays", "must be at least 1")
+        _require(self.slots >= 1, "slots", "must be at least 1")
+        _require(self.tick >= 0, "tick", "must not be negative")
+        _require(bool(self.classes), "classes", "must not be empty")
+        _require(0 <= self.over_share_worth <= 1, "over_share_worth", "must be between 0 and 1")
+        _require(all(r >= 0 for r in self.tenant_rates), "tenant_rates", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """A line of the host list."""
+    """One entry of the host list."""
 
     host: str
     zone: int
@@ -205,7 +205,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a destination told of its limit: the share that is left, and calls a second (0: no limit)."""
+    """A destination's report on its limit: the share that is left, and calls a second (0: no limit)."""
 
     left: float
     limit: float
@@ -213,16 +213,17 @@
 
 @dataclass(slots=True)
 class Roster:
-    """News of the host list."""
+    """A change of the host list, or the whole list."""
 
     scope: ListScope
     entries: tuple[HostEntry, ...]
-    current: bool = True  # of a watch at discovery's present address, not one that is about to be left
+    current: bool = True  # from a watch at discovery's present address
 
 
 @dataclass(slots=True)
 class WatchMissing:
-    """No watch is at discovery's present address: it has moved, or lists are pushed and the relay starts."""
+    """No watch is open at discovery's present address: it has moved, or the relay starts and lists are
+    pushed."""
 
 
 @dataclass(slots=True)
@@ -235,23 +236,23 @@
     dest: int
     key: str | None
     patience: int
-    storable: bool = True  # whether the relay's journal has room for it
+    storable: bool = True  # whether the journal has room for it
 
 
 @dataclass(slots=True)
 class Recovered:
-    """A message that an earlier life of this relay took on and did not end.
+    """A message that an earlier process of this relay accepted and did not end.
 
-    ``ran_ago`` is how long ago its first attempt that may have run was sent, None if none may have;
-    ``ran_zone`` is that attempt's zone. ``host`` names where an attempt is out still, since ``sent_at``: it
-    passed from process to process with its connection, and its verdict is yet to come.
+    ``ran_ago`` is the time since its first attempt that may have run was sent, None if there is none;
+    ``ran_zone`` is that attempt's zone. ``host`` is set if an attempt has been in flight since ``sent_at``:
+    it was handed over between processes with its connection, and its verdict is still to come.
     """
 
     call: str
     klass: int
     dest: int
     key: str | None
-    patience: int  # negative: its time was up while the relay was down
+    patience: int  # negative: its deadline passed while the relay was down
     attempts: int
     ran_ago: int | None
     ran_zone: int
@@ -261,21 +262,21 @@
 
 @dataclass(slots=True)
 class Stopping:
-    """The process will end then: what is out by that time is cut off."""
+    """The process will end at ``at``; attempts in flight by then are cut off."""
 
     at: int
 
 
 @dataclass(slots=True)
 class Withdrawn:
-    """Nobody wants this message any more."""
+    """The client no longer wants this message."""
 
     call: str
 
 
 @dataclass(slots=True)
 class Verdict:
-    """How one attempt ended. ``wait`` is the told wait in nanoseconds, 0 if none."""
+    """The outcome of one attempt. ``wait`` is the wait that the destination requested, 0 if none."""
 
     call: str
     attempt: int
@@ -290,7 +291,7 @@
 
 @dataclass(slots=True)
 class Probed:
-    """How a probe ended."""
+    """The outcome of a probe."""
 
     host: str
     status: Status
@@ -300,21 +301,21 @@
 
 @dataclass(slots=True)
 class Alarm:
-    """A timer came due."""
+    """A timer fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class Lagging:
-    """How long a round of the loop that drives this takes now: what comes due waits so long."""
+    """The current duration of one cycle of the event loop: timers fire late by up to this time."""
 
     lag: int
 
 
 @dataclass(slots=True)
 class Excluded:
-    """Staff took a host out by hand, or put it back: it drains for so long, whatever the list says."""
+    """An operator excluded a host or ended its exclusion. It drains meanwhile, whatever its listed state."""
 
     host: str
     out: bool
@@ -327,7 +328,8 @@
 
 @dataclass(slots=True)
 class Send:
-    """Call a host with a message. Sends to one host in one answer share a call as far as its kind allows."""
+    """Call a host with a message. Sends to one host in one batch of actions share calls as far as its kind
+    allows."""
 
     call: str
     host: str
@@ -344,14 +346,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """End a message, with no promise about its effect."""
+    """End a message without any statement about its effect."""
 
     call: str
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Give up one attempt."""
 
     call: str
     attempt: int
@@ -359,7 +361,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Check a host."""
+    """Check the health of a host."""
 
     host: str
     stop_at: int
@@ -367,14 +369,14 @@
 
 @dataclass(slots=True)
 class Close:
-    """Shut idle connections to a host."""
+    """Close idle connections to a host."""
 
     host: str
 
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for an alarm after this long."""
+    """Request an alarm after this time."""
 
     after: int
     token: int
@@ -382,12 +384,12 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on."""
+    """Request list changes from discovery from now on."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A line for the people on call."""
+    """A line for the operators' log."""
 
     text: str
 
--- a/starlingwick/settings.py
+++ b/starlingwick/settings.py
@@ -1,4 +1,4 @@
-"""The settings as JSON, on the simulator's wire and in a real relay's configuration alike."""
+"""Parses settings from JSON: one format for the simulator's wire and a deployed relay's configuration."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class SettingsError(ValueError):
-    """Settings that a Pacer cannot work with."""
+    """Settings that are incomplete or invalid."""
 
 
 def parse_settings(facts: Any) -> io.Settings:
-    """Settings from decoded JSON; unknown keys are skipped."""
+    """Parse settings from decoded JSON; unknown keys are ignored."""
     if not isinstance(facts, dict):
         raise SettingsError("not an object")
     try:
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -1,6 +1,6 @@
-"""The adapter for the simulator's wire: reads batches, routes each to the instance's Pacer, writes replies.
+"""Adapter for the simulator's wire: reads batches, passes events to each instance's Pacer, writes replies.
 
-It decides nothing. A malformed line ends the process with a plain message on standard error.
+It decides nothing. A malformed line ends the process with an error message on standard error.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
     from garnetrelay.fleet.mail import Mail
 
 MS = 1_000_000
-MEMBERS = 1 << 40  # timers from this number on are the fleet's, not the module's
+FIRST_FLEET_TIMER = 1 << 40  # timers with this number or a higher one belong to the fleet, not to the Pacer
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that the wire protocol does not allow."""
 
 
 def _fields(rest: str) -> dict[str, str]:
     fields: dict[str, str] = {}
-    for part in rest.split(" ") if rest else []:
-        name, eq, value = part.partition("=")
+    for item in rest.split(" ") if rest else []:
+        name, eq, value = item.partition("=")
         if not eq or not name:
-            raise WireError(f"'{part}' is not name=value")
+            raise WireError(f"'{item}' is not name=value")
         fields[name] = value
     return fields
 
 
-def _need(fields: dict[str, str], name: str) -> str:
+def _required(fields: dict[str, str], name: str) -> str:
     if name not in fields:
         raise WireError(f"field '{name}' is missing")
     return fields[name]
@@ -44,7 +44,7 @@
 def _int(fields: dict[str, str], name: str, default: int | None = None) -> int:
     if default is not None and name not in fields:
         return default
-    text = _need(fields, name)
+    text = _required(fields, name)
     try:
         return int(text)
     except ValueError:
@@ -79,12 +79,12 @@
     if text in ("", "-"):
         return None
     values: dict[str, float] = {}
-    for part in text.split(","):
-        name, colon, value = part.partition(":")
+    for item in text.split(","):
+        name, colon, value = item.partition(":")
         try:
             values[name] = float(value) if colon else float("")
         except ValueError:
-            raise WireError(f"field 'metrics': '{part}' is not name:value") from None
+            raise WireError(f"field 'metrics': '{item}' is not name:value") from None
     if "x0" not in values and "x1" not in values:
         return None
     return io.Report(left=values.get("x0", 0.0), limit=values.get("x1", 0.0))
@@ -96,18 +96,18 @@
     except ValueError:
         raise WireError(f"field 'heft': '{fields['heft']}' is not a number") from None
     return io.HostEntry(
-        host=_need(fields, "host"),
+        host=_required(fields, "host"),
         zone=_int(fields, "locality", 0),
         kind=_int(fields, "classOfHost", 0),
         dest=_int(fields, "belongsTo"),
-        availability=_enum(io.Availability, "availability", _need(fields, "availability")),
+        availability=_enum(io.Availability, "availability", _required(fields, "availability")),
         rate=rate,
     )
 
 
 def _arrived(f: dict[str, str]) -> io.Event:
     return io.Arrived(
-        call=_need(f, "call"),
+        call=_required(f, "call"),
         tenant=_int(f, "project", 0),
         klass=_int(f, "priority", 0),
         dest=_int(f, "dest"),
@@ -120,9 +120,9 @@
     status = _enum(io.Status, "status", _int(f, "status"))
     remark = _int(f, "remarkMs", 0)
     return io.Verdict(
-        call=_need(f, "call"),
+        call=_required(f, "call"),
         attempt=_int(f, "roundNo", 0),
-        host=_need(f, "host"),
+        host=_required(f, "host"),
         status=status,
         cost=_int(f, "costTime", 0),
         finished=_bool(f, "finished"),
@@ -134,7 +134,7 @@
 
 def _probed(f: dict[str, str]) -> io.Event:
     return io.Probed(
-        host=_need(f, "host"),
+        host=_required(f, "host"),
         status=_enum(io.Status, "status", _int(f, "status")),
         cost=_int(f, "costTime", 0),
         report=_report(f),
@@ -143,7 +143,7 @@
 
 EVENTS: dict[str, Callable[[dict[str, str]], io.Event]] = {
     "new_request": _arrived,
-    "withdrawn": lambda f: io.Withdrawn(_need(f, "call")),
+    "withdrawn": lambda f: io.Withdrawn(_required(f, "call")),
     "verdict": _verdict,
     "probed": _probed,
     "alarm": lambda f: io.Alarm(_int(f, "ctx", 0)),
@@ -151,7 +151,7 @@
 
 
 def format_action(action: io.Action) -> str:
-    """One reply line for an action."""
+    """The reply line for an action."""
     match action:
         case io.Send(call, host, stop_at):
             return f"pass_on call={call} host={host} stopAt={stop_at}"
@@ -174,7 +174,7 @@
 
 
 class WireHost:
-    """Hosts instances: one Pacer each, which share nothing."""
+    """Runs several instances, each with a Pacer of its own; they share no state."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
@@ -182,8 +182,8 @@
         self.line_no = 0
         self.pacers: dict[int, Pacer] = {}
         self.catalogs: dict[int, tuple[io.HostEntry, ...]] = {}
-        self.mails: dict[int, Mail] = {}  # where the settings let relays write to each other
-        self.notes: dict[int, list[str]] = {}  # what the fleet's part of this batch is
+        self.fleet_members: dict[int, Mail] = {}  # if the settings allow messages between relays
+        self.fleet_lines: dict[int, list[str]] = {}  # reply lines of the fleet members in this batch
 
     def _line(self) -> str | None:
         line = self.source.readline()
@@ -193,7 +193,7 @@
         return line.rstrip("\r\n")
 
     def run(self) -> int:
-        """Answer batches until the input ends; the exit status."""
+        """Answer batches until the input ends. Returns the exit status."""
         line: str | None = ""
         try:
             while (line := self._line()) is not None:
@@ -210,7 +210,7 @@
 
     def _batch(self, now: int) -> None:
         pending: dict[int, list[io.Event]] = {}
-        self.notes.clear()
+        self.fleet_lines.clear()
         instance: int | None = None
         while True:
             line = self._line()
@@ -235,54 +235,54 @@
                 self._join(instance, facts, seed, now)
             elif name == "halt":
                 self.pacers.pop(instance, None)
-                self.mails.pop(instance, None)
-                self.notes.pop(instance, None)
+                self.fleet_members.pop(instance, None)
+                self.fleet_lines.pop(instance, None)
                 pending.pop(instance, None)
             elif name == "roster_change":
                 self._add(pending, instance, self._roster(_fields(rest)))
             elif name == "mail":
                 self._mail(instance, _fields(rest), now)
-            elif name == "alarm" and (token := _int(_fields(rest), "ctx", 0)) >= MEMBERS:
-                if instance in self.mails:
-                    self._note(instance, self.mails[instance].alarm(now, token))
+            elif name == "alarm" and (token := _int(_fields(rest), "ctx", 0)) >= FIRST_FLEET_TIMER:
+                if instance in self.fleet_members:
+                    self._add_fleet_replies(instance, self.fleet_members[instance].alarm(now, token))
             elif name in EVENTS:
                 self._add(pending, instance, EVENTS[name](_fields(rest)))
             elif name == "started":
-                _fields(rest)  # no streams are used here
+                _fields(rest)  # streams are not used
             else:
                 raise WireError(f"unknown event '{name}'")
         self._reply(now, pending)
 
     def _join(self, instance: int, facts: str, seed: int, now: int) -> None:
-        """A part in the fleet, where relays may write to each other."""
-        self.mails.pop(instance, None)
+        """Create the instance's fleet member if relays may exchange messages."""
+        self.fleet_members.pop(instance, None)
         pacer = self.pacers[instance]
         if not pacer.settings.limits.peers or pacer.settings.relays < 2:
             return
-        from garnetrelay.fleet.mail import Mail  # off costs nothing
+        from garnetrelay.fleet.mail import Mail  # loaded only if used
 
-        told = json.loads(facts)
-        me, price = told.get("me"), told.get("prices", {}).get("peer", 0)
+        decoded = json.loads(facts)
+        me, price = decoded.get("me"), decoded.get("prices", {}).get("peer", 0)
         if not isinstance(me, int) or not 0 <= me < pacer.settings.relays:
-            raise WireError(f"facts: me: '{me}' is no number of a relay")
+            raise WireError(f"facts: me: '{me}' is not a relay's number")
         if not isinstance(price, int | float) or not 0 <= price <= 1000:
-            raise WireError(f"facts: prices.peer: '{price}' is no price")
-        self.mails[instance] = Mail(me, pacer.settings.relays, seed, now, price)
-        self._note(instance, self.mails[instance].begin(now))
+            raise WireError(f"facts: prices.peer: '{price}' is not a valid price")
+        self.fleet_members[instance] = Mail(me, pacer.settings.relays, seed, now, price)
+        self._add_fleet_replies(instance, self.fleet_members[instance].begin(now))
 
     def _mail(self, instance: int, fields: dict[str, str], now: int) -> None:
         origin = _int(fields, "originPeer")
         try:
-            data = bytes.fromhex(_need(fields, "data"))
+            data = bytes.fromhex(_required(fields, "data"))
         except ValueError:
             raise WireError("field 'data' is not hex") from None
-        if instance in self.mails:
-            self._note(instance, self.mails[instance].mail(now, origin, data))
+        if instance in self.fleet_members:
+            self._add_fleet_replies(instance, self.fleet_members[instance].mail(now, origin, data))
 
-    def _note(self, instance: int, replies: list[Any]) -> None:
+    def _add_fleet_replies(self, instance: int, replies: list[Any]) -> None:
         from garnetrelay.fleet.mail import Line, Post
 
-        lines = self.notes.setdefault(instance, [])
+        lines = self.fleet_lines.setdefault(instance, [])
         for reply in replies:
             if isinstance(reply, Post):
                 lines.append(f"post neighbourId={reply.to} data={reply.data.hex()}")
@@ -293,7 +293,7 @@
 
     def _add(self, pending: dict[int, list[io.Event]], instance: int, event: io.Event) -> None:
         if instance not in self.pacers:
-            raise WireError(f"an event for instance {instance}, which has not started")
+            raise WireError(f"event for instance {instance}, which has not started")
         pending.setdefault(instance, []).append(event)
 
     def _catalog(self, fields: dict[str, str]) -> None:
@@ -302,12 +302,12 @@
         for _ in range(count):
             name, _, rest = (self._line() or "").partition(" ")
             if name != "m":
-                raise WireError("an entry of a catalog must begin with 'm'")
+                raise WireError("a catalog entry must begin with 'm'")
             entries.append(_entry(_fields(rest)))
         self.catalogs[number] = tuple(entries)
 
     def _roster(self, fields: dict[str, str]) -> io.Roster:
-        scope = _enum(io.ListScope, "scope", _need(fields, "scope"))
+        scope = _enum(io.ListScope, "scope", _required(fields, "scope"))
         if scope is io.ListScope.FAILED:
             return io.Roster(scope, ())
         number = _int(fields, "buffer")
@@ -317,18 +317,18 @@
 
     def _reply(self, now: int, pending: dict[int, list[io.Event]]) -> None:
         out: list[str] = []
-        for instance in {**pending, **self.notes}:
+        for instance in {**pending, **self.fleet_lines}:
             try:
                 actions = self.pacers[instance].handle(now, pending[instance]) if instance in pending else []
-            except Exception as error:  # the day must stop with the text, not go on without an instance
+            except Exception as error:  # the run must end with this message, not go on without an instance
                 message = " ".join(f"{type(error).__name__}: {error}".split())
                 out += [f"at relay={instance}", f"fatal message={message}"]
                 continue
-            notes = self.notes.get(instance, [])
-            if actions or notes:
+            fleet_lines = self.fleet_lines.get(instance, [])
+            if actions or fleet_lines:
                 out.append(f"at relay={instance}")
                 out.extend(format_action(action) for action in actions)
-                out.extend(notes)
+                out.extend(fleet_lines)
         out.append("done\n")
         self.sink.write("\n".join(out))
         self.sink.flush()
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -93,17 +93,17 @@
     for seed in range(40):
         rng = random.Random(seed)
         schedule = DiscoverySchedule(settings(relays=relays, discovery=discovery), rng)
-        schedule.missing(0)
+        schedule.on_watch_missing(0)
         last = 0  # asking, or moment with a watch
         for now in range(0, 60 * S, 10 * MS):
             happens = rng.random()
             if happens < 0.02:
-                schedule.failed(now)
+                schedule.on_failure(now)
             elif happens < 0.025:
-                schedule.missing(now)
+                schedule.on_watch_missing(now)
             elif happens < 0.03:
-                schedule.answered()
-            if schedule.due(now) or schedule.subscribed:
+                schedule.on_watch_open()
+            if schedule.begin_call_if_due(now) or schedule.subscribed:
                 last = now
             assert now - last <= MAX_CALL_INTERVAL_NS
 
@@ -115,7 +115,7 @@
         schedule = DiscoverySchedule(
             settings(relays=relays, discovery=io.Discovery.SUBSCRIBE, rules={"ask_every": 60 * S}), random.Random(seed)
         )
-        schedule.start(0)
+        schedule.schedule_first_call(0)
         assert schedule.next_call_at <= MAX_CALL_INTERVAL_NS
 
 
--- a/tests/fleet/test_discovery.py
+++ b/tests/fleet/test_discovery.py
@@ -33,6 +33,6 @@
 
 def test_asked_by_all_at_once_and_again_it_is_never_done(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_schedule, "CALL_TIME_PER_RELAY_NS", 0)
-    monkeypatch.setattr(DiscoverySchedule, "_longest_gap", lambda schedule: S)
+    monkeypatch.setattr(DiscoverySchedule, "_retry_delay_limit", lambda schedule: S)
     fleet, register = restarted(130 * MS, 1)
     assert len(register.asked) > 80
