--- a/tests/corpus/world.py
+++ b/tests/corpus/world.py
@@ -1,11 +1,11 @@
-"""A made-up world that drives a Pacer in virtual time, and what both said of each other, turn by turn.
+"""A simulation that drives a Pacer in virtual time, and recordings of their exchanges, tick by tick.
 
     python -m tests.corpus.world FOLDER
 
-writes one recording a scenario, by the module that is on the path, and ``worth.json``: the share of the worth
-asked for that it delivered in each scenario, in large ones too. A recording is what proves that a later text
-of the module decides the same: ``tests/test_corpus.py`` plays the events of each turn to the present module
-and compares its actions with those that were recorded. Every draw comes from the scenario's seed.
+writes one recording for each scenario, using the module that is on the path, and ``worth.json``: the share of the
+requested worth that the module delivered in each scenario, the large ones included. The recordings prove that a
+later version of the module decides the same: ``tests/test_corpus.py`` passes the events of each tick to the present
+module and compares its actions with the recorded ones. All random numbers come from the scenario's seed.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """What a recording is drawn from. Rates are messages a second; troubles are shares of destinations."""
+    """Parameters of a recording. Rates are messages a second; the troubles are shares of the destinations."""
 
     name: str
     seed: int
@@ -155,8 +155,8 @@
 
 
 @dataclasses.dataclass
-class Server:
-    """An endpoint as it really is; the Pacer is not told."""
+class Endpoint:
+    """The actual behaviour of an endpoint, which the Pacer cannot see."""
 
     entry: io.HostEntry
     pace: float  # seconds a call
@@ -168,8 +168,8 @@
     counted_at: int = START
 
 
-class World:
-    """Clients, endpoints and the register of one scenario."""
+class Simulation:
+    """Clients, endpoints and discovery of one scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -178,7 +178,7 @@
         self.count = 0
         self.made = 0
         self.attempts: dict[str, int] = {}
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, Endpoint] = {}
         self.weights: list[float] = []
         self._draw_servers()
         self._draw_traffic()
@@ -200,7 +200,7 @@
             self.weights.append(1 / (dest + 1))
             for n in range(draw.choice([1, 2, 2, 3])):
                 entry = io.HostEntry(f"h{dest}.{n}", n % 2, kind, dest, io.Availability.RUNNING, limit)
-                self.servers[entry.host] = Server(
+                self.servers[entry.host] = Endpoint(
                     entry, draw.uniform(0.05, 0.4), limit, trouble, begins, begins + round(draw.uniform(2, 7) * S)
                 )
         self.at(START, io.Roster(io.ListScope.WHOLE, tuple(v.entry for v in self.servers.values())))
@@ -211,7 +211,7 @@
             when = START + round(0.7 * s.seconds * S)
             self.at(when, io.Stopping(when + 3 * S))
 
-    def _draw_drain(self, server: Server) -> None:
+    def _draw_drain(self, server: Endpoint) -> None:
         when = START + round(self.random.uniform(0.1, 0.8) * self.scenario.seconds * S)
         old = server.entry
         stopping = dataclasses.replace(old, availability=io.Availability.STOPPING)
@@ -224,7 +224,7 @@
 
     def _name(self) -> str:
         self.made += 1
-        return f"m{10**7 - self.made}"  # falling: among equals the name decides, as it did
+        return f"m{10**7 - self.made}"  # descending, since names break ties in the recordings
 
     def _draw_traffic(self) -> None:
         s, draw = self.scenario, self.random
@@ -264,7 +264,7 @@
                 io.Arrived(self._name(), draw.randrange(2), klass, dest, key, patience, storable=draw.random() > 0.002),
             )
 
-    # ---- what the Pacer does, and what comes of it
+    # ---- the Pacer's actions and their outcomes
 
     def carry_out(self, now: int, actions: list[io.Action]) -> None:
         calls: dict[str, list[io.Send]] = {}
@@ -283,7 +283,7 @@
             for first in range(0, len(sends), size):
                 self._call(now, self.servers[host], sends[first : first + size])
 
-    def _call(self, now: int, server: Server, sends: list[io.Send]) -> None:
+    def _call(self, now: int, server: Endpoint, sends: list[io.Send]) -> None:
         status, took, wait = self._answer(now, server, min(send.stop_at for send in sends))
         report = None
         if server.limit and self.random.random() < 0.7:
@@ -304,12 +304,12 @@
                 ),
             )
 
-    def _answer(self, now: int, server: Server, stop_at: int) -> tuple[io.Status, int, int]:
-        """Outcome, nanoseconds until it comes, told wait."""
+    def _answer(self, now: int, server: Endpoint, stop_at: int) -> tuple[io.Status, int, int]:
+        """Outcome, nanoseconds until it arrives, requested wait."""
         draw = self.random
         took = round(draw.lognormvariate(0, 0.4) * server.pace * S)
-        struck = server.trouble if server.begins <= now < server.ends else ""
-        match struck:
+        active_trouble = server.trouble if server.begins <= now < server.ends else ""
+        match active_trouble:
             case "shut":
                 return io.Status.FULL, 20 * MS, server.ends - now if draw.random() < 0.4 else 0
             case "hang":
@@ -327,14 +327,14 @@
             server.allowance -= 1
             if server.allowance < 0:
                 server.allowance = max(server.allowance, -2.0)
-                told = draw.random() < 0.5
-                return io.Status.FULL, 20 * MS, round(draw.uniform(0.2, 0.9) * S) if told else 0
+                wait_requested = draw.random() < 0.5
+                return io.Status.FULL, 20 * MS, round(draw.uniform(0.2, 0.9) * S) if wait_requested else 0
         if now + took > stop_at:
             return io.Status.TIMEOUT, max(1, stop_at - now), 0
         return io.Status.OK, took, 0
 
     def batches(self) -> Iterator[tuple[int, list[io.Event]]]:
-        """All that happens within a tick is one turn. ``carry_out`` is to be called between two of them."""
+        """All events within a tick make one batch. ``carry_out`` has to be called between two batches."""
         last = START + round((self.scenario.seconds + 14) * S)
         while self.queue and self.queue[0][0] < last:
             now = -(-self.queue[0][0] // TICK) * TICK
@@ -348,7 +348,7 @@
 
 
 def encode(value: Any) -> Any:
-    """A JSON form of events and actions: a list with the type's name first, an enumeration as its name."""
+    """Events and actions as JSON: a list that starts with the type's name, an enumeration as its name."""
     if isinstance(value, enum.Enum):
         return f"{type(value).__name__}.{value.name}"
     if dataclasses.is_dataclass(value):
@@ -370,12 +370,12 @@
 
 
 def record(scenario: Scenario, path: Path) -> int:
-    """Play a scenario to the module and write down each turn: time, events, actions. The number of turns."""
-    world, pacer, turns = World(scenario), Pacer(settings(scenario), scenario.seed), 0
+    """Run a scenario and record each tick: time, events, actions. Returns the number of ticks."""
+    simulation, pacer, turns = Simulation(scenario), Pacer(settings(scenario), scenario.seed), 0
     with gzip.GzipFile(path, "wb", mtime=0) as file:
-        for now, events in world.batches():
+        for now, events in simulation.batches():
             actions = pacer.handle(now, events)
-            world.carry_out(now, actions)
+            simulation.carry_out(now, actions)
             line = [now, list(map(encode, events)), list(map(encode, actions))]
             file.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
             turns += 1
@@ -383,24 +383,24 @@
 
 
 def worth_delivered(scenario: Scenario) -> float:
-    """The share of the worth asked for that the module delivers: in full within the aim, less after it."""
-    world, known = World(scenario), settings(scenario)
+    """The share of the requested worth that the module delivers: in full within the aim, less after it."""
+    simulation, known = Simulation(scenario), settings(scenario)
     pacer = Pacer(known, scenario.seed)
-    asked = delivered = 0.0
-    taken: dict[str, tuple[io.MessageClass, int]] = {}
-    for now, events in world.batches():
+    requested = delivered = 0.0
+    accepted: dict[str, tuple[io.MessageClass, int]] = {}
+    for now, events in simulation.batches():
         for event in events:
             match event:
                 case io.Arrived():
                     klass = known.classes[event.klass]
-                    taken[event.call] = klass, now + event.patience
-                    asked += klass.worth
-                case io.Verdict(status=io.Status.OK) if event.call in taken:
-                    klass, deadline = taken.pop(event.call)
+                    accepted[event.call] = klass, now + event.patience
+                    requested += klass.worth
+                case io.Verdict(status=io.Status.OK) if event.call in accepted:
+                    klass, deadline = accepted.pop(event.call)
                     late = (now - deadline + klass.deadline - klass.aim) / (klass.deadline - klass.aim)
                     delivered += klass.worth * (1 - (1 - klass.late_worth) * min(max(0.0, late), 1.0))
-        world.carry_out(now, pacer.handle(now, events))
-    return delivered / asked
+        simulation.carry_out(now, pacer.handle(now, events))
+    return delivered / requested
 
 
 def main() -> None:
--- a/tests/fleet/test_untold.py
+++ b/tests/fleet/test_untold.py
@@ -1,4 +1,4 @@
-"""A limit that many relays share and that nothing tells them of: no weights in the list, no reports in answers."""
+"""A limit that many relays share and nothing reports: no rates in the list, no reports in answers."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from tests.helpers import MS, S
 
 
-class Untold(Shared):
-    """A destination that tells nothing of its limit."""
+class Unreported(Shared):
+    """A destination that does not report its limit."""
 
     def call(self, at: int) -> tuple[io.Status, io.Report | None]:
         return super().call(at)[0], None
 
 
-def evening(seed: int, load: float) -> tuple[float, float]:
-    """200 relays at six destinations for 30 s: the share of the messages that were delivered, of the calls refused."""
+def run(seed: int, load: float) -> tuple[float, float]:
+    """200 relays and six destinations for 30 s. Returns the share of messages delivered and the share of calls
+    refused."""
     shared: list[Shared] = [
-        Untold(n, 16.0 if n < 3 else 8.0, span=2 * S * (n % 2), latency=100 * MS, wait=500 * MS * (n % 2))
+        Unreported(n, 16.0 if n < 3 else 8.0, span=2 * S * (n % 2), latency=100 * MS, wait=500 * MS * (n % 2))
         for n in range(6)
     ]
     fleet = Fleet(
@@ -36,13 +37,13 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_many_relays_do_not_use_an_untold_limit_up_by_refused_calls(seed: int) -> None:
-    """Each had few refusals for a cut, rested 2 s at most, and took the limit for an outage: 200 that rest so little
-    keep it used up. A rest that goes on growing, and goes again as ceilings climb, leaves room for what is delivered."""
-    delivered, refused = evening(seed, 1.2)
+def test_many_relays_do_not_use_up_an_unreported_limit_by_refused_calls(seed: int) -> None:
+    """Each relay had too few refusals for a cut, backed off 2 s at most, and took the limit for an outage: 200 such
+    relays keep it spent. A backoff that keeps growing, and decays as ceilings rise, leaves room for deliveries."""
+    delivered, refused = run(seed, 1.2)
     assert delivered > 0.5 and refused < 0.65
 
 
-def test_an_untold_limit_that_does_is_used() -> None:
-    delivered, _ = evening(0, 0.6)
+def test_an_unreported_limit_that_suffices_is_used() -> None:
+    delivered, _ = run(0, 0.6)
     assert delivered > 0.95
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests of the module: made-up figures, no bench."""
+"""Settings and events for tests of the Pacer, with invented values."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 class Relay:
-    """Drives one Pacer and keeps what it did."""
+    """Drives one Pacer and records its actions."""
 
     def __init__(self, *entries: io.HostEntry, seed: int = 7, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -105,7 +105,7 @@
         self.where: dict[str, str] = {}
         self.actions: list[io.Action] = self.turn(io.Roster(io.ListScope.CACHED, entries))
         if self.settings.relays >= MANY_RELAYS:
-            self.now += 60 * S  # many relays begin each at a moment of its own: long ago
+            self.now += 60 * S  # many relays spread their first calls; skip that phase
 
     def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
         self.now += after
@@ -153,14 +153,14 @@
         return [a for a in self.actions if isinstance(a, kind)]
 
     def serve(self, n: int = 1, klass: int = SAFE, dest: int = 1) -> None:
-        """n messages, one after the other, each delivered."""
+        """Send ``n`` messages, one after the other, each delivered."""
         for _ in range(n):
             self.turn(self.message(klass, dest), after=100 * MS)
             for send in self.sends():
                 self.turn(self.verdict(send.call, io.Status.OK), after=100 * MS)
 
     def try_all(self, status: io.Status, n: int, wait: int = 0) -> None:
-        """Let whatever is sent come back with this outcome until n attempts did."""
+        """Return this outcome for every attempt until ``n`` attempts have ended."""
         done = 0
         for _ in range(400):
             out = [m.name for m in self.pacer.messages.values() if m.call is not None]
--- a/tests/scale/calls.py
+++ b/tests/scale/calls.py
@@ -1,4 +1,4 @@
-"""Counts the calls of Python functions in a step: work that does not hang on the machine."""
+"""Counts Python function calls in a step: a measure of work that does not depend on the machine."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def calls(step: Callable[[], object]) -> int:
-    """How many functions of Python were entered."""
+    """How many Python functions were entered."""
     count = 0
 
-    def note(frame: FrameType, event: str, argument: Any) -> None:
+    def profile(frame: FrameType, event: str, argument: Any) -> None:
         nonlocal count
         count += event == "call"
 
-    sys.setprofile(note)
+    sys.setprofile(profile)
     try:
         step()
     finally:
--- a/tests/scale/test_pacer_scale.py
+++ b/tests/scale/test_pacer_scale.py
@@ -1,4 +1,4 @@
-"""The Pacer over destinations and over messages: which work grows with them, counted in calls, and what is kept."""
+"""How the Pacer's work, counted in function calls, and its memory grow with destinations and with messages."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     return driven
 
 
-def changed(driven: Driven) -> int:
-    """Calls for an entry that drains and comes back."""
+def entry_change_work(driven: Driven) -> int:
+    """Function calls for an entry that drains and returns."""
     out = io.Roster(io.ListScope.CHANGES, (entry(0, io.Availability.STOPPING),))
     back = io.Roster(io.ListScope.CHANGES, (entry(0),))
     return calls(lambda: (driven.turn(out), driven.turn(back)))
 
 
-def carried(driven: Driven) -> int:
-    """Calls for a message that comes, goes out and is answered."""
+def delivery_work(driven: Driven) -> int:
+    """Function calls for a message that arrives, is sent and is answered."""
 
     def life() -> None:
         actions = driven.turn(io.Arrived("m1", 0, 1, 7, None, 8 * SECOND))
@@ -35,13 +35,13 @@
     return calls(life)
 
 
-def test_a_changed_entry_and_a_message_cost_as_much_over_ten_times_the_destinations() -> None:
+def test_a_changed_entry_and_a_message_cost_the_same_with_ten_times_the_destinations() -> None:
     few, many = listed(FEW), listed(MANY)
-    assert changed(few) == changed(many)
-    assert carried(few) == carried(many)
+    assert entry_change_work(few) == entry_change_work(many)
+    assert delivery_work(few) == delivery_work(many)
 
 
-def test_a_list_costs_by_its_length() -> None:
+def test_the_cost_of_a_list_is_linear_in_its_length() -> None:
     work = []
     for destinations in (FEW, MANY):
         driven = Driven()
@@ -52,8 +52,8 @@
     assert work[1] <= work[0] * MANY / FEW
 
 
-def test_hosts_go_with_the_list_and_destinations_come_back_as_the_ones_they_were() -> None:
-    """A destination's number stays known with what was learned of it; it is not kept twice."""
+def test_hosts_are_removed_with_the_list_and_destinations_are_kept() -> None:
+    """A destination is kept with what was learned of it, and is not stored twice."""
     driven = listed(MANY)
     driven.turn(io.Roster(io.ListScope.WHOLE, entries(FEW)))
     assert len(driven.pacer.hosts) == 2 * FEW
@@ -62,21 +62,21 @@
     assert sum(map(len, driven.pacer.routes.values())) == MANY
 
 
-def waiting(messages: int) -> Driven:
-    """So many wait for destinations that take nothing."""
+def with_pending(messages: int) -> Driven:
+    """A Pacer with this many messages pending for destinations whose hosts all drain."""
     driven = Driven(held=4 * messages)
     stopping = tuple(entry(number, io.Availability.STOPPING) for number in range(40))
     driven.turn(io.Roster(io.ListScope.WHOLE, stopping))
     for number in range(messages):
-        driven.turn(waiter(number))
+        driven.turn(pending_message(number))
     assert driven.pacer.pending_count == messages
     return driven
 
 
-def waiter(number: int) -> io.Arrived:
+def pending_message(number: int) -> io.Arrived:
     return io.Arrived(f"m{number}", 0, 0, number % 20, f"k{number}", pending.DAY)
 
 
-def test_one_more_message_costs_as_much_over_ten_times_those_that_wait() -> None:
-    few, many = waiting(500), waiting(5_000)
-    assert calls(lambda: many.turn(waiter(5_000))) <= calls(lambda: few.turn(waiter(500)))
+def test_one_more_message_costs_the_same_with_ten_times_the_pending_messages() -> None:
+    few, many = with_pending(500), with_pending(5_000)
+    assert calls(lambda: many.turn(pending_message(5_000))) <= calls(lambda: few.turn(pending_message(500)))
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -1,10 +1,10 @@
-"""The present module against recordings of an earlier text of it.
+"""Compares the present Pacer with recordings of an earlier version.
 
-That text weighed all that was held in every turn. The present one weighs a bounded number: without the bound
-it decides the same turn by turn; with it, no less worth is delivered. Five decisions were changed, and
-are taken back here: a cut takes a share of the calls where there are many, calls on connections that fell
-silent do not count as work and are given up, what an earlier life left untried is still tried, and a destination that is
-found back long after its last failure is not taken for warm.
+The earlier version weighed all pending messages in every tick; the present one weighs a bounded number. Without
+the bound it decides the same in each tick, and with it no less worth is delivered. Five later changes of decisions
+are disabled here: a cut requires a share of the calls where there are many, calls on stalled connections do not
+count as work and are cancelled, messages that an earlier process never attempted are still attempted, and a
+destination that is found working long after its last failure is not taken for warm.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 
 def decisions(actions: list[io.Action]) -> list[str]:
-    """What a turn decided, in any order: all of it takes effect at once. Alarms are no decisions: another
-    text may look earlier."""
+    """What a batch of actions decides, in any order since all of it takes effect at once. Alarms are no decisions:
+    another version may wake earlier."""
     return sorted(repr(a) for a in actions if not isinstance(a, io.Wake))
 
 
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("scenario", LARGE, ids=lambda s: s.name)
-def test_delivers_no_less_worth_with_much_held(scenario: Scenario) -> None:
+def test_delivers_no_less_worth_with_many_pending_messages(scenario: Scenario) -> None:
     assert worth_delivered(scenario) >= WORTH[scenario.name] - 0.01
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Settings at the edges of what is allowed: any customer's may be played, and none ends the relay."""
+"""Valid settings with extreme values: any deployment may use them, and none may end the relay."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.helpers import MS, Relay, S, entry
 
 
-def extreme(draw: random.Random) -> dict[str, Any]:
-    """Settings drawn from the edges of what ``interface.py`` lets pass."""
+def extreme_settings(draw: random.Random) -> dict[str, Any]:
+    """Settings drawn from the extremes that ``interface.py`` accepts."""
     classes = []
     for _ in range(draw.choice([1, 2, 7])):
         aim = draw.choice([1, MS, S, 20 * S])
@@ -66,13 +66,13 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_no_settings_that_pass_the_checks_end_the_relay(seed: int) -> None:
+def test_no_valid_settings_end_the_relay(seed: int) -> None:
     draw = random.Random(seed)
-    chosen = extreme(draw)
+    chosen = extreme_settings(draw)
     hosts = [entry(f"h{n}", dest=n % 2, zone=n % 2, rate=draw.choice([0.0, 0.01, 50.0])) for n in range(3)]
     relay = Relay(*hosts, **chosen)
     statuses = list(io.Status)
-    owed: set[str] = set()
+    unfinished: set[str] = set()
     for turn in range(120):
         events: list[io.Event] = []
         for m in list(relay.pacer.messages.values()):
@@ -84,32 +84,32 @@
             klass = draw.randrange(len(chosen["classes"]))
             patience = draw.choice([1, chosen["classes"][klass].deadline])
             events.append(relay.message(klass, draw.randrange(3), draw.choice([None, "k1", "k2"]), 0, patience))
-            owed.add(events[-1].call)  # type: ignore[union-attr]
+            unfinished.add(events[-1].call)  # type: ignore[union-attr]
         if turn % 40 == 20:
             events.append(io.Roster(io.ListScope.FAILED, ()))
         if turn % 40 == 30:
             changed = entry("h0", dest=0, state=draw.choice(list(io.Availability)))
             events.append(io.Roster(io.ListScope.CHANGES, (changed,)))
         relay.turn(*events, after=draw.choice([0, 10 * MS, S]))
-        owed -= {a.call for a in relay.actions if isinstance(a, io.Refuse | io.Fail)}
-    assert relay.pacer.pending_count <= chosen["limits"]["most_held"] and relay.pacer.pending_count <= len(owed)
+        unfinished -= {a.call for a in relay.actions if isinstance(a, io.Refuse | io.Fail)}
+    assert relay.pacer.pending_count <= chosen["limits"]["most_held"] and relay.pacer.pending_count <= len(unfinished)
 
 
-def test_a_hold_of_one_message_holds_it() -> None:
-    """Room kept for newcomers left none for the only one: each was refused in the turn that brought it."""
+def test_a_relay_with_room_for_one_message_accepts_it() -> None:
+    """Room reserved for new requests left none for the only message: each was refused in the tick of its arrival."""
     relay = Relay(entry("a"), limits={"most_held": 1})
     relay.turn(relay.message())
     assert [send.call for send in relay.sends()] == ["m1"]
 
 
-def test_no_ramp_at_all_is_a_ramp_that_is_over() -> None:
+def test_a_ramp_time_of_zero_means_no_ramp() -> None:
     relay = Relay(entry("a"), rules={"ramp_time": 0})
     relay.serve(2)
     assert relay.pacer.pending_count == 0
 
 
 def test_the_store_has_room_for_as_many_attempts_as_the_settings_allow(tmp_path: Path) -> None:
-    """A message is taken on only if all that it may come to take has room; that was reckoned for six attempts."""
+    """A message is accepted only if there is room for all records it may need; that was calculated for six attempts."""
     tries = 200
     store = Store.open(tmp_path, 200_000, tries=tries)
     ref = "m" * 16
@@ -120,15 +120,15 @@
         assert store.trying(ref, "archive-block", n)
         store.outcome(ref, False)
     assert store.flush()
-    assert store.used - before <= store.index.reserved + 512  # blocks are whole
+    assert store.used - before <= store.index.reserved + 512  # space is used in whole blocks
     store.close()
 
 
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("within", [5 * S, 10 * S])
-def test_the_first_asking_among_many_comes_while_the_list_that_is_known_still_holds(within: int, seed: int) -> None:
-    """Spread over 20 s among 200 relays, it came up to 10 s after the list of the configuration had ceased to hold; after
-    a failure that is four times as long."""
+def test_the_first_call_among_many_relays_comes_before_the_known_list_expires(within: int, seed: int) -> None:
+    """Spread over 20 s among 200 relays, it came up to 10 s after the configured list had expired; after a failure the
+    list is valid four times as long."""
     relay = Relay(entry("a"), seed=seed, relays=200, discovery=io.Discovery.SUBSCRIBE, rules={"ask_every": within})
     pacer = relay.pacer
     assert pacer.discovery_schedule.next_call_at - 1000 * S <= within - 2 * S
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""Use without the wire, bad input, and a random walk with an independent check of the rules."""
+"""Use without the wire, malformed input, and random event sequences with an independent check of the rules."""
 
 from __future__ import annotations
 
@@ -79,7 +79,9 @@
         ("hello\n", "sync"),
     ],
 )
-def test_malformed_input_is_named_and_ends_the_process(bad: str, word: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_input_is_reported_and_ends_the_process(
+    bad: str, word: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert serve(bad)[0] != 0
     err = capsys.readouterr().err
     assert word in err and err.startswith("line ")
@@ -101,7 +103,7 @@
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
-    def day() -> list[str]:
+    def run() -> list[str]:
         relay = Relay(entry("a"), entry("b"))
         seen: list[str] = []
         for n in range(60):
@@ -113,7 +115,7 @@
                 seen += map(str, relay.actions)
         return seen
 
-    assert day() == day()
+    assert run() == run()
 
 
 STATUSES = [s for s in io.Status if s is not io.Status.MOOT]
@@ -205,7 +207,7 @@
     assert "call partner-1" in run.stdout
 
 
-def test_log_lines_named_on_the_page_are_written_by_the_module() -> None:
+def test_log_lines_named_in_the_readme_are_written_by_the_module() -> None:
     page = (ROOT / "README.md").read_text().partition("## On call")[2]
     module = (ROOT / "starlingwick" / "control.py").read_text()
     intro = page.split("\n\n")[1]
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -1,4 +1,4 @@
-"""What an earlier life of the relay took on and never tried: it is still tried, ahead of fresher and dearer messages."""
+"""Messages that an earlier process accepted and never attempted are attempted ahead of newer ones that are worth more."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 
 @pytest.mark.parametrize("klass", [SAFE, KEYED, UNSAFE])
-def test_it_goes_before_its_time_though_fresher_ones_never_cease(klass: int) -> None:
-    """One slot; each call takes half a second, and two messages come meanwhile, dearer by far."""
+def test_recovered_message_is_attempted_in_time_despite_a_steady_flow_of_new_ones(klass: int) -> None:
+    """One slot and calls of half a second; meanwhile two messages arrive that are worth far more."""
     classes = settings().classes
-    dear = dataclasses.replace(classes[SAFE], worth=10.0)
-    relay = Relay(entry("a"), slots=1, limits={"most_held": 1000}, classes=(*classes, dear))
+    valuable = dataclasses.replace(classes[SAFE], worth=10.0)
+    relay = Relay(entry("a"), slots=1, limits={"most_held": 1000}, classes=(*classes, valuable))
     relay.turn(relay.message(len(classes)))
     relay.turn(*(recovered(f"old{n}", klass, 10 * S) for n in range(5)))
     called = []
     for _ in range(24):
-        out = [m.name for m in relay.pacer.messages.values() if m.call is not None]
-        called += out
-        newcomers = [relay.message(len(classes)) for _ in range(2)]
-        relay.turn(*(relay.verdict(name, io.Status.OK) for name in out), *newcomers, after=500 * MS)
+        in_flight = [m.name for m in relay.pacer.messages.values() if m.call is not None]
+        called += in_flight
+        new_requests = [relay.message(len(classes)) for _ in range(2)]
+        relay.turn(*(relay.verdict(name, io.Status.OK) for name in in_flight), *new_requests, after=500 * MS)
         assert not ends(relay) & {f"old{n}" for n in range(5)}
     assert {f"old{n}" for n in range(5)} <= set(called)
     assert any(not name.startswith("old") for name in called)
 
 
-def test_one_that_was_tried_is_owed_nothing() -> None:
+def test_recovered_message_that_was_attempted_has_no_priority() -> None:
     relay = Relay(entry("a", state=io.Availability.STOPPING), limits={"most_held": 16})
     relay.turn(*(recovered(f"old{n}", left=2 * S, attempts=1) for n in range(15)))
     relay.turn(*(relay.message(SAFE) for _ in range(10)))
@@ -47,14 +47,14 @@
     assert not relay.pacer.recovered_untried
 
 
-def test_a_full_hold_sheds_newcomers_first() -> None:
+def test_full_relay_sheds_new_requests_first() -> None:
     relay = Relay(entry("a", state=io.Availability.STOPPING), limits={"most_held": 16})
     relay.turn(*(recovered(f"old{n}", left=2 * S) for n in range(15)))
     relay.turn(*(relay.message(SAFE) for _ in range(10)))
     assert len(ends(relay)) == 10 and not any(name.startswith("old") for name in ends(relay))
 
 
-def test_our_own_rest_is_no_reason_to_give_it_up_but_a_told_wait_beyond_its_time_is() -> None:
+def test_it_is_not_given_up_for_the_relays_own_backoff_but_for_a_requested_wait_past_its_deadline() -> None:
     relay = Relay(entry("a"))
     relay.serve()
     dest = relay.pacer.routes[1][0]
@@ -67,7 +67,7 @@
     assert ends(relay) == {"old"}
 
 
-def test_a_call_that_was_abandoned_was_none() -> None:
+def test_an_abandoned_call_does_not_count_as_an_attempt() -> None:
     relay = Relay(entry("a"))
     relay.turn(recovered("old"))
     relay.turn(relay.verdict("old", io.Status.ABANDONED), after=MS)
@@ -79,8 +79,8 @@
     assert not relay.pacer.recovered_untried
 
 
-def test_the_soonest_to_expire_goes_first_in_whatever_order_they_were_found() -> None:
-    """One slot, half a second a call: there is just time for all, soonest deadline first."""
+def test_the_earliest_deadline_goes_first_regardless_of_the_order_of_recovery() -> None:
+    """One slot and calls of half a second: just enough time for all, earliest deadline first."""
     relay = Relay(entry("a"), slots=1)
     relay.turn(*(recovered(f"old{n}", left=(20 - n) * S // 2 + S) for n in range(20)))
     called: list[str] = []
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: the cut, the climb, the dropped ceiling and calls out by Little's Law."""
+"""Pacing: ceilings that are cut, raised and dropped, concurrent calls by Little's Law, backoff and outages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert dest.ceiling == pytest.approx(CEILING_CUT_FACTOR * sent_before, rel=0.02)
 
 
-def test_ceiling_climbs_a_quarter_of_the_gap_and_is_dropped_at_its_target() -> None:
+def test_ceiling_rises_by_a_quarter_of_the_gap_and_is_dropped_at_its_target() -> None:
     relay = Relay(entry("a", rate=20.0), listed_rates=True)
     relay.serve(10)
     refuse(relay, 3)
@@ -46,13 +46,13 @@
     assert dest.ceiling is None
 
 
-def test_calls_out_before_a_cut_are_three_quarters_of_the_slots() -> None:
+def test_concurrent_calls_before_a_cut_are_three_quarters_of_the_slots() -> None:
     relay = Relay(entry("a"), slots=7)
     relay.turn(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 5
 
 
-def test_calls_out_after_a_cut_follow_littles_law() -> None:
+def test_concurrent_calls_after_a_cut_follow_littles_law() -> None:
     relay = Relay(entry("a"))
     relay.serve(10)
     dest = relay.pacer.routes[1][0]
@@ -62,15 +62,15 @@
     assert relay.pacer.max_calls(dest) == 1
 
 
-def test_suspect_destination_holds_half_the_slots() -> None:
+def test_suspect_destination_gets_half_the_slots() -> None:
     relay = Relay(entry("a"))
     dest = relay.pacer.routes[1][0]
     dest.failure_share = 0.3
     assert relay.pacer.max_calls(dest) == 4
 
 
-def test_replaced_hosts_and_done_keys_are_forgotten() -> None:
-    """Hosts gone and keys done were kept for ever."""
+def test_replaced_hosts_and_finished_keys_are_removed() -> None:
+    """Removed hosts and finished keys were kept forever."""
     relay = Relay(entry("h0", kind=1), rules={"turn_gap": S})
     for n in range(1, 200):
         relay.turn(relay.message(TURNS, key=f"k{n}"), after=60 * S)
@@ -91,8 +91,8 @@
     assert [s.host for s in relay.sends()] == ["a"]
 
 
-def test_refusals_at_a_spent_limit_rest_longer_where_turns_are_rare() -> None:
-    """A route got more than its limit from retries alone and served nothing (gandhinagar-hub-later)."""
+def test_refusals_at_a_spent_limit_back_off_longer_where_calls_are_rare() -> None:
+    """Retries alone exceeded a route's limit, and it served nothing (gandhinagar-hub-later)."""
 
     def attempts(relays: int) -> int:
         relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True)
@@ -107,7 +107,7 @@
     assert attempts(300) <= 3 and attempts(2) >= 6
 
 
-def test_a_limit_half_left_ends_the_rest_and_no_report_changes_nothing_else() -> None:
+def test_a_half_remaining_limit_ends_the_backoff_and_a_missing_report_does_not() -> None:
     relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
     dest = relay.pacer.routes[1][0]
     relay.turn(relay.message(), relay.message())
@@ -119,7 +119,7 @@
     assert dest.backoff == 0
 
 
-def test_message_that_cannot_be_tried_in_time_is_handed_back_at_once() -> None:
+def test_message_that_cannot_be_attempted_in_time_is_refused_at_once() -> None:
     relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True, seed=2)
     relay.turn(relay.message(patience=3 * S))
     relay.turn(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
@@ -133,7 +133,7 @@
     assert len(relay.pacer.calls) == 3
 
 
-def test_subscription_is_asked_for_and_renewed() -> None:
+def test_subscription_is_requested_and_renewed() -> None:
     relay = Relay(entry("a"), discovery=io.Discovery.SUBSCRIBE)
     assert len(relay.of(io.Subscribe)) == 1
     relay.turn(io.Roster(io.ListScope.FAILED, ()), after=100 * MS)
@@ -144,16 +144,16 @@
     assert relay.of(io.Subscribe) == []
 
 
-def test_full_hold_sheds_what_earns_least() -> None:
+def test_full_relay_sheds_the_messages_that_earn_least() -> None:
     relay = Relay(entry("a"), limits={"most_held": 20}, tenant_rates=(2.0, 100.0))
     relay.turn(*[relay.message(tenant=t) for t in [0] * 12 + [1] * 9])
     shed = {a.call for a in relay.of(io.Refuse)}
-    assert shed and shed <= {f"m{i}" for i in range(3, 13)}  # past tenant 0's share
+    assert shed and shed <= {f"m{i}" for i in range(3, 13)}  # beyond tenant 0's rate
 
 
 def test_slow_trickle_of_refusals_between_successes_is_no_outage() -> None:
-    """At a destination with little traffic the last success is long ago; a refusal is only a limit met
-    (incidents i6622a2, i4a983f)."""
+    """At a destination with little traffic the last success is long ago; a refusal there only means that the limit was
+    reached (incidents i6622a2, i4a983f)."""
     relay = Relay(entry("a"))
     relay.serve(5)
     for _ in range(6):
@@ -163,17 +163,17 @@
     assert not relay.pacer.routes[1][0].in_outage
 
 
-def test_long_told_wait_means_shut_and_a_ramp_from_its_end() -> None:
-    """All relays are told the same opening time; none may be there at once, none stays away for long."""
+def test_long_requested_wait_means_shut_and_a_ramp_from_its_end() -> None:
+    """All relays are given the same opening time. They must not all return at once, and none may stay away for long."""
     starts = []
     for seed in range(30):
         relay = Relay(entry("a", rate=6.0), relays=30, listed_rates=True, seed=seed)
         relay.turn(relay.message())
         relay.turn(relay.verdict("m1", io.Status.FULL, wait=8 * S), after=50 * MS)
-        opens = relay.now + 8 * S
+        opens_at = relay.now + 8 * S
         while not relay.sends():
             relay.turn(after=100 * MS)
-        starts.append(relay.now - opens)
+        starts.append(relay.now - opens_at)
     rules = relay.settings.rules
     early = [t for t in starts if t < rules.fall]
     share = rules.start_capacity + (1 - rules.start_capacity) * rules.fall / rules.ramp_time / 2
@@ -183,8 +183,8 @@
 
 
 @pytest.mark.parametrize("relays", [3, 60, 300])
-def test_trials_after_one_outage_stay_in_budget_and_out_of_step(relays: int) -> None:
-    """Each relay paced itself as if alone: all tried again at once (ic3f29e, failback broken)."""
+def test_trials_after_an_outage_stay_in_budget_and_are_spread(relays: int) -> None:
+    """Each relay paced its trials as if it were the only one, so all tried again at once (ic3f29e, failed failback)."""
     trials: list[int] = []
     for seed in range(relays):
         relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True, seed=seed)
@@ -197,13 +197,13 @@
     rules = relay.settings.rules
     budget = rules.fall_multiple * rules.start_capacity * 6.0
     assert trials
-    in_play = min(relays, 60)  # calls that can have come in within a ramp
-    assert len(trials) / relays * in_play <= 18 * budget
+    active_relays = min(relays, 60)  # relays whose calls can arrive within a ramp
+    assert len(trials) / relays * active_relays <= 18 * budget
     assert len(set(trials)) > len(trials) / 2
 
 
-def test_rates_forget_and_memory_stays_bounded() -> None:
-    """Old sends made an idle destination look quick when the hold was shed, and were kept for ever."""
+def test_rates_discard_old_events_and_memory_stays_bounded() -> None:
+    """Old sends made an idle destination look fast when messages were shed, and were kept forever."""
     relay = Relay(entry("a"))
     relay.serve(400)
     dest = relay.pacer.routes[1][0]
@@ -216,9 +216,9 @@
     assert len(relay.sends()) == 6
 
 
-def test_free_route_goes_before_a_crowded_one_also_at_a_fee() -> None:
-    """All went by the routes without a fee, which took three times as long for it and held all slots,
-    while those with a fee stood idle."""
+def test_free_route_is_preferred_to_a_saturated_one_even_at_a_fee() -> None:
+    """All messages took the routes without a fee, which therefore answered three times as slowly and occupied all slots,
+    while the routes with a fee were idle."""
     relay = Relay(
         entry("cheap", kind=1, zone=0, rate=20.0),
         entry("dear", kind=1, zone=1, rate=20.0),
@@ -229,15 +229,15 @@
     relay.serve(5)
     assert set(relay.where.values()) == {"cheap"}
     relay.turn(relay.message(), after=100 * MS)
-    assert [send.host for send in relay.sends()] == ["cheap"]  # slots abound: no fee is paid
+    assert [send.host for send in relay.sends()] == ["cheap"]  # enough slots: no fee is paid
     relay.turn(relay.verdict("m6", io.Status.OK), after=100 * MS)
     relay.turn(*[relay.message() for _ in range(5)], after=100 * MS)
-    # One call at once is 10 a second, its part of 20, times 100 ms; then the fee is no matter any more.
+    # One concurrent call: 10 calls a second, its share of 20, times 100 ms. Beyond that, the fee no longer matters.
     assert sorted(send.host for send in relay.sends()) == ["cheap", "cheap", "dear", "dear"]
 
 
-def test_one_broken_connection_makes_no_suspect() -> None:
-    """One reset held a destination to a call at a time; two in a row, with nothing good between, still do."""
+def test_one_broken_connection_does_not_make_a_suspect() -> None:
+    """A single reset limited a destination to one call at a time. Two in a row without a success in between still do."""
     relay = Relay(entry("a"))
     relay.serve(5)
     dest = relay.pacer.routes[1][0]
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("status", [io.Status.RESET, io.Status.TIMEOUT])
-def test_connection_that_fails_behind_a_later_answer_says_nothing_of_its_host(status: io.Status) -> None:
+def test_connection_that_fails_after_a_later_answer_does_not_count_against_its_host(status: io.Status) -> None:
     relay = Relay(entry("a"))
     relay.serve(5)
     dest = relay.pacer.routes[1][0]
@@ -258,14 +258,14 @@
     old = relay.sends()[0].call
     relay.turn(relay.message(), after=50 * MS)
     relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK), after=50 * MS)
-    bad = dest.failure_share
+    failure_share = dest.failure_share
     relay.turn(relay.verdict(old, status), after=S)
-    assert dest.failure_share == bad
+    assert dest.failure_share == failure_share
 
 
 def test_overdue_call_does_not_block_the_next_trial() -> None:
-    """A message that cannot be repeated stood on a silent connection until its deadline, and its destination
-    got nothing else for 12 s."""
+    """A message that cannot be repeated waited on a stalled connection until its deadline, and its destination got
+    nothing else for 12 s."""
     relay = Relay(entry("a"))
     relay.serve(20)
     relay.turn(relay.message(UNSAFE))
@@ -281,8 +281,8 @@
     assert relay.sends() and len(dest.calls) == 2
 
 
-def test_slots_go_first_where_no_call_waits_for_another() -> None:
-    """A slow destination's messages were as urgent as others and took slots only to wait there."""
+def test_slots_go_first_to_destinations_where_calls_do_not_queue() -> None:
+    """Messages for a slow destination were as urgent as others and occupied slots only to wait there."""
     relay = Relay(*[entry(name, dest=dest, rate=20.0) for dest, name in enumerate("abc", 1)], slots=4, listed_rates=True)
     for dest in (1, 2, 3):
         relay.serve(3, dest=dest)
@@ -295,8 +295,8 @@
     [io.Report(0.5, 1e300), io.Report(0.5, 1e-300), io.Report(0.5, 900.0), io.Report(0.5, 0.01), io.Report(1e9, 20.0)],
 )
 @pytest.mark.parametrize("agreed", [20.0, 0.0])
-def test_absurd_report_is_not_believed(report: io.Report, agreed: float) -> None:
-    """One figure out of all range divided by nothing, or paced a destination by it."""
+def test_implausible_report_is_ignored(report: io.Report, agreed: float) -> None:
+    """An out-of-range value caused a division by zero, or paced a destination."""
     relay = Relay(entry("a", rate=agreed), listed_rates=True)
     relay.serve(3)
     dest = relay.pacer.routes[1][0]
@@ -310,8 +310,8 @@
     assert dest.rate_limit == 31.0
 
 
-def test_connection_that_will_not_be_used_soon_is_closed() -> None:
-    """Idle connections of many relays filled a host's table, and idle ones were dropped unseen (i8cfdde)."""
+def test_connection_that_is_not_needed_soon_is_closed() -> None:
+    """Idle connections of many relays filled a host's connection table, which dropped them without notice (i8cfdde)."""
     many = Relay(entry("a"), relays=60)
     many.turn(many.message())
     many.turn(many.verdict("m1", io.Status.OK), after=100 * MS)
@@ -321,70 +321,70 @@
     assert few.of(io.Close) == []
 
 
-def test_second_refusal_with_most_of_the_limit_left_is_a_shut_destination() -> None:
-    """A shut destination with a limit refuses with x0 near 1; it was taken for the limit (h2e20b5)."""
-    for left, shut in ((0.95, True), (0.0, False)):
+def test_second_refusal_with_most_of_the_limit_remaining_means_a_shut_destination() -> None:
+    """A shut destination with a limit refuses with x0 near 1; the refusals were attributed to the limit (h2e20b5)."""
+    for remaining, shut in ((0.95, True), (0.0, False)):
         relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
         relay.turn(relay.message())
         dest = relay.pacer.routes[1][0]
         refused = 0
         for _ in range(300):
-            told = [relay.verdict(s.call, io.Status.FULL, report=io.Report(left, 6.0)) for s in relay.sends()]
-            refused += len(told)
-            relay.turn(*told, after=100 * MS)
+            verdicts = [relay.verdict(s.call, io.Status.FULL, report=io.Report(remaining, 6.0)) for s in relay.sends()]
+            refused += len(verdicts)
+            relay.turn(*verdicts, after=100 * MS)
             if refused == 2:
                 break
         assert refused == 2 and (dest.failure_share > 0) is shut
 
 
-def test_nothing_left_of_a_limit_rests_longer_than_a_little_left() -> None:
-    """Where refused calls use up the limit x0 stays at 0, and second tries alone kept it there (h02fa29)."""
+def test_an_entirely_spent_limit_backs_off_longer_than_an_almost_spent_one() -> None:
+    """Where refused calls use up the limit, x0 stays at 0; second attempts alone kept it there (h02fa29)."""
 
-    def first_rest(left: float) -> float:
+    def first_backoff(remaining: float) -> float:
         relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True)
         relay.turn(relay.message())
-        relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(left, 6.0)), after=50 * MS)
+        relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(remaining, 6.0)), after=50 * MS)
         return relay.pacer.routes[1][0].backoff
 
-    assert first_rest(0.0) > 2 * first_rest(0.05)
+    assert first_backoff(0.0) > 2 * first_backoff(0.05)
 
 
-def test_refused_client_is_told_when_to_come_again_where_clients_are_told() -> None:
-    for told in (True, False):
-        relay = Relay(entry("a"), limits={"most_held": 20, "retry_after": told})
+def test_refused_client_gets_a_retry_time_if_the_settings_allow() -> None:
+    for retry_after in (True, False):
+        relay = Relay(entry("a"), limits={"most_held": 20, "retry_after": retry_after})
         relay.turn(*[relay.message() for _ in range(40)])
         waits = [refusal.hold_off for refusal in relay.of(io.Refuse)]
         assert len(waits) >= 20
-        assert all((0 < wait <= 2 * S) if told else wait == 0 for wait in waits)
+        assert all((0 < wait <= 2 * S) if retry_after else wait == 0 for wait in waits)
 
 
-def test_host_without_room_for_connections_is_no_overload() -> None:
-    """Refusals of new connections say nothing of the limit: calls out are held back, the rate is not."""
+def test_full_connection_table_is_not_treated_as_overload() -> None:
+    """Refusals of new connections say nothing about the rate limit: concurrent calls are reduced, the rate is not."""
     relay = Relay(entry("a", rate=50.0), listed_rates=True)
-    told = io.Report(left=0.9, limit=50.0)
+    report = io.Report(left=0.9, limit=50.0)
     relay.turn(relay.message())
-    relay.turn(relay.verdict("m1", io.Status.OK, report=told), after=100 * MS)
+    relay.turn(relay.verdict("m1", io.Status.OK, report=report), after=100 * MS)
     relay.turn(*[relay.message() for _ in range(6)])
-    out = [send.call for send in relay.sends()]
-    assert len(out) == 6
-    for call in out[3:]:
+    in_flight = [send.call for send in relay.sends()]
+    assert len(in_flight) == 6
+    for call in in_flight[3:]:
         relay.turn(relay.verdict(call, io.Status.CROWDED))
     dest, host = relay.pacer.hosts["a"]
     assert dest.ceiling is None and dest.refused_since is None and dest.failure_share == 0
     assert host.max_calls == 3 and host.calls == 3
     relay.turn(*[relay.message() for _ in range(3)], after=10 * MS)
     assert not relay.sends()
-    relay.turn(relay.verdict(out[0], io.Status.OK, report=told))
-    assert len(relay.sends()) == 1  # in the place of the one that came back
-    while out := [m.name for m in relay.pacer.messages.values() if m.call is not None]:
-        relay.turn(relay.verdict(out[0], io.Status.OK, report=told), after=10 * MS)
+    relay.turn(relay.verdict(in_flight[0], io.Status.OK, report=report))
+    assert len(relay.sends()) == 1  # replaces the call that was answered
+    while in_flight := [m.name for m in relay.pacer.messages.values() if m.call is not None]:
+        relay.turn(relay.verdict(in_flight[0], io.Status.OK, report=report), after=10 * MS)
     relay.turn(*[relay.message() for _ in range(6)], after=1100 * MS)
-    assert host.calls == 4  # one more than had room is tried
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=told))
-    assert host.max_calls == 4 and host.calls == 5  # there was room, and the next one is tried
+    assert host.calls == 4  # one more than the table had room for is tried
+    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=report))
+    assert host.max_calls == 4 and host.calls == 5  # there was room, so the next one is tried
 
 
-def test_refusal_of_a_new_connection_counts_as_one_where_no_limit_was_ever_told() -> None:
+def test_refusal_of_a_new_connection_counts_as_refusal_if_no_limit_was_reported() -> None:
     relay = Relay(entry("a"))
     for _ in range(4):
         relay.turn(relay.message())
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,5 +1,7 @@
-"""A keyed message that may have run is never sent again behind its window for repeats, and gets its one final answer.
-Time passes here by a clock that the test sets; nothing sleeps."""
+"""A keyed message that may have run is never sent again after its repeat window, and ends exactly once.
+
+Time passes by a clock that the test sets; nothing sleeps.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +22,11 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-WINDOW = SECOND  # as short as days of restarts have it
+WINDOW = SECOND  # the shortest window of the scenarios with restarts
 
 
 class SetClock:
-    """The clocks of this process, with more time passed than has, and a wall clock that is set."""
+    """The clocks of this process, advanced by the test, with an adjustable wall clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.passed = 0  # nanoseconds
@@ -44,14 +46,14 @@
     return SetClock(monkeypatch)
 
 
-def tried(ref: str, ago: int, deadline: int = 8000, klass: str = "keyed") -> Entry:
-    """A message with an attempt on record and no outcome; times in milliseconds."""
+def attempted_entry(ref: str, ago: int, deadline: int = 8000, klass: str = "keyed") -> Entry:
+    """A message with a recorded attempt and no outcome; times in milliseconds."""
     now = time.time_ns() // MS
     return Entry(ref, klass, 3, f"key-{ref}", now + deadline, b"x", 1, now - ago, "north")
 
 
-def on_record(field: Field, *entries: Entry) -> None:
-    """What an earlier life left."""
+def write_journal(field: Field, *entries: Entry) -> None:
+    """The journal that an earlier process left."""
     field.facts["classes"][1]["repeatWindow"] = WINDOW
     journal = Store.open(field.state, 3_000_000)
     for entry in entries:
@@ -59,15 +61,15 @@
     journal.close()
 
 
-async def prepared(field: Field) -> Relay:
+async def unstarted_relay(field: Field) -> Relay:
     """A relay that has not started."""
     relay = Relay(field.config())
     field.relays.append(relay)
     return relay
 
 
-async def one_end(field: Field, ref: str, result: str = "dead") -> None:
-    """It is ended once, and nothing has been sent."""
+async def expect_single_end(field: Field, ref: str, result: str = "dead") -> None:
+    """The message ends once, and nothing has been sent."""
     assert await field.platform.next_notice() == {"ref": ref, "result": result}
     relay = field.relays[0]
     await until(lambda: not relay.held and not relay.notices.queue and not relay.journal.entries)
@@ -75,58 +77,58 @@
 
 
 @pytest.mark.parametrize("scope, result", [("zone", "dead"), ("all", "bounced")])
-async def test_one_found_behind_its_window_is_ended_at_once(
+async def test_a_recovered_message_past_its_window_is_ended_at_once(
     field: Field, clock: SetClock, scope: str, result: str
 ) -> None:
     field.facts["classes"][1]["keyScope"] = scope
-    on_record(field, tried("k", 1500))
-    await (await prepared(field)).start()
-    await one_end(field, "k", result)
+    write_journal(field, attempted_entry("k", 1500))
+    await (await unstarted_relay(field)).start()
+    await expect_single_end(field, "k", result)
 
 
-async def test_one_found_within_its_window_goes_again(field: Field, clock: SetClock) -> None:
-    """So that the others here show something."""
-    on_record(field, tried("k", 200))
-    await (await prepared(field)).start()
+async def test_a_recovered_message_within_its_window_is_sent_again(field: Field, clock: SetClock) -> None:
+    """Control: otherwise the other tests here would show nothing."""
+    write_journal(field, attempted_entry("k", 200))
+    await (await unstarted_relay(field)).start()
     (await field.host.next_call()).answer(200)
     await until(lambda: not field.relays[0].held)
     assert field.platform.notices.empty()
 
 
-async def test_the_window_closes_while_its_connection_comes_up(field: Field, clock: SetClock) -> None:
-    on_record(field, tried("k", 200))
-    relay = await prepared(field)
-    go = relay.hosts._go
+async def test_the_window_closes_while_the_connection_is_established(field: Field, clock: SetClock) -> None:
+    write_journal(field, attempted_entry("k", 200))
+    relay = await unstarted_relay(field)
+    original_go = relay.hosts._go
 
     def late(connection: hosts.Connection, exchange: hosts.Exchange) -> None:
         clock.advance(WINDOW)
-        go(connection, exchange)
+        original_go(connection, exchange)
 
     relay.hosts._go = late  # type: ignore[method-assign]
     await relay.start()
-    await one_end(field, "k")
+    await expect_single_end(field, "k")
     assert clock.passed
 
 
-async def test_the_window_closes_while_its_attempt_goes_on_record(field: Field, clock: SetClock) -> None:
-    """The last look came ahead of the write, and a disk may take its time."""
-    on_record(field, tried("k", 200))
-    relay = await prepared(field)
-    trying = relay.journal.trying
+async def test_the_window_closes_while_the_attempt_is_recorded(field: Field, clock: SetClock) -> None:
+    """The final check came before the write, and a disk may be slow."""
+    write_journal(field, attempted_entry("k", 200))
+    relay = await unstarted_relay(field)
+    original_trying = relay.journal.trying
 
     def slow(ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
-        noted = trying(ref, zone, now_ms, epoch)
+        recorded = original_trying(ref, zone, now_ms, epoch)
         clock.advance(WINDOW)
-        return noted
+        return recorded
 
     relay.journal.trying = slow  # type: ignore[method-assign]
     await relay.start()
-    await one_end(field, "k")
+    await expect_single_end(field, "k")
     assert clock.passed
 
 
-async def test_a_gathered_call_is_looked_at_behind_its_record(field: Field) -> None:
-    """The same in a turn, where the connection was there."""
+async def test_a_gathered_call_is_checked_after_its_record(field: Field) -> None:
+    """The same within a tick, on an existing connection."""
     client = await field.start()
     await field.warm(client)
     net, ends, clear = field.relays[0].hosts, list[Outcome](), [True]
@@ -140,39 +142,39 @@
     assert ends == [Outcome(io.Status.ABANDONED)] and any(net.idle.values()) and field.host.calls.empty()
 
 
-async def test_the_window_closes_between_a_slice_of_recovery_and_its_turn(
+async def test_the_window_closes_between_a_slice_of_recovery_and_its_tick(
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was measured as the slice was taken up, and held to run from the turn."""
+    """The remaining window was measured when the slice was restored, but applied from the tick on."""
     monkeypatch.setattr(recovery, "SLICE", 1)
-    on_record(field, tried("k", 200))
-    relay = await prepared(field)
-    soon = relay._turn_soon
+    write_journal(field, attempted_entry("k", 200))
+    relay = await unstarted_relay(field)
+    original_turn_soon = relay._turn_soon
 
     def late() -> None:
         if "k" in relay.held and not clock.passed:
             clock.advance(WINDOW)
-        soon()
+        original_turn_soon()
 
     relay._turn_soon = late  # type: ignore[method-assign]
     await relay.start()
-    await one_end(field, "k")
+    await expect_single_end(field, "k")
     assert clock.passed
 
 
 async def test_the_window_closes_while_it_waits_for_a_slice(
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second slice comes a round later; it goes by its own time."""
+    """The second slice is restored one cycle of the loop later; its own time counts."""
     monkeypatch.setattr(recovery, "SLICE", 1)
-    on_record(field, tried("s", 200, 4000, "safe"), tried("k", 200))
-    relay = await prepared(field)
-    take_up = relay._take_up
+    write_journal(field, attempted_entry("s", 200, 4000, "safe"), attempted_entry("k", 200))
+    relay = await unstarted_relay(field)
+    original_take_up = relay._take_up
 
     def late(entries: list[Entry]) -> None:
         if any(entry.ref == "k" for entry in entries):
             clock.advance(WINDOW)
-        take_up(entries)
+        original_take_up(entries)
 
     relay._take_up = late  # type: ignore[method-assign]
     await relay.start()
@@ -185,10 +187,10 @@
 
 
 async def test_the_window_closes_while_no_host_may_be_called(field: Field, clock: SetClock) -> None:
-    """Nothing ends it as the window closes; its end comes at its time, once."""
-    field.endpoints[0]["status"] = "Terminating"  # no host may be called, till the list says otherwise
-    on_record(field, tried("k", 200, 3000))
-    relay = await prepared(field)
+    """Closing the window ends nothing; the message ends at its deadline, once."""
+    field.endpoints[0]["status"] = "Terminating"  # no host may be called until the list changes
+    write_journal(field, attempted_entry("k", 200, 3000))
+    relay = await unstarted_relay(field)
     await relay.start()
     await until(lambda: "k" in relay.pacer.messages)
     clock.advance(WINDOW)
@@ -197,30 +199,33 @@
     await until(lambda: not relay.turn_due)
     assert relay.pacer.messages["k"].call is None and not relay.hosts.count
     clock.advance(3 * SECOND)
-    await one_end(field, "k")
+    await expect_single_end(field, "k")
 
 
-async def test_a_clock_set_back_holds_no_window_open(field: Field, clock: SetClock) -> None:
-    """What is on record lies ahead of the clock: how long ago it was nobody can tell."""
-    on_record(field, tried("k", 1500))
+async def test_a_clock_set_back_does_not_extend_the_window(field: Field, clock: SetClock) -> None:
+    """The recorded time lies in the clock's future, so the age of the attempt is unknown."""
+    write_journal(field, attempted_entry("k", 1500))
     clock.set_by = -3600 * SECOND
-    await (await prepared(field)).start()
-    await one_end(field, "k")
+    await (await unstarted_relay(field)).start()
+    await expect_single_end(field, "k")
 
 
-async def test_a_clock_set_back_by_less_shows_in_what_was_tried_later(field: Field, clock: SetClock) -> None:
-    """By its own time alone its window would be open: 1.5 s ago, of which the clock has taken back one."""
-    later = tried("u", 100, klass="unsafe")
-    on_record(field, tried("k", 1500), later)
+async def test_a_clock_set_back_by_less_shows_in_later_attempts(field: Field, clock: SetClock) -> None:
+    """By its own time alone the window would be open: the attempt was 1.5 s ago, of which the clock was set back by
+    one."""
+    later = attempted_entry("u", 100, klass="unsafe")
+    write_journal(field, attempted_entry("k", 1500), later)
     clock.set_by = -SECOND
-    await (await prepared(field)).start()
+    await (await unstarted_relay(field)).start()
     ends = [await field.platform.next_notice() for _ in range(2)]
     assert {end["ref"]: end["result"] for end in ends} == {"k": "dead", "u": "dead"}
     assert field.host.calls.empty() and not field.relays[0].hosts.calls_written
 
 
 @pytest.mark.parametrize("hours", [-1, 1])
-async def test_a_clock_that_is_set_while_it_is_held_changes_no_window(field: Field, clock: SetClock, hours: int) -> None:
+async def test_a_clock_that_is_set_while_a_message_is_pending_does_not_change_the_window(
+    field: Field, clock: SetClock, hours: int
+) -> None:
     field.facts["classes"][1]["repeatWindow"] = 4 * SECOND
     client = await field.start()
     assert await client.enqueue("k", "keyed") == b"OK"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each as a relay on its own can keep it."""
+"""The six rules, as far as a single relay can keep them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry, klass
 
 
-def test_held_message_ends_once_before_its_time_is_up() -> None:
+def test_pending_message_ends_once_before_its_deadline() -> None:
     relay = Relay(entry("a"))
     relay.turn(relay.message(dest=9, patience=S))
     assert not relay.actions or isinstance(relay.actions[-1], io.Wake)
@@ -19,7 +19,7 @@
     assert relay.of(io.Refuse) == [] and relay.of(io.Fail) == []
 
 
-def test_last_time_out_is_answered_at_once() -> None:
+def test_time_out_of_the_last_attempt_ends_the_message_at_once() -> None:
     relay = Relay(entry("a"))
     relay.turn(relay.message(UNSAFE))
     relay.turn(relay.verdict("m1", io.Status.TIMEOUT), after=20 * S)
@@ -67,7 +67,7 @@
     assert again == [first]
 
 
-def test_nothing_goes_to_a_draining_or_vanished_host() -> None:
+def test_nothing_is_sent_to_a_draining_or_removed_host() -> None:
     relay = Relay(entry("a"))
     relay.turn(io.Roster(io.ListScope.CHANGES, (entry("a", state=io.Availability.STOPPING),)), relay.message())
     assert relay.sends() == []
@@ -77,7 +77,7 @@
     assert [s.host for s in relay.sends()] == ["b"]
 
 
-def test_outage_is_tried_one_at_a_time_then_ramped() -> None:
+def test_destination_in_an_outage_gets_one_trial_at_a_time_then_a_ramp() -> None:
     relay = Relay(entry("a"))
     relay.serve(40)
     relay.turn(*[relay.message() for _ in range(40)])
@@ -85,7 +85,7 @@
     calls = relay.pacer.routes[1][0].calls
     for _ in range(50):
         relay.turn(after=100 * MS)
-        # An overdue one blocks no trial.
+        # An overdue call does not block a trial.
         assert sum(not call.counted_overdue for call in calls) <= 1 and len(calls) <= 2
     sent_at: list[int] = []
     for _ in range(200):
@@ -95,7 +95,7 @@
         relay.turn(after=50 * MS)
         sent_at += [relay.now] * len(relay.sends())
     rules = relay.settings.rules
-    before = 40 / 8  # what was served a second before the trouble
+    before = 40 / 8  # messages served a second before the outage
     budget = rules.fall_multiple * before * rules.fall / S
     first = [t for t in sent_at if t < sent_at[0] + rules.fall]
     assert sent_at and len(first) <= budget * 0.5
@@ -106,19 +106,19 @@
     relay.turn(relay.message(TURNS, key="k"), relay.message(TURNS, key="k"), relay.message(TURNS, key="other"))
     assert [s.call for s in relay.sends()] == ["m1", "m3"]
     relay.turn(io.Withdrawn("m1"), after=100 * MS)
-    assert relay.sends() == []  # its attempt is still out
+    assert relay.sends() == []  # its attempt is still in flight
     relay.turn(relay.verdict("m1", io.Status.CANCELLED), after=100 * MS)
-    assert relay.sends() == []  # the key rests
+    assert relay.sends() == []  # the key is blocked
     relay.turn(after=S)
     assert [s.call for s in relay.sends()] == ["m2"]
 
 
-def test_told_wait_binds_every_message_and_probe() -> None:
+def test_requested_wait_applies_to_every_message_and_probe() -> None:
     relay = Relay(entry("a"), entry("b"))
     relay.turn(relay.message(), relay.message())
     relay.turn(relay.verdict("m1", io.Status.FULL, wait=900 * MS), relay.message(), after=50 * MS)
-    told = relay.now
-    while relay.now + 50 * MS < told + 900 * MS:
+    requested_at = relay.now
+    while relay.now + 50 * MS < requested_at + 900 * MS:
         relay.turn(relay.message(), after=50 * MS)
         assert relay.sends() == [] and relay.of(io.Probe) == []
     relay.turn(relay.verdict("m2", io.Status.OK), after=100 * MS)
@@ -127,8 +127,8 @@
     assert sent or relay.sends()
 
 
-def test_wait_told_to_a_later_message_of_one_call_binds_too() -> None:
-    """Each message of a call has its outcome; a wait in any of them counts, also in a later one."""
+def test_wait_reported_to_a_later_message_of_a_call_applies_too() -> None:
+    """Each message of a call has its own outcome, and a wait in any of them counts."""
     relay = Relay(entry("a", kind=2))
     relay.turn(relay.message(), relay.message())
     assert len(relay.sends()) == 2
@@ -149,9 +149,9 @@
     assert seen == ["m1"]
 
 
-def test_alarm_that_comes_a_moment_early_is_asked_for_again() -> None:
-    """A clock that rounds down brought an alarm 1 ns early; none was asked for again and a message ended late
-    (found day h0a7f9b)."""
+def test_alarm_that_fires_slightly_early_is_requested_again() -> None:
+    """A clock that rounds down fired an alarm 1 ns early; it was not requested again, and a message ended late
+    (h0a7f9b)."""
     relay = Relay(entry("a"))
     relay.turn(relay.message(dest=9, patience=S))
     wake = relay.of(io.Wake)[-1]
@@ -164,7 +164,7 @@
     return io.Recovered(call, klass, **(values | changes))
 
 
-def test_recovered_messages_keep_what_an_earlier_life_did() -> None:
+def test_recovered_messages_keep_the_attempts_of_an_earlier_process() -> None:
     cases = (
         (recovered("m", UNSAFE), io.Send),
         (recovered("m", UNSAFE, attempts=1, ran_ago=S), io.Fail),
@@ -189,16 +189,16 @@
         assert [s.host for s in relay.sends()] == [host]
 
 
-def test_message_without_room_in_the_journal_is_refused_and_forgotten() -> None:
+def test_message_without_room_in_the_journal_is_refused_and_not_kept() -> None:
     relay = Relay(entry("a"))
     relay.turn(replace(relay.message(), storable=False))
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"] and relay.sends() == []
     assert relay.pacer.messages == {} and relay.pacer.pending_count == 0
 
 
-def test_nothing_goes_out_that_the_end_of_the_process_might_cut_off() -> None:
+def test_nothing_is_sent_that_the_end_of_the_process_might_cut_off() -> None:
     relay = Relay(entry("a"))
-    relay.serve(3)  # a mean of 100 ms: 400 ms are enough for most calls
+    relay.serve(3)  # mean response time 100 ms: 400 ms suffice for most calls
     relay.turn(io.Stopping(relay.now + S))
     relay.turn(relay.message(UNSAFE), after=500 * MS)
     assert len(relay.sends()) == 1
@@ -206,7 +206,7 @@
     assert relay.sends() == [] and relay.of(io.Refuse) == [] and relay.of(io.Fail) == []
 
 
-def test_last_look_holds_back_what_was_overtaken() -> None:
+def test_final_check_stops_a_call_after_a_change_of_its_host_or_deadline() -> None:
     relay = Relay(entry("a"), entry("b"))
     relay.turn(relay.message())
     host = relay.sends()[0].host
@@ -220,7 +220,7 @@
     assert not relay.pacer.clear_to_send(relay.now, "m1", host)
 
 
-def test_last_look_heeds_a_wait_told_to_another_call() -> None:
+def test_final_check_observes_a_wait_reported_to_another_call() -> None:
     relay = Relay(entry("a"))
     relay.serve(2)
     relay.turn(relay.message(), relay.message())
@@ -231,7 +231,7 @@
     assert relay.pacer.clear_to_send(relay.now + S, second, "a")
 
 
-def test_abandoned_attempt_never_ran_and_is_made_up_for() -> None:
+def test_abandoned_attempt_did_not_run_and_is_repeated() -> None:
     relay = Relay(entry("a"))
     relay.turn(relay.message(UNSAFE))
     relay.turn(relay.verdict("m1", io.Status.ABANDONED), after=50 * MS)
@@ -239,20 +239,20 @@
     assert [s.call for s in relay.sends()] == ["m1"]
 
 
-def test_loop_that_lags_ends_messages_earlier_and_refuses_newcomers() -> None:
-    """Three rounds of the loop lie between a deadline and its notice: what the rule leaves is not enough."""
+def test_lagging_loop_ends_messages_earlier_and_refuses_new_requests() -> None:
+    """Three ticks pass between a deadline and the answer, more than the answer slack of the rules covers."""
     relay = Relay(entry("a", state=io.Availability.STOPPING), rules={"answer_slack": 250 * MS})
-    held = relay.message(patience=5 * S)
-    relay.turn(held)
+    pending = relay.message(patience=5 * S)
+    relay.turn(pending)
     relay.turn(io.Lagging(150 * MS), relay.message(patience=5 * S), after=4 * S)
-    assert not relay.of(io.Refuse)  # not beyond what clients wait for
+    assert not relay.of(io.Refuse)  # the lag is within what clients wait for
     relay.turn(after=789 * MS)
     assert not relay.of(io.Refuse)
-    relay.turn(after=2 * MS)  # 3 * 150 - 250 = 200 ms early, and two ticks
-    assert [a.call for a in relay.of(io.Refuse)] == [held.call]
+    relay.turn(after=2 * MS)  # 3 * 150 - 250 = 200 ms earlier, and two ticks
+    assert [a.call for a in relay.of(io.Refuse)] == [pending.call]
     late = relay.message()
     relay.turn(io.Lagging(300 * MS), late)
     assert late.call in [a.call for a in relay.of(io.Refuse)] and late.call not in relay.pacer.messages
-    kept = relay.message()
-    relay.turn(io.Lagging(0), kept)
-    assert kept.call in relay.pacer.messages
+    accepted = relay.message()
+    relay.turn(io.Lagging(0), accepted)
+    assert accepted.call in relay.pacer.messages
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""A turn costs by what changed: counted in operations, never in time; the times are the benchmarks'."""
+"""The cost of a tick depends on what changed. It is counted in operations, never in time; benchmarks measure times."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def counts(monkeypatch: pytest.MonkeyPatch) -> Counter[str]:
-    """How often the operations ran of which a turn is made."""
+    """Counts the operations that make up a tick."""
     counter: Counter[str] = Counter()
 
     def count(owner: type, name: str) -> None:
@@ -43,7 +43,7 @@
 
 
 def work(counts: Counter[str], step: Any, times: int) -> int:
-    for n in range(10):  # what was left to do is done
+    for n in range(10):  # finish outstanding work first
         step(n)
     counts.clear()
     for n in range(times):
@@ -51,7 +51,7 @@
     return sum(counts.values())
 
 
-def test_turn_does_no_more_for_what_waits_elsewhere(counts: Counter[str]) -> None:
+def test_tick_does_no_more_work_for_messages_of_other_destinations(counts: Counter[str]) -> None:
     done = []
     for held in (100, 5_000):
         bed = Bed(26)
@@ -61,21 +61,21 @@
     assert done[0] == done[1]
 
 
-def test_turn_does_no_more_for_what_waits_in_the_same_queue(counts: Counter[str]) -> None:
+def test_tick_does_no_more_work_for_more_messages_in_the_same_queue(counts: Counter[str]) -> None:
     done = []
     for held in (100, 5_000):
         bed = Bed(26, slots=32)
-        out = sends(bed.turn(*[bed.message(0) for _ in range(100)]))
+        in_flight = sends(bed.turn(*[bed.message(0) for _ in range(100)]))
         bed.hold(0, held)
 
-        def step(n: int, bed: Bed = bed, out: list[io.Send] = out) -> None:
-            out.extend(sends(bed.turn(bed.answer(out.pop(0)), bed.message(0))))
+        def step(n: int, bed: Bed = bed, in_flight: list[io.Send] = in_flight) -> None:
+            in_flight.extend(sends(bed.turn(bed.answer(in_flight.pop(0)), bed.message(0))))
 
         done.append(work(counts, step, 50))
     assert done[1] <= 1.2 * done[0]
 
 
-def test_turn_does_no_more_over_many_destinations(counts: Counter[str]) -> None:
+def test_tick_does_no_more_work_with_many_destinations(counts: Counter[str]) -> None:
     done = []
     for dests in (26, 1_000):
         bed = Bed(dests)
@@ -86,7 +86,7 @@
     assert done[1] <= 1.2 * done[0]
 
 
-def test_shedding_does_no_more_in_a_larger_hold(counts: Counter[str]) -> None:
+def test_shedding_does_no_more_work_with_more_pending_messages(counts: Counter[str]) -> None:
     done = []
     for held in (260, 5_200):
         bed = Bed(26, held=held)
@@ -102,23 +102,23 @@
     assert done[1] <= 1.5 * done[0]
 
 
-def test_burst_for_a_shut_destination_goes_out_as_it_opens() -> None:
+def test_burst_for_a_shut_destination_is_sent_once_it_opens() -> None:
     bed = Bed(4, slots=64)
     bed.shut(0, 2 * SECOND)
     bed.hold(0, 3_000)
     assert bed.pacer.pending_count == 3_001
     bed.now += SECOND
-    out: list[io.Send] = []
-    went: Counter[str] = Counter()
+    sent: list[io.Send] = []
+    sent_calls: Counter[str] = Counter()
     for _ in range(400):
         bed.now += SECOND // 100
-        out = sends(bed.turn(*[bed.answer(send) for send in out]))
-        went.update(send.call for send in out)
+        sent = sends(bed.turn(*[bed.answer(send) for send in sent]))
+        sent_calls.update(send.call for send in sent)
         assert len(bed.pacer.calls) <= 48  # three quarters of the slots
-    assert len(went) == 3_001 and not bed.pacer.pending_count
+    assert len(sent_calls) == 3_001 and not bed.pacer.pending_count
 
 
-def test_deadlines_that_passed_while_the_process_slept_all_end_in_the_next_turn() -> None:
+def test_deadlines_that_passed_while_the_process_slept_all_end_in_the_next_tick() -> None:
     bed = Bed(26)
     for dest in range(26):
         bed.shut(dest)
