--- a/garnetrelay/membership/register.py
+++ b/garnetrelay/discovery/client.py
@@ -1,6 +1,6 @@
 """Follows the list of hosts by watches of discovery, over HTTP/1.1 (h11 parses). The Pacer says when to call.
 
-Sockets and timers only: what a line says is read by ``listing.py``, which of several watches counts stands in
+Sockets and timers only: what a line says is read by ``host_list.py``, which of several watches counts stands in
 ``watches.py``.
 """
 
@@ -14,8 +14,8 @@
 import h11
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.membership.listing import Lines, News, Reader, UnreadableListError, described
-from garnetrelay.membership.watches import Patience, State, Watch, Watches
+from garnetrelay.discovery.host_list import ListReader, ListUpdate, ObjectSplitter, UnreadableListError, described
+from garnetrelay.discovery.watches import Patience, State, Watch, Watches
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,9 @@
 class Discovery:
     """Watches the list. ``on_news`` gets what comes, None when a watch or a call at the present address has failed."""
 
-    def __init__(self, address: Address, reader: Reader, index: int, on_news: Callable[[News | None], None]) -> None:
+    def __init__(
+        self, address: Address, reader: ListReader, index: int, on_news: Callable[[ListUpdate | None], None]
+    ) -> None:
         self.reader = reader
         self.on_news = on_news
         self.watches = Watches(address, index)
@@ -48,9 +50,9 @@
         self.watches.index = index
 
     @property
-    def heard(self) -> bool:
+    def up_to_date(self) -> bool:
         """Whether the list is no old one: a watch at the present address has told something, and is open."""
-        return self.watches.heard
+        return self.watches.up_to_date
 
     @property
     def open(self) -> int:
@@ -108,7 +110,7 @@
         target = f"/api/targets?follow=1&since={watch.index}"
         writer.write(http.send(h11.Request(method="GET", target=target, headers=[("Host", str(watch.address))])) or b"")
         writer.write(http.send(h11.EndOfMessage()) or b"")
-        loop, lines = asyncio.get_running_loop(), Lines()
+        loop, lines = asyncio.get_running_loop(), ObjectSplitter()
         while True:
             event = http.next_event()
             if event is h11.NEED_DATA:
@@ -147,7 +149,7 @@
         self.watches.taken_up(watch)
         log.info("discovery: %s is taken up", watch)
         if self.watches.is_current(watch):  # also where nothing has changed
-            self.on_news(News(watch.index, False, (), {}))
+            self.on_news(ListUpdate(watch.index, False, (), {}))
 
     def _line(self, watch: Watch, line: bytes | None) -> None:
         news = None if line is None else self._version(watch, line)
@@ -158,9 +160,9 @@
             log.info("%s", described(news))
             self.on_news(news if self.watches.is_current(watch) else news.of_address_left())
         elif doubted and self.watches.is_current(watch):  # it goes on
-            self.on_news(News(watch.index, False, (), {}))
+            self.on_news(ListUpdate(watch.index, False, (), {}))
 
-    def _version(self, watch: Watch, line: bytes) -> News:
+    def _version(self, watch: Watch, line: bytes) -> ListUpdate:
         """Read a version. What can't be read leaves a hole, a drain perhaps, that no later line fills: it is asked for
         once more, on another watch. If that can't be read either, what can be read of it counts, and the lines behind
         it."""
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from garnetrelay.fleet.lease_service import Leases
+from garnetrelay.fleet.lease_service import LeaseService
 from garnetrelay.operators.figures import escaped
 
 
-class OwnersState(msgspec.Struct, frozen=True):
+class SessionLine(msgspec.Struct, frozen=True):
     """This relay's session."""
 
     name: str
@@ -54,36 +54,36 @@
     votes: int  # partitions that it has granted to this relay
 
 
-def owners(leases: Leases, now: int) -> Iterator[OwnersState | OwnedLine]:
+def owners(leases: LeaseService, now: int) -> Iterator[SessionLine | OwnedLine]:
     """This session, then all that it owns."""
     settings, owned = leases.config.settings, leases.holder.owned(now)
-    yield OwnersState(
+    yield SessionLine(
         leases.name,
         leases.session.number,
         settings.partitions,
-        len(leases.holder.wished),
+        len(leases.holder.assigned),
         len(owned),
         settings.controllers,
         settings.quorum,
-        leases.holder.reached(now),
+        leases.holder.reached_controllers(now),
     )
     for partition, (epoch, until) in sorted(owned.items()):
         yield OwnedLine(partition, epoch, until, round((until - now) / 1e9, 3))
 
 
-def destination(leases: Leases, number: int, now: int) -> DestinationLine:
+def destination(leases: LeaseService, number: int, now: int) -> DestinationLine:
     """One destination."""
     partition = leases.partition(number)
     found = leases.holder.ownership(partition, now)
-    should_own = leases.should_own(partition)
+    should_own = leases.assigned_relay(partition)
     if found is None:
         return DestinationLine(number, partition, should_own)
     return DestinationLine(number, partition, should_own, found.epoch, found.until, round((found.until - now) / 1e9, 3))
 
 
-def controllers(leases: Leases, now: int) -> Iterator[ControllerLine]:
+def controllers(leases: LeaseService, now: int) -> Iterator[ControllerLine]:
     """All controllers, by number."""
-    reached = leases.holder.reached(now)
+    reached = leases.holder.reached_controllers(now)
     for link, place in zip(leases.holder.links, leases.config.places, strict=True):
         yield ControllerLine(
             link.controller,
@@ -95,19 +95,19 @@
         )
 
 
-def figures(leases: Leases, now: int) -> str:
+def metrics_text(leases: LeaseService, now: int) -> str:
     """The figures of leases, a line each."""
     holder = leases.holder
     rows: list[tuple[str, int]] = [
-        ("partitions_wished", len(holder.wished)),
+        ("partitions_wished", len(holder.assigned)),
         ("partitions_owned", len(holder.owned(now))),
-        ("controllers_reached", len(holder.reached(now))),
+        ("controllers_reached", len(holder.reached_controllers(now))),
         ("fenced", leases.fenced),
         ("datagrams_in", leases.datagrams_in),
         ("datagrams_out", leases.datagrams_out),
         ("bytes_in", leases.bytes_in),
         ("bytes_out", leases.bytes_out),
     ]
-    rows += [(f'events{{kind="{escaped(kind.lower())}"}}', count) for kind, count in sorted(holder.figures.items())]
+    rows += [(f'events{{kind="{escaped(kind.lower())}"}}', count) for kind, count in sorted(holder.event_counts.items())]
     rows += [(f'datagrams_refused{{cause="{escaped(cause)}"}}', count) for cause, count in sorted(leases.refused.items())]
     return "".join(f"relay_leases_{name} {value}\n" for name, value in rows)
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -15,8 +15,8 @@
 from typing import TYPE_CHECKING
 
 from garnetrelay.config.deployment import Address, Config
-from garnetrelay.membership.listing import News, Reader
-from garnetrelay.membership.register import Discovery
+from garnetrelay.discovery.client import Discovery
+from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.pending import PendingMessage
 from garnetrelay.recorded_times import newest_time, ran_ago
 from garnetrelay.recovery_stats import RecoveryStats
@@ -43,7 +43,7 @@
     settings: io.Settings
     pacer: Pacer
     journal: Store
-    reader: Reader
+    reader: ListReader
     discovery: Discovery
     inheritance: Inheritance | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
@@ -70,7 +70,7 @@
         """Decide on all that has come."""
 
     @abstractmethod
-    def _place(self, news: News) -> None:
+    def _place(self, news: ListUpdate) -> None:
         """Where each host listens now."""
 
     @abstractmethod
@@ -98,7 +98,7 @@
         self.gone = dict.fromkeys(state.gone)
         # Another address may count its versions in a way of its own: it is asked for all.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
-        news = News(state.index, True, tuple(entries), addresses)
+        news = ListUpdate(state.index, True, tuple(entries), addresses)
         self._place(news)
         self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
         self.turn()
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -21,11 +21,11 @@
 from garnetrelay.counters import Counters
 from garnetrelay.delivery.http import hosts as net
 from garnetrelay.delivery.http.answers import Outcome
+from garnetrelay.discovery.client import Discovery
+from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
-from garnetrelay.membership.listing import News, Reader
-from garnetrelay.membership.register import Discovery
 from garnetrelay.pending import Newcomer, PendingMessage
 from garnetrelay.platform.notices import Notices
 from garnetrelay.recovery import Recovery
@@ -115,13 +115,13 @@
         )
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
         self.server.on_closed = self._end_if_idle
-        self.reader = Reader(config)
+        self.reader = ListReader(config)
         self.discovery = Discovery(config.discovery, self.reader, 0, self.on_news)
         self.notices = Notices(config.discovery, self._told)
 
     def _host_room(self) -> int:
         """How many more connections to hosts there may be."""
-        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.turned_away)
+        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
     def _client_room(self) -> int:
@@ -249,7 +249,7 @@
             discovery_calls=self.discovery.watches.calls,
             discovery_failures=self.pacer.discovery_schedule.failures,
             list_version=self.discovery.index,
-            list_watched=int(self.discovery.heard),
+            list_watched=int(self.discovery.up_to_date),
         )
 
     def knows_host(self, host: str) -> bool:
@@ -292,7 +292,9 @@
         if request.klass not in self.class_numbers:
             raise RejectedError(f"unknown class '{request.klass[:40]}'")
         if request.dest not in self.dests:
-            if not self.discovery.heard:  # the list that we started with may be old: that it does not name it says little
+            if (
+                not self.discovery.up_to_date
+            ):  # the list that we started with may be old: that it does not name it says little
                 self.counts.refused[request.klass] += 1
                 reply.busy(0)
                 return
@@ -328,7 +330,7 @@
             )
         )
 
-    def on_news(self, news: News | None) -> None:
+    def on_news(self, news: ListUpdate | None) -> None:
         """The list of hosts has changed; None: the watch has failed."""
         if news is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
@@ -344,7 +346,7 @@
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, news: News) -> None:
+    def _place(self, news: ListUpdate) -> None:
         """Where each host listens now. Connections to those that drain or went are closed."""
         named = {entry.host for entry in news.entries}
         gone = [host for host in self.listed if host not in named] if news.whole else []
@@ -356,7 +358,7 @@
             self.gone.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
-            self.hosts.place(entry.host, news.addresses[entry.host], draining)
+            self.hosts.set_address(entry.host, news.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
                 self.gone[host] = None
@@ -425,7 +427,7 @@
         self.lag.round_ends(time.monotonic_ns())
 
     def _let_out(
-        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.Ready], recorded: bool
+        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.PreparedCall], recorded: bool
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
         self.unreleased -= 1
@@ -434,7 +436,7 @@
         if self.time_is_up and not self.unreleased:
             self.finished.set()
         for end in ends:
-            self.notices.tell(*end)
+            self.notices.add(*end)
         self.notices.send()
         for newcomer in newcomers:
             self._answer(newcomer, recorded)
@@ -461,7 +463,7 @@
             if ref in ends:
                 continue
             # Others of this turn may have taken the room that there was when it came.
-            if not newcomer.reply.wanted or not self.journal.has_room(ref, request.key, len(request.body)):
+            if not newcomer.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
                 newcomer.reply.busy(0)
                 self.post(io.Withdrawn(ref))
@@ -550,16 +552,16 @@
     def _probe(self, probe: io.Probe) -> None:
         started = self.pacer.now
 
-        def still_clear() -> bool:
+        def final_check() -> bool:
             return self.pacer.clear_to_send(time.monotonic_ns(), None, probe.host)
 
         def prepare(address: Address) -> bytes | None:
-            return net.probe(address, self.config.load_reports) if still_clear() else None
+            return net.probe_request(address, self.config.load_reports) if final_check() else None
 
         def done(outcome: Outcome) -> None:
             self.post(io.Probed(probe.host, outcome.status, time.monotonic_ns() - started, outcome.report))
 
-        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, still_clear))
+        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, final_check))
 
     # ---- ends
 
