--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -21,20 +21,20 @@
     """One of many relays that has just made its first call of discovery."""
     relay = Relay(entry("a"), relays=200, discovery=io.Discovery.SUBSCRIBE, **changes)
     while not relay.of(io.Subscribe):
-        relay.turn(after=10 * MS)
+        relay.tick(after=10 * MS)
     return relay
 
 
 def time_until_call(relay: Relay) -> int:
     """The time until discovery is called once more."""
     begun = relay.now
-    while not relay.turn(after=10 * MS) or not relay.of(io.Subscribe):
+    while not relay.tick(after=10 * MS) or not relay.of(io.Subscribe):
         assert relay.now < begun + 120 * S
     return relay.now - begun
 
 
 def fail(relay: Relay, after: int) -> None:
-    relay.turn(io.Roster(io.ListScope.FAILED, ()), after=after)
+    relay.tick(io.Roster(io.ListScope.FAILED, ()), after=after)
 
 
 @pytest.mark.parametrize("ask_every", [5.0, 10.0, 60.0])
@@ -123,7 +123,7 @@
     """An unresponsive call was waited for for 3 s, and two of them in a row for more than 6 s."""
     relay = Relay(entry("a"), relays=relays, discovery=io.Discovery.SUBSCRIBE)
     while not relay.of(io.Subscribe):
-        relay.turn(after=10 * MS)
+        relay.tick(after=10 * MS)
     for _ in range(5):
         assert time_until_call(relay) <= most + 10 * MS
 
@@ -133,7 +133,7 @@
     relay = Relay(entry("a"), relays=6, discovery=io.Discovery.SUBSCRIBE)
     asked: list[int] = []
     for _ in range(200):
-        relay.turn(io.WatchMissing(), after=50 * MS)
+        relay.tick(io.WatchMissing(), after=50 * MS)
         if relay.of(io.Subscribe):
             asked.append(relay.now)
     gaps_between = [later - sooner for sooner, later in itertools.pairwise(asked)]
@@ -144,9 +144,9 @@
 def test_an_answer_after_the_end_of_its_call_is_used() -> None:
     relay = relay_in_first_call()
     fail(relay, GIVEN_UP_AFTER)
-    relay.turn(io.Roster(io.ListScope.WHOLE, (entry("b"),)), after=100 * MS)
+    relay.tick(io.Roster(io.ListScope.WHOLE, (entry("b"),)), after=100 * MS)
     assert list(relay.pacer.hosts) == ["b"]
-    relay.turn(after=60 * S)
+    relay.tick(after=60 * S)
     assert not relay.of(io.Subscribe)
 
 
@@ -154,7 +154,7 @@
     """Also after an answer that stalls in the middle: the client ends a watch that delivers no complete line."""
     relay = relay_in_first_call()
     for _ in range(4):
-        relay.turn(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
+        relay.tick(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
         fail(relay, SILENCE)
         assert SILENCE + time_until_call(relay) + PATIENCE <= TOLD_AFTER
 
@@ -165,15 +165,15 @@
     """SIGHUP: the new address is called at once, and again after a call that fails there, or in parallel to it."""
     relay = relay_in_first_call()
     if open_before:
-        relay.turn(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
-    relay.turn(after=900 * MS)
-    relay.turn(io.WatchMissing())  # discovery moved
+        relay.tick(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
+    relay.tick(after=900 * MS)
+    relay.tick(io.WatchMissing())  # discovery moved
     moved_at = relay.now
     first = time_until_call(relay)
     assert first <= MAX_REOPEN_DELAY_NS + 10 * MS
     failed_at = relay.now + after
     while relay.now < failed_at:
-        relay.turn(after=10 * MS)
+        relay.tick(after=10 * MS)
         if relay.of(io.Subscribe):
             break
     else:
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -16,7 +16,7 @@
 def relay_in_outage(relays: int, seed: int) -> Relay:
     """One of so many relays, after two of its calls failed."""
     relay = Relay(entry("a"), relays=relays, seed=seed, rules={"fall": WINDOW})
-    relay.turn(relay.message(), relay.message())
+    relay.tick(relay.message(), relay.message())
     relay.try_all(io.Status.CONNECT_FAILED, 2)
     assert relay.pacer.routes[1][0].in_outage
     return relay
@@ -34,7 +34,7 @@
             events: list[io.Event] = [relay.verdict(send.call, status) for send in in_flight]
             if relay.now // STEP % 100 == 37 * n % 100:
                 events.append(relay.message())
-            relay.turn(*events, after=STEP)
+            relay.tick(*events, after=STEP)
             in_flight = relay.sends()
             calls += [relay.now - recovers_at] * len(in_flight) if relay.now >= recovers_at else []
     return sorted(calls)
@@ -62,10 +62,10 @@
     were sent."""
     relay = relay_in_outage(30, seed=1)
     dest = relay.pacer.routes[1][0]
-    relay.turn(after=90 * S)
-    relay.turn(relay.message())
+    relay.tick(after=90 * S)
+    relay.tick(relay.message())
     assert len(relay.sends()) == 1
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK), *[relay.message() for _ in range(5)], after=STEP)
+    relay.tick(relay.verdict(relay.sends()[0].call, io.Status.OK), *[relay.message() for _ in range(5)], after=STEP)
     assert not dest.in_outage and relay.pacer.is_cold(dest) and not relay.sends()
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,7 +10,7 @@
 S = 1_000_000_000
 MS = 1_000_000
 
-SAFE, KEYED, UNSAFE, TURNS = 0, 1, 2, 3
+SAFE, KEYED, UNSAFE, ORDERED = 0, 1, 2, 3
 
 
 def klass(repeat: io.Repeat, scope: io.Scope = io.Scope.ALL, in_turn: bool = False) -> io.MessageClass:
@@ -103,11 +103,11 @@
         self.count = 0
         self.attempts: dict[str, int] = {}
         self.where: dict[str, str] = {}
-        self.actions: list[io.Action] = self.turn(io.Roster(io.ListScope.CACHED, entries))
+        self.actions: list[io.Action] = self.tick(io.Roster(io.ListScope.CACHED, entries))
         if self.settings.relays >= MANY_RELAYS:
             self.now += 60 * S  # many relays spread their first calls; skip that phase
 
-    def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
+    def tick(self, *events: io.Event, after: int = 0) -> list[io.Action]:
         self.now += after
         self.actions = self.pacer.handle(self.now, events)
         for send in self.sends():
@@ -155,9 +155,9 @@
     def serve(self, n: int = 1, klass: int = SAFE, dest: int = 1) -> None:
         """Send ``n`` messages, one after the other, each delivered."""
         for _ in range(n):
-            self.turn(self.message(klass, dest), after=100 * MS)
+            self.tick(self.message(klass, dest), after=100 * MS)
             for send in self.sends():
-                self.turn(self.verdict(send.call, io.Status.OK), after=100 * MS)
+                self.tick(self.verdict(send.call, io.Status.OK), after=100 * MS)
 
     def try_all(self, status: io.Status, n: int, wait: int = 0) -> None:
         """Return this outcome for every attempt until ``n`` attempts have ended."""
@@ -167,8 +167,8 @@
             if done >= n:
                 return
             if out:
-                self.turn(self.verdict(out[0], status, wait), after=10 * MS)
+                self.tick(self.verdict(out[0], status, wait), after=10 * MS)
                 done += 1
             else:
-                self.turn(after=100 * MS)
+                self.tick(after=100 * MS)
         raise AssertionError(f"only {done} of {n} attempts were sent")
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -18,7 +18,7 @@
 from garnetrelay.relay import MOST_GONE
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry
+from tests.helpers import KEYED, MS, ORDERED, SAFE, UNSAFE, Relay, S, entry
 from tests.sockets import Client, Field, endpoint, listing, until
 
 ENDS = (
@@ -85,16 +85,16 @@
                 )
             )
             news += [io.Excluded(old, False), io.Excluded(new, n % 3 == 0)]
-        klass = (SAFE, KEYED, UNSAFE, TURNS)[n % 4]
-        relay.turn(*news, relay.message(klass, 1 + n % 2, key=f"k{n}", patience=3 * S), after=37 * MS)
+        klass = (SAFE, KEYED, UNSAFE, ORDERED)[n % 4]
+        relay.tick(*news, relay.message(klass, 1 + n % 2, key=f"k{n}", patience=3 * S), after=37 * MS)
         for number, m in enumerate([m for m in relay.pacer.messages.values() if m.call is not None]):
             report = io.Report((n % 11) / 10, 5.0 + n % 3)
-            relay.turn(relay.verdict(m.name, ENDS[(n + number) % len(ENDS)], wait=(n % 5) * 40 * MS, report=report))
+            relay.tick(relay.verdict(m.name, ENDS[(n + number) % len(ENDS)], wait=(n % 5) * 40 * MS, report=report))
         if n % 10 == 9:
-            relay.turn(io.Excluded(new, False), io.Lagging((n % 3) * MS))
+            relay.tick(io.Excluded(new, False), io.Lagging((n % 3) * MS))
     for _ in range(300):
         out = [m.name for m in relay.pacer.messages.values() if m.call is not None]
-        relay.turn(*[relay.verdict(name, io.Status.OK) for name in out], after=100 * MS)
+        relay.tick(*[relay.verdict(name, io.Status.OK) for name in out], after=100 * MS)
     assert not relay.pacer.messages
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -90,7 +90,7 @@
         if turn % 40 == 30:
             changed = entry("h0", dest=0, state=draw.choice(list(io.Availability)))
             events.append(io.Roster(io.ListScope.CHANGES, (changed,)))
-        relay.turn(*events, after=draw.choice([0, 10 * MS, S]))
+        relay.tick(*events, after=draw.choice([0, 10 * MS, S]))
         unfinished -= {a.call for a in relay.actions if isinstance(a, io.Refuse | io.Fail)}
     assert relay.pacer.pending_count <= chosen["limits"]["most_held"] and relay.pacer.pending_count <= len(unfinished)
 
@@ -98,7 +98,7 @@
 def test_a_relay_with_room_for_one_message_accepts_it() -> None:
     """Room reserved for new requests left none for the only message: each was refused in the tick of its arrival."""
     relay = Relay(entry("a"), limits={"most_held": 1})
-    relay.turn(relay.message())
+    relay.tick(relay.message())
     assert [send.call for send in relay.sends()] == ["m1"]
 
 
@@ -133,5 +133,5 @@
     pacer = relay.pacer
     assert pacer.discovery_schedule.next_call_at - 1000 * S <= within - 2 * S
     pacer.discovery_schedule.next_call_at = relay.now
-    relay.turn(io.Roster(io.ListScope.FAILED, ()))
+    relay.tick(io.Roster(io.ListScope.FAILED, ()))
     assert pacer.discovery_schedule.next_call_at - relay.now <= 4 * within - 2 * S
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -15,7 +15,7 @@
 
 from starlingwick import interface as io
 from starlingwick import wirehost
-from tests.helpers import MS, SAFE, TURNS, UNSAFE, Relay, S, entry
+from tests.helpers import MS, ORDERED, SAFE, UNSAFE, Relay, S, entry
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -107,11 +107,11 @@
         relay = Relay(entry("a"), entry("b"))
         seen: list[str] = []
         for n in range(60):
-            relay.turn(relay.message(n % 3), after=50 * MS)
+            relay.tick(relay.message(n % 3), after=50 * MS)
             seen += map(str, relay.actions)
             status = io.Status.FULL if n % 5 == 0 else io.Status.OK
             for send in relay.sends():
-                relay.turn(relay.verdict(send.call, status), after=10 * MS)
+                relay.tick(relay.verdict(send.call, status), after=10 * MS)
                 seen += map(str, relay.actions)
         return seen
 
@@ -141,7 +141,7 @@
                 assert action.call not in unsafe_ran
                 assert relay.now >= wait_until or not batch_start
                 assert relay.now < due[action.call]
-                if classes[action.call] == TURNS:
+                if classes[action.call] == ORDERED:
                     before = keyed[: keyed.index(action.call)]
                     assert all(name in ended and name not in outstanding for name in before)
                 outstanding[action.call] = action
@@ -154,12 +154,12 @@
     for what, which, gap in steps:
         relay.now += gap * MS
         if what < 5 or not outstanding:
-            klass = (SAFE, 1, UNSAFE, TURNS)[which % 4]
-            message = relay.message(klass, key="k" if klass == TURNS else None)
+            klass = (SAFE, 1, UNSAFE, ORDERED)[which % 4]
+            message = relay.message(klass, key="k" if klass == ORDERED else None)
             classes[message.call], due[message.call] = klass, relay.now + message.patience
-            if klass == TURNS:
+            if klass == ORDERED:
                 keyed.append(message.call)
-            relay.turn(message)
+            relay.tick(message)
         else:
             name = sorted(outstanding)[which % len(outstanding)]
             status = STATUSES[(which + what) % len(STATUSES)]
@@ -178,7 +178,7 @@
             wait = 500 * MS if status is io.Status.FULL and which % 2 else 0
             if wait:
                 wait_until = max(wait_until, relay.now + wait)
-            relay.turn(relay.verdict(name, status, wait=wait))
+            relay.tick(relay.verdict(name, status, wait=wait))
         check()
     for _ in range(len(outstanding)):
         name = next(iter(outstanding))
@@ -186,15 +186,15 @@
         relay.now = max(relay.now, due[name])
         if classes[name] == UNSAFE:
             unsafe_ran.add(name)
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT))
+        relay.tick(relay.verdict(name, io.Status.TIMEOUT))
         check()
         if not outstanding:
             break
-    relay.turn(after=21 * S)
+    relay.tick(after=21 * S)
     check()
     while outstanding:
         name, _ = outstanding.popitem()
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT), after=30 * S)
+        relay.tick(relay.verdict(name, io.Status.TIMEOUT), after=30 * S)
         check()
     assert set(classes) == ended
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -6,14 +6,14 @@
 
 from starlingwick import interface as io
 from starlingwick.control import CEILING_CUT_FACTOR, SUSPECT_FAILURE_SHARE
-from tests.helpers import MS, TURNS, UNSAFE, Relay, S, entry
+from tests.helpers import MS, ORDERED, UNSAFE, Relay, S, entry
 
 
 def refuse(relay: Relay, n: int) -> None:
-    relay.turn(*[relay.message() for _ in range(n)])
+    relay.tick(*[relay.message() for _ in range(n)])
     sent = relay.sends()
     assert len(sent) == n
-    relay.turn(*[relay.verdict(s.call, io.Status.FULL) for s in sent], after=50 * MS)
+    relay.tick(*[relay.verdict(s.call, io.Status.FULL) for s in sent], after=50 * MS)
 
 
 def test_three_refusals_cut_to_three_quarters_of_what_was_sent_and_two_do_not() -> None:
@@ -37,18 +37,18 @@
     dest = relay.pacer.routes[1][0]
     before = dest.ceiling
     assert before is not None
-    relay.turn(after=2 * S)
+    relay.tick(after=2 * S)
     assert dest.ceiling == pytest.approx(before + (10.0 - before) / 4)
     for _ in range(12):
-        relay.turn(relay.message(), after=2 * S)
+        relay.tick(relay.message(), after=2 * S)
         for send in relay.sends():
-            relay.turn(relay.verdict(send.call, io.Status.OK), after=10 * MS)
+            relay.tick(relay.verdict(send.call, io.Status.OK), after=10 * MS)
     assert dest.ceiling is None
 
 
 def test_concurrent_calls_before_a_cut_are_three_quarters_of_the_slots() -> None:
     relay = Relay(entry("a"), slots=7)
-    relay.turn(*[relay.message() for _ in range(20)])
+    relay.tick(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 5
 
 
@@ -73,11 +73,11 @@
     """Removed hosts and finished keys were kept forever."""
     relay = Relay(entry("h0", kind=1), rules={"turn_gap": S})
     for n in range(1, 200):
-        relay.turn(relay.message(TURNS, key=f"k{n}"), after=60 * S)
-        relay.turn(*[relay.verdict(s.call, io.Status.RESET) for s in relay.sends()], after=50 * MS)
+        relay.tick(relay.message(ORDERED, key=f"k{n}"), after=60 * S)
+        relay.tick(*[relay.verdict(s.call, io.Status.RESET) for s in relay.sends()], after=50 * MS)
         new, gone = entry(f"h{n}", kind=1), entry(f"h{n - 1}", kind=1, state=io.Availability.DELETED)
-        relay.turn(io.Roster(io.ListScope.CHANGES, (new, gone)))
-    relay.turn(after=30 * S)
+        relay.tick(io.Roster(io.ListScope.CHANGES, (new, gone)))
+    relay.tick(after=30 * S)
     pacer = relay.pacer
     assert len(pacer.hosts) == len(pacer.routes[1]) == 1
     assert len(pacer.blocked_keys) <= 2 and not pacer.key_queues and not pacer.messages and not pacer.dest_queues
@@ -85,9 +85,9 @@
 
 def test_host_that_returns_under_its_old_id_is_used_again() -> None:
     relay = Relay(entry("a"))
-    relay.turn(io.Roster(io.ListScope.WHOLE, ()), relay.message())
+    relay.tick(io.Roster(io.ListScope.WHOLE, ()), relay.message())
     assert relay.sends() == []
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry("a"),)), after=S)
+    relay.tick(io.Roster(io.ListScope.CHANGES, (entry("a"),)), after=S)
     assert [s.host for s in relay.sends()] == ["a"]
 
 
@@ -96,11 +96,11 @@
 
     def attempts(relays: int) -> int:
         relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True)
-        relay.turn(relay.message())
+        relay.tick(relay.message())
         count, spent = 1, io.Report(0.0, 6.0)
         for _ in range(150):
             refused = [relay.verdict(s.call, io.Status.FULL, report=spent) for s in relay.sends()]
-            relay.turn(*refused, after=100 * MS)
+            relay.tick(*refused, after=100 * MS)
             count += len(relay.sends())
         return count
 
@@ -110,8 +110,8 @@
 def test_a_half_remaining_limit_ends_the_backoff_and_a_missing_report_does_not() -> None:
     relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
     dest = relay.pacer.routes[1][0]
-    relay.turn(relay.message(), relay.message())
-    relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(0.0, 6.0)), after=50 * MS)
+    relay.tick(relay.message(), relay.message())
+    relay.tick(relay.verdict("m1", io.Status.FULL, report=io.Report(0.0, 6.0)), after=50 * MS)
     assert dest.backoff > 0
     relay.pacer.update_backoff(dest, False, None)
     assert dest.backoff > 0
@@ -121,14 +121,14 @@
 
 def test_message_that_cannot_be_attempted_in_time_is_refused_at_once() -> None:
     relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True, seed=2)
-    relay.turn(relay.message(patience=3 * S))
-    relay.turn(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
+    relay.tick(relay.message(patience=3 * S))
+    relay.tick(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"]
 
 
 def test_sends_to_one_host_share_a_call_as_far_as_the_kind_allows() -> None:
     relay = Relay(entry("a", kind=2), slots=4)
-    relay.turn(*[relay.message() for _ in range(20)])
+    relay.tick(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 12  # three calls of four
     assert len(relay.pacer.calls) == 3
 
@@ -136,17 +136,17 @@
 def test_subscription_is_requested_and_renewed() -> None:
     relay = Relay(entry("a"), discovery=io.Discovery.SUBSCRIBE)
     assert len(relay.of(io.Subscribe)) == 1
-    relay.turn(io.Roster(io.ListScope.FAILED, ()), after=100 * MS)
-    relay.turn(after=2 * S)
+    relay.tick(io.Roster(io.ListScope.FAILED, ()), after=100 * MS)
+    relay.tick(after=2 * S)
     assert len(relay.of(io.Subscribe)) == 1
-    relay.turn(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
-    relay.turn(after=30 * S)
+    relay.tick(io.Roster(io.ListScope.CHANGES, ()), after=100 * MS)
+    relay.tick(after=30 * S)
     assert relay.of(io.Subscribe) == []
 
 
 def test_full_relay_sheds_the_messages_that_earn_least() -> None:
     relay = Relay(entry("a"), limits={"most_held": 20}, tenant_rates=(2.0, 100.0))
-    relay.turn(*[relay.message(tenant=t) for t in [0] * 12 + [1] * 9])
+    relay.tick(*[relay.message(tenant=t) for t in [0] * 12 + [1] * 9])
     shed = {a.call for a in relay.of(io.Refuse)}
     assert shed and shed <= {f"m{i}" for i in range(3, 13)}  # beyond tenant 0's rate
 
@@ -157,7 +157,7 @@
     relay = Relay(entry("a"))
     relay.serve(5)
     for _ in range(6):
-        relay.turn(relay.message(), after=5 * S)
+        relay.tick(relay.message(), after=5 * S)
         relay.try_all(io.Status.FULL, 1)
         relay.try_all(io.Status.OK, 1)
     assert not relay.pacer.routes[1][0].in_outage
@@ -168,11 +168,11 @@
     starts = []
     for seed in range(30):
         relay = Relay(entry("a", rate=6.0), relays=30, listed_rates=True, seed=seed)
-        relay.turn(relay.message())
-        relay.turn(relay.verdict("m1", io.Status.FULL, wait=8 * S), after=50 * MS)
+        relay.tick(relay.message())
+        relay.tick(relay.verdict("m1", io.Status.FULL, wait=8 * S), after=50 * MS)
         opens_at = relay.now + 8 * S
         while not relay.sends():
-            relay.turn(after=100 * MS)
+            relay.tick(after=100 * MS)
         starts.append(relay.now - opens_at)
     rules = relay.settings.rules
     early = [t for t in starts if t < rules.fall]
@@ -188,11 +188,11 @@
     trials: list[int] = []
     for seed in range(relays):
         relay = Relay(entry("a", rate=6.0), relays=relays, listed_rates=True, seed=seed)
-        relay.turn(relay.message())
-        relay.turn(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
+        relay.tick(relay.message())
+        relay.tick(relay.verdict("m1", io.Status.CONNECT_FAILED), after=50 * MS)
         failed = relay.now
         while not relay.sends() and relay.now < failed + 18 * S:
-            relay.turn(after=100 * MS)
+            relay.tick(after=100 * MS)
         trials += [relay.now - failed] * len(relay.sends())
     rules = relay.settings.rules
     budget = rules.fall_multiple * rules.start_capacity * 6.0
@@ -212,7 +212,7 @@
 
 def test_routes_of_one_destination_share_its_slots() -> None:
     relay = Relay(entry("a", kind=1), entry("b", kind=1), slots=8)
-    relay.turn(*[relay.message() for _ in range(20)])
+    relay.tick(*[relay.message() for _ in range(20)])
     assert len(relay.sends()) == 6
 
 
@@ -228,10 +228,10 @@
     )
     relay.serve(5)
     assert set(relay.where.values()) == {"cheap"}
-    relay.turn(relay.message(), after=100 * MS)
+    relay.tick(relay.message(), after=100 * MS)
     assert [send.host for send in relay.sends()] == ["cheap"]  # enough slots: no fee is paid
-    relay.turn(relay.verdict("m6", io.Status.OK), after=100 * MS)
-    relay.turn(*[relay.message() for _ in range(5)], after=100 * MS)
+    relay.tick(relay.verdict("m6", io.Status.OK), after=100 * MS)
+    relay.tick(*[relay.message() for _ in range(5)], after=100 * MS)
     # One concurrent call: 10 calls a second, its share of 20, times 100 ms. Beyond that, the fee no longer matters.
     assert sorted(send.host for send in relay.sends()) == ["cheap", "cheap", "dear", "dear"]
 
@@ -241,11 +241,11 @@
     relay = Relay(entry("a"))
     relay.serve(5)
     dest = relay.pacer.routes[1][0]
-    relay.turn(*[relay.message() for _ in range(4)])
+    relay.tick(*[relay.message() for _ in range(4)])
     first, second, third, fourth = (send.call for send in relay.sends())
-    relay.turn(relay.verdict(first, io.Status.RESET), after=10 * MS)
+    relay.tick(relay.verdict(first, io.Status.RESET), after=10 * MS)
     assert 0 < dest.failure_share <= SUSPECT_FAILURE_SHARE
-    relay.turn(relay.verdict(second, io.Status.RESET), after=10 * MS)
+    relay.tick(relay.verdict(second, io.Status.RESET), after=10 * MS)
     assert dest.failure_share > SUSPECT_FAILURE_SHARE
 
 
@@ -254,12 +254,12 @@
     relay = Relay(entry("a"))
     relay.serve(5)
     dest = relay.pacer.routes[1][0]
-    relay.turn(relay.message())
+    relay.tick(relay.message())
     old = relay.sends()[0].call
-    relay.turn(relay.message(), after=50 * MS)
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK), after=50 * MS)
+    relay.tick(relay.message(), after=50 * MS)
+    relay.tick(relay.verdict(relay.sends()[0].call, io.Status.OK), after=50 * MS)
     failure_share = dest.failure_share
-    relay.turn(relay.verdict(old, status), after=S)
+    relay.tick(relay.verdict(old, status), after=S)
     assert dest.failure_share == failure_share
 
 
@@ -268,16 +268,16 @@
     nothing else for 12 s."""
     relay = Relay(entry("a"))
     relay.serve(20)
-    relay.turn(relay.message(UNSAFE))
+    relay.tick(relay.message(UNSAFE))
     assert len(relay.sends()) == 1
-    relay.turn(after=S)
+    relay.tick(after=S)
     dest = relay.pacer.routes[1][0]
     assert dest.failure_share > SUSPECT_FAILURE_SHARE and len(dest.calls) == 1
-    relay.turn(relay.message(), after=S)
+    relay.tick(relay.message(), after=S)
     for _ in range(20):
         if relay.sends():
             break
-        relay.turn(after=100 * MS)
+        relay.tick(after=100 * MS)
     assert relay.sends() and len(dest.calls) == 2
 
 
@@ -286,7 +286,7 @@
     relay = Relay(*[entry(name, dest=dest, rate=20.0) for dest, name in enumerate("abc", 1)], slots=4, listed_rates=True)
     for dest in (1, 2, 3):
         relay.serve(3, dest=dest)
-    relay.turn(*[relay.message(dest=dest) for dest in (1, 1, 1, 2, 2, 2, 3)], after=100 * MS)
+    relay.tick(*[relay.message(dest=dest) for dest in (1, 1, 1, 2, 2, 2, 3)], after=100 * MS)
     assert sorted(send.host for send in relay.sends()) == ["a", "a", "b", "c"]
 
 
@@ -300,21 +300,21 @@
     relay = Relay(entry("a", rate=agreed), listed_rates=True)
     relay.serve(3)
     dest = relay.pacer.routes[1][0]
-    relay.turn(relay.message(), after=100 * MS)
-    relay.turn(relay.verdict("m4", io.Status.OK, report=report), after=100 * MS)
+    relay.tick(relay.message(), after=100 * MS)
+    relay.tick(relay.verdict("m4", io.Status.OK, report=report), after=100 * MS)
     assert dest.rate_limit == agreed or agreed == 0 and dest.rate_limit == 900.0
     relay.serve(3)
-    relay.turn(relay.message(), after=100 * MS)
+    relay.tick(relay.message(), after=100 * MS)
     good = io.Report(0.5, 31.0)
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=good), after=100 * MS)
+    relay.tick(relay.verdict(relay.sends()[0].call, io.Status.OK, report=good), after=100 * MS)
     assert dest.rate_limit == 31.0
 
 
 def test_connection_that_is_not_needed_soon_is_closed() -> None:
     """Idle connections of many relays filled a host's connection table, which dropped them without notice (i8cfdde)."""
     many = Relay(entry("a"), relays=60)
-    many.turn(many.message())
-    many.turn(many.verdict("m1", io.Status.OK), after=100 * MS)
+    many.tick(many.message())
+    many.tick(many.verdict("m1", io.Status.OK), after=100 * MS)
     assert [a.host for a in many.of(io.Close)] == ["a"]
     few = Relay(entry("a"), relays=2)
     few.serve(5)
@@ -325,13 +325,13 @@
     """A shut destination with a limit refuses with x0 near 1; the refusals were attributed to the limit (h2e20b5)."""
     for remaining, shut in ((0.95, True), (0.0, False)):
         relay = Relay(entry("a", rate=6.0), relays=60, listed_rates=True)
-        relay.turn(relay.message())
+        relay.tick(relay.message())
         dest = relay.pacer.routes[1][0]
         refused = 0
         for _ in range(300):
             verdicts = [relay.verdict(s.call, io.Status.FULL, report=io.Report(remaining, 6.0)) for s in relay.sends()]
             refused += len(verdicts)
-            relay.turn(*verdicts, after=100 * MS)
+            relay.tick(*verdicts, after=100 * MS)
             if refused == 2:
                 break
         assert refused == 2 and (dest.failure_share > 0) is shut
@@ -342,8 +342,8 @@
 
     def first_backoff(remaining: float) -> float:
         relay = Relay(entry("a", rate=6.0), relays=300, listed_rates=True)
-        relay.turn(relay.message())
-        relay.turn(relay.verdict("m1", io.Status.FULL, report=io.Report(remaining, 6.0)), after=50 * MS)
+        relay.tick(relay.message())
+        relay.tick(relay.verdict("m1", io.Status.FULL, report=io.Report(remaining, 6.0)), after=50 * MS)
         return relay.pacer.routes[1][0].backoff
 
     assert first_backoff(0.0) > 2 * first_backoff(0.05)
@@ -352,7 +352,7 @@
 def test_refused_client_gets_a_retry_time_if_the_settings_allow() -> None:
     for retry_after in (True, False):
         relay = Relay(entry("a"), limits={"most_held": 20, "retry_after": retry_after})
-        relay.turn(*[relay.message() for _ in range(40)])
+        relay.tick(*[relay.message() for _ in range(40)])
         waits = [refusal.hold_off for refusal in relay.of(io.Refuse)]
         assert len(waits) >= 20
         assert all((0 < wait <= 2 * S) if retry_after else wait == 0 for wait in waits)
@@ -362,33 +362,33 @@
     """Refusals of new connections say nothing about the rate limit: concurrent calls are reduced, the rate is not."""
     relay = Relay(entry("a", rate=50.0), listed_rates=True)
     report = io.Report(left=0.9, limit=50.0)
-    relay.turn(relay.message())
-    relay.turn(relay.verdict("m1", io.Status.OK, report=report), after=100 * MS)
-    relay.turn(*[relay.message() for _ in range(6)])
+    relay.tick(relay.message())
+    relay.tick(relay.verdict("m1", io.Status.OK, report=report), after=100 * MS)
+    relay.tick(*[relay.message() for _ in range(6)])
     in_flight = [send.call for send in relay.sends()]
     assert len(in_flight) == 6
     for call in in_flight[3:]:
-        relay.turn(relay.verdict(call, io.Status.CROWDED))
+        relay.tick(relay.verdict(call, io.Status.CROWDED))
     dest, host = relay.pacer.hosts["a"]
     assert dest.ceiling is None and dest.refused_since is None and dest.failure_share == 0
     assert host.max_calls == 3 and host.calls == 3
-    relay.turn(*[relay.message() for _ in range(3)], after=10 * MS)
+    relay.tick(*[relay.message() for _ in range(3)], after=10 * MS)
     assert not relay.sends()
-    relay.turn(relay.verdict(in_flight[0], io.Status.OK, report=report))
+    relay.tick(relay.verdict(in_flight[0], io.Status.OK, report=report))
     assert len(relay.sends()) == 1  # replaces the call that was answered
     while in_flight := [m.name for m in relay.pacer.messages.values() if m.call is not None]:
-        relay.turn(relay.verdict(in_flight[0], io.Status.OK, report=report), after=10 * MS)
-    relay.turn(*[relay.message() for _ in range(6)], after=1100 * MS)
+        relay.tick(relay.verdict(in_flight[0], io.Status.OK, report=report), after=10 * MS)
+    relay.tick(*[relay.message() for _ in range(6)], after=1100 * MS)
     assert host.calls == 4  # one more than the table had room for is tried
-    relay.turn(relay.verdict(relay.sends()[0].call, io.Status.OK, report=report))
+    relay.tick(relay.verdict(relay.sends()[0].call, io.Status.OK, report=report))
     assert host.max_calls == 4 and host.calls == 5  # there was room, so the next one is tried
 
 
 def test_refusal_of_a_new_connection_counts_as_refusal_if_no_limit_was_reported() -> None:
     relay = Relay(entry("a"))
     for _ in range(4):
-        relay.turn(relay.message())
+        relay.tick(relay.message())
         for send in relay.sends():
-            relay.turn(relay.verdict(send.call, io.Status.CROWDED), after=10 * MS)
+            relay.tick(relay.verdict(send.call, io.Status.CROWDED), after=10 * MS)
     dest, _ = relay.pacer.hosts["a"]
     assert dest.refused_since is not None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,23 +6,23 @@
 from typing import Any
 
 from starlingwick import interface as io
-from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry, klass
+from tests.helpers import KEYED, MS, ORDERED, SAFE, UNSAFE, Relay, S, entry, klass
 
 
 def test_pending_message_ends_once_before_its_deadline() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(dest=9, patience=S))
+    relay.tick(relay.message(dest=9, patience=S))
     assert not relay.actions or isinstance(relay.actions[-1], io.Wake)
-    relay.turn(after=S - 2 * relay.settings.tick)
+    relay.tick(after=S - 2 * relay.settings.tick)
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"]
-    relay.turn(after=S)
+    relay.tick(after=S)
     assert relay.of(io.Refuse) == [] and relay.of(io.Fail) == []
 
 
 def test_time_out_of_the_last_attempt_ends_the_message_at_once() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(UNSAFE))
-    relay.turn(relay.verdict("m1", io.Status.TIMEOUT), after=20 * S)
+    relay.tick(relay.message(UNSAFE))
+    relay.tick(relay.verdict("m1", io.Status.TIMEOUT), after=20 * S)
     assert [a.call for a in relay.of(io.Fail)] == ["m1"]
     assert relay.of(io.Refuse) == []
 
@@ -30,69 +30,69 @@
 def test_unsafe_message_that_may_have_run_is_failed_never_sent_or_refused() -> None:
     for status in (io.Status.ERROR, io.Status.TIMEOUT, io.Status.RESET, io.Status.CANCELLED):
         relay = Relay(entry("a"), entry("b"))
-        relay.turn(relay.message(UNSAFE))
-        relay.turn(relay.verdict("m1", status), after=S)
+        relay.tick(relay.message(UNSAFE))
+        relay.tick(relay.verdict("m1", status), after=S)
         assert [a.call for a in relay.of(io.Fail)] == ["m1"], status
         assert relay.sends() == [] and relay.of(io.Refuse) == []
 
 
 def test_unsafe_message_known_not_to_have_run_is_sent_again() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(UNSAFE))
-    relay.turn(relay.verdict("m1", io.Status.FULL), after=50 * MS)
+    relay.tick(relay.message(UNSAFE))
+    relay.tick(relay.verdict("m1", io.Status.FULL), after=50 * MS)
     seen = []
     for _ in range(30):
-        relay.turn(after=100 * MS)
+        relay.tick(after=100 * MS)
         seen += [s.call for s in relay.sends()]
     assert seen == ["m1"]
 
 
 def test_keyed_message_is_not_sent_after_its_window() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(KEYED))
-    relay.turn(relay.verdict("m1", io.Status.TIMEOUT), after=11 * S)
+    relay.tick(relay.message(KEYED))
+    relay.tick(relay.verdict("m1", io.Status.TIMEOUT), after=11 * S)
     assert relay.sends() == []
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"]
 
 
 def test_keyed_message_stays_in_its_zone_once_it_may_have_run() -> None:
     relay = Relay(entry("a", zone=0), entry("b", zone=1), classes=(klass(io.Repeat.KEYED, io.Scope.ZONE),))
-    relay.turn(relay.message())
+    relay.tick(relay.message())
     first = relay.sends()[0].host
-    relay.turn(relay.verdict("m1", io.Status.RESET), after=100 * MS)
+    relay.tick(relay.verdict("m1", io.Status.RESET), after=100 * MS)
     again = []
     for _ in range(95):
-        relay.turn(after=100 * MS)
+        relay.tick(after=100 * MS)
         again += [s.host for s in relay.sends()]
     assert again == [first]
 
 
 def test_nothing_is_sent_to_a_draining_or_removed_host() -> None:
     relay = Relay(entry("a"))
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry("a", state=io.Availability.STOPPING),)), relay.message())
+    relay.tick(io.Roster(io.ListScope.CHANGES, (entry("a", state=io.Availability.STOPPING),)), relay.message())
     assert relay.sends() == []
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry("a"),)))
+    relay.tick(io.Roster(io.ListScope.CHANGES, (entry("a"),)))
     assert [s.host for s in relay.sends()] == ["a"]
-    relay.turn(io.Roster(io.ListScope.WHOLE, (entry("b"),)), relay.message())
+    relay.tick(io.Roster(io.ListScope.WHOLE, (entry("b"),)), relay.message())
     assert [s.host for s in relay.sends()] == ["b"]
 
 
 def test_destination_in_an_outage_gets_one_trial_at_a_time_then_a_ramp() -> None:
     relay = Relay(entry("a"))
     relay.serve(40)
-    relay.turn(*[relay.message() for _ in range(40)])
+    relay.tick(*[relay.message() for _ in range(40)])
     relay.try_all(io.Status.ERROR, 12)
     calls = relay.pacer.routes[1][0].calls
     for _ in range(50):
-        relay.turn(after=100 * MS)
+        relay.tick(after=100 * MS)
         # An overdue call does not block a trial.
         assert sum(not call.counted_overdue for call in calls) <= 1 and len(calls) <= 2
     sent_at: list[int] = []
     for _ in range(200):
         for m in [m for m in relay.pacer.messages.values() if m.call is not None]:
-            relay.turn(relay.verdict(m.name, io.Status.OK), after=10 * MS)
+            relay.tick(relay.verdict(m.name, io.Status.OK), after=10 * MS)
             sent_at += [relay.now] * len(relay.sends())
-        relay.turn(after=50 * MS)
+        relay.tick(after=50 * MS)
         sent_at += [relay.now] * len(relay.sends())
     rules = relay.settings.rules
     before = 40 / 8  # messages served a second before the outage
@@ -103,48 +103,48 @@
 
 def test_messages_of_one_key_go_one_at_a_time_in_order() -> None:
     relay = Relay(entry("a"), entry("b"), rules={"turn_gap": S})
-    relay.turn(relay.message(TURNS, key="k"), relay.message(TURNS, key="k"), relay.message(TURNS, key="other"))
+    relay.tick(relay.message(ORDERED, key="k"), relay.message(ORDERED, key="k"), relay.message(ORDERED, key="other"))
     assert [s.call for s in relay.sends()] == ["m1", "m3"]
-    relay.turn(io.Withdrawn("m1"), after=100 * MS)
+    relay.tick(io.Withdrawn("m1"), after=100 * MS)
     assert relay.sends() == []  # its attempt is still in flight
-    relay.turn(relay.verdict("m1", io.Status.CANCELLED), after=100 * MS)
+    relay.tick(relay.verdict("m1", io.Status.CANCELLED), after=100 * MS)
     assert relay.sends() == []  # the key is blocked
-    relay.turn(after=S)
+    relay.tick(after=S)
     assert [s.call for s in relay.sends()] == ["m2"]
 
 
 def test_requested_wait_applies_to_every_message_and_probe() -> None:
     relay = Relay(entry("a"), entry("b"))
-    relay.turn(relay.message(), relay.message())
-    relay.turn(relay.verdict("m1", io.Status.FULL, wait=900 * MS), relay.message(), after=50 * MS)
+    relay.tick(relay.message(), relay.message())
+    relay.tick(relay.verdict("m1", io.Status.FULL, wait=900 * MS), relay.message(), after=50 * MS)
     requested_at = relay.now
     while relay.now + 50 * MS < requested_at + 900 * MS:
-        relay.turn(relay.message(), after=50 * MS)
+        relay.tick(relay.message(), after=50 * MS)
         assert relay.sends() == [] and relay.of(io.Probe) == []
-    relay.turn(relay.verdict("m2", io.Status.OK), after=100 * MS)
+    relay.tick(relay.verdict("m2", io.Status.OK), after=100 * MS)
     sent = relay.sends()
-    relay.turn(after=500 * MS)
+    relay.tick(after=500 * MS)
     assert sent or relay.sends()
 
 
 def test_wait_reported_to_a_later_message_of_a_call_applies_too() -> None:
     """Each message of a call has its own outcome, and a wait in any of them counts."""
     relay = Relay(entry("a", kind=2))
-    relay.turn(relay.message(), relay.message())
+    relay.tick(relay.message(), relay.message())
     assert len(relay.sends()) == 2
-    relay.turn(relay.verdict("m1", io.Status.FULL, wait=300 * MS), after=50 * MS)
-    relay.turn(relay.verdict("m2", io.Status.FULL, wait=300 * MS), after=200 * MS)
-    relay.turn(after=200 * MS)
+    relay.tick(relay.verdict("m1", io.Status.FULL, wait=300 * MS), after=50 * MS)
+    relay.tick(relay.verdict("m2", io.Status.FULL, wait=300 * MS), after=200 * MS)
+    relay.tick(after=200 * MS)
     assert relay.sends() == []
 
 
 def test_safe_message_is_tried_again_after_an_error() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(SAFE))
-    relay.turn(relay.verdict("m1", io.Status.ERROR), after=50 * MS)
+    relay.tick(relay.message(SAFE))
+    relay.tick(relay.verdict("m1", io.Status.ERROR), after=50 * MS)
     seen = []
     for _ in range(100):
-        relay.turn(after=100 * MS)
+        relay.tick(after=100 * MS)
         seen += [s.call for s in relay.sends()]
     assert seen == ["m1"]
 
@@ -153,9 +153,9 @@
     """A clock that rounds down fired an alarm 1 ns early; it was not requested again, and a message ended late
     (h0a7f9b)."""
     relay = Relay(entry("a"))
-    relay.turn(relay.message(dest=9, patience=S))
+    relay.tick(relay.message(dest=9, patience=S))
     wake = relay.of(io.Wake)[-1]
-    relay.turn(io.Alarm(wake.token), after=wake.after - 1)
+    relay.tick(io.Alarm(wake.token), after=wake.after - 1)
     assert [a.after for a in relay.of(io.Wake)] == [1]
 
 
@@ -177,7 +177,7 @@
     )
     for event, kind in cases:
         relay = Relay(entry("a"))
-        relay.turn(event)
+        relay.tick(event)
         assert [type(a) for a in relay.actions if not isinstance(a, io.Wake)] == [kind], event
 
 
@@ -185,13 +185,13 @@
     classes = (klass(io.Repeat.KEYED, io.Scope.ZONE),)
     for zone, host in ((0, "a"), (1, "b")):
         relay = Relay(entry("a", zone=0), entry("b", zone=1), classes=classes)
-        relay.turn(recovered("m", 0, attempts=1, ran_ago=S, ran_zone=zone))
+        relay.tick(recovered("m", 0, attempts=1, ran_ago=S, ran_zone=zone))
         assert [s.host for s in relay.sends()] == [host]
 
 
 def test_message_without_room_in_the_journal_is_refused_and_not_kept() -> None:
     relay = Relay(entry("a"))
-    relay.turn(replace(relay.message(), storable=False))
+    relay.tick(replace(relay.message(), storable=False))
     assert [a.call for a in relay.of(io.Refuse)] == ["m1"] and relay.sends() == []
     assert relay.pacer.messages == {} and relay.pacer.pending_count == 0
 
@@ -199,43 +199,43 @@
 def test_nothing_is_sent_that_the_end_of_the_process_might_cut_off() -> None:
     relay = Relay(entry("a"))
     relay.serve(3)  # mean response time 100 ms: 400 ms suffice for most calls
-    relay.turn(io.Stopping(relay.now + S))
-    relay.turn(relay.message(UNSAFE), after=500 * MS)
+    relay.tick(io.Stopping(relay.now + S))
+    relay.tick(relay.message(UNSAFE), after=500 * MS)
     assert len(relay.sends()) == 1
-    relay.turn(relay.message(UNSAFE), after=200 * MS)
+    relay.tick(relay.message(UNSAFE), after=200 * MS)
     assert relay.sends() == [] and relay.of(io.Refuse) == [] and relay.of(io.Fail) == []
 
 
 def test_final_check_stops_a_call_after_a_change_of_its_host_or_deadline() -> None:
     relay = Relay(entry("a"), entry("b"))
-    relay.turn(relay.message())
+    relay.tick(relay.message())
     host = relay.sends()[0].host
     assert relay.pacer.clear_to_send(relay.now, "m1", host)
     assert relay.pacer.clear_to_send(relay.now, None, host)
     assert not relay.pacer.clear_to_send(relay.now + 20 * S, "m1", host)
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry(host, state=io.Availability.STOPPING),)))
+    relay.tick(io.Roster(io.ListScope.CHANGES, (entry(host, state=io.Availability.STOPPING),)))
     assert not relay.pacer.clear_to_send(relay.now, "m1", host)
     assert not relay.pacer.clear_to_send(relay.now, None, host)
-    relay.turn(io.Roster(io.ListScope.CHANGES, (entry(host, state=io.Availability.DELETED),)))
+    relay.tick(io.Roster(io.ListScope.CHANGES, (entry(host, state=io.Availability.DELETED),)))
     assert not relay.pacer.clear_to_send(relay.now, "m1", host)
 
 
 def test_final_check_observes_a_wait_reported_to_another_call() -> None:
     relay = Relay(entry("a"))
     relay.serve(2)
-    relay.turn(relay.message(), relay.message())
+    relay.tick(relay.message(), relay.message())
     assert len(relay.sends()) == 2
     first, second = (s.call for s in relay.sends())
-    relay.turn(relay.verdict(first, io.Status.FULL, wait=S))
+    relay.tick(relay.verdict(first, io.Status.FULL, wait=S))
     assert not relay.pacer.clear_to_send(relay.now, second, "a")
     assert relay.pacer.clear_to_send(relay.now + S, second, "a")
 
 
 def test_abandoned_attempt_did_not_run_and_is_repeated() -> None:
     relay = Relay(entry("a"))
-    relay.turn(relay.message(UNSAFE))
-    relay.turn(relay.verdict("m1", io.Status.ABANDONED), after=50 * MS)
-    relay.turn(after=S)
+    relay.tick(relay.message(UNSAFE))
+    relay.tick(relay.verdict("m1", io.Status.ABANDONED), after=50 * MS)
+    relay.tick(after=S)
     assert [s.call for s in relay.sends()] == ["m1"]
 
 
@@ -243,16 +243,16 @@
     """Three ticks pass between a deadline and the answer, more than the answer slack of the rules covers."""
     relay = Relay(entry("a", state=io.Availability.STOPPING), rules={"answer_slack": 250 * MS})
     pending = relay.message(patience=5 * S)
-    relay.turn(pending)
-    relay.turn(io.Lagging(150 * MS), relay.message(patience=5 * S), after=4 * S)
+    relay.tick(pending)
+    relay.tick(io.Lagging(150 * MS), relay.message(patience=5 * S), after=4 * S)
     assert not relay.of(io.Refuse)  # the lag is within what clients wait for
-    relay.turn(after=789 * MS)
+    relay.tick(after=789 * MS)
     assert not relay.of(io.Refuse)
-    relay.turn(after=2 * MS)  # 3 * 150 - 250 = 200 ms earlier, and two ticks
+    relay.tick(after=2 * MS)  # 3 * 150 - 250 = 200 ms earlier, and two ticks
     assert [a.call for a in relay.of(io.Refuse)] == [pending.call]
     late = relay.message()
-    relay.turn(io.Lagging(300 * MS), late)
+    relay.tick(io.Lagging(300 * MS), late)
     assert late.call in [a.call for a in relay.of(io.Refuse)] and late.call not in relay.pacer.messages
     accepted = relay.message()
-    relay.turn(io.Lagging(0), accepted)
+    relay.tick(io.Lagging(0), accepted)
     assert accepted.call in relay.pacer.messages
