--- a/starlingwick/control.py
+++ b/starlingwick/control.py
@@ -132,8 +132,8 @@
                     self.dirty.update(dict.fromkeys(self.dest_queues.values()))
                 case io.Lagging():
                     if (event.lag > MAX_LOOP_LAG_NS) != (self.loop_lag > MAX_LOOP_LAG_NS):
-                        says = "newcomers are refused" if event.lag > MAX_LOOP_LAG_NS else "it keeps up again"
-                        self.log(f"loop lags by {event.lag / SECOND:.2f} s: {says}")
+                        text = "newcomers are refused" if event.lag > MAX_LOOP_LAG_NS else "it keeps up again"
+                        self.log(f"loop lags by {event.lag / SECOND:.2f} s: {text}")
                     self.loop_lag = event.lag
                 case io.Withdrawn():
                     if event.call in self.messages:
@@ -432,8 +432,8 @@
 
     def end(self, m: Message, retry_at: int = 0, ran: bool = False) -> None:
         """End a message: refused where that is allowed, otherwise failed. Every message that this relay gives
-        up ends here. The answer goes out at once and is never delayed to keep the client away; the client is
-        told when to come again if that is known."""
+        up ends here. The answer is sent at once and never delayed to keep the client away; it includes a
+        retry time if one is known."""
         if m.ended:
             return
         hold_off = self.hold_off(retry_at - self.now)
@@ -648,7 +648,7 @@
             )
         elif status in (io.Status.FULL, io.Status.CROWDED):
             self.on_refused(call, wait, remaining)
-        elif status is io.Status.SPOILT:  # an answer, so earlier calls are overtaken; says nothing of health
+        elif status is io.Status.SPOILT:  # an answer, so earlier calls are overtaken; no evidence on health
             host.last_ok_sent = max(host.last_ok_sent, call.sent_at)
         elif status not in (io.Status.CANCELLED, io.Status.MOOT, io.Status.ABANDONED):
             # If a call that was sent later has been answered, the connection failed and not the host.
@@ -673,7 +673,7 @@
         dest.remaining /= 2  # the last report is too high by now
         if dest.refused_since is None:
             dest.refused_since = self.now
-        if call.sent_at >= dest.ceiling_cut_at:  # calls sent before a cut say nothing of the new ceiling
+        if call.sent_at >= dest.ceiling_cut_at:  # calls sent before a cut give no evidence on the new ceiling
             dest.refusals.append(self.now)
         while dest.refusals and dest.refusals[0] <= self.now - REFUSAL_WINDOW_NS:
             dest.refusals.popleft()
@@ -690,7 +690,7 @@
             self.update_backoff(dest, True, remaining)
             dest.backoff_until += wait
         # A requested wait that is longer than a spent limit explains means that the destination is shut and
-        # says when it opens. Without one, refusals that continue while the limit has room mean the same.
+        # reports when it opens. Without one, refusals that continue while the limit has room mean the same.
         if wait > REFUSAL_WINDOW_NS:
             self.estimate_warm_rate(dest, dest.refused_since)
             dest.last_failure_at = dest.ramp_from = self.now + wait
--- a/starlingwick/queues.py
+++ b/starlingwick/queues.py
@@ -2,7 +2,7 @@
 
 They decide nothing, read no clock and do no I/O. Without them, each tick would walk over all pending
 messages. ``DestinationQueue`` keeps the messages that wait for one destination, in order of deadline.
-``TimerQueue`` tells which items are due. ``Ranking`` finds the item with the least key although keys age.
+``TimerQueue`` returns the items that are due. ``Ranking`` finds the item with the least key, though keys age.
 """
 
 from __future__ import annotations
--- a/tests/corpus/world.py
+++ b/tests/corpus/world.py
@@ -178,16 +178,16 @@
         self.count = 0
         self.made = 0
         self.attempts: dict[str, int] = {}
-        self.servers: dict[str, Endpoint] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.weights: list[float] = []
-        self._draw_servers()
+        self._draw_endpoints()
         self._draw_traffic()
 
     def at(self, when: int, event: io.Event) -> None:
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, event))
 
-    def _draw_servers(self) -> None:
+    def _draw_endpoints(self) -> None:
         s, draw = self.scenario, self.random
         for dest in range(s.dests):
             kind = 1 if draw.random() < s.apart else 0
@@ -200,27 +200,27 @@
             self.weights.append(1 / (dest + 1))
             for n in range(draw.choice([1, 2, 2, 3])):
                 entry = io.HostEntry(f"h{dest}.{n}", n % 2, kind, dest, io.Availability.RUNNING, limit)
-                self.servers[entry.host] = Endpoint(
+                self.endpoints[entry.host] = Endpoint(
                     entry, draw.uniform(0.05, 0.4), limit, trouble, begins, begins + round(draw.uniform(2, 7) * S)
                 )
-        self.at(START, io.Roster(io.ListScope.WHOLE, tuple(v.entry for v in self.servers.values())))
+        self.at(START, io.Roster(io.ListScope.WHOLE, tuple(v.entry for v in self.endpoints.values())))
         if s.drains:
-            for name in draw.sample(sorted(self.servers), max(2, len(self.servers) // 4)):
-                self._draw_drain(self.servers[name])
+            for name in draw.sample(sorted(self.endpoints), max(2, len(self.endpoints) // 4)):
+                self._draw_drain(self.endpoints[name])
         if s.stops:
             when = START + round(0.7 * s.seconds * S)
             self.at(when, io.Stopping(when + 3 * S))
 
-    def _draw_drain(self, server: Endpoint) -> None:
+    def _draw_drain(self, endpoint: Endpoint) -> None:
         when = START + round(self.random.uniform(0.1, 0.8) * self.scenario.seconds * S)
-        old = server.entry
+        old = endpoint.entry
         stopping = dataclasses.replace(old, availability=io.Availability.STOPPING)
         deleted = dataclasses.replace(old, availability=io.Availability.DELETED)
         new = dataclasses.replace(old, host=old.host + "n")
         self.at(when, io.Roster(io.ListScope.CHANGES, (stopping,)))
         self.at(when + 2 * S, io.Roster(io.ListScope.CHANGES, (new,)))
         self.at(when + 4 * S, io.Roster(io.ListScope.CHANGES, (deleted,)))
-        self.servers[new.host] = dataclasses.replace(server, entry=new)
+        self.endpoints[new.host] = dataclasses.replace(endpoint, entry=new)
 
     def _name(self) -> str:
         self.made += 1
@@ -274,20 +274,20 @@
                     self.attempts[action.call] = self.attempts.get(action.call, -1) + 1
                     calls.setdefault(action.host, []).append(action)
                 case io.Probe(host, stop_at):
-                    status, took, _ = self._answer(now, self.servers[host], stop_at)
+                    status, took, _ = self._answer(now, self.endpoints[host], stop_at)
                     self.at(now + took, io.Probed(host, status, took, None))
                 case io.Wake(after, token):
                     self.at(now + after, io.Alarm(token))
         for host, sends in calls.items():
             size = self.scenario.per_call
             for first in range(0, len(sends), size):
-                self._call(now, self.servers[host], sends[first : first + size])
+                self._call(now, self.endpoints[host], sends[first : first + size])
 
-    def _call(self, now: int, server: Endpoint, sends: list[io.Send]) -> None:
-        status, took, wait = self._answer(now, server, min(send.stop_at for send in sends))
+    def _call(self, now: int, endpoint: Endpoint, sends: list[io.Send]) -> None:
+        status, took, wait = self._answer(now, endpoint, min(send.stop_at for send in sends))
         report = None
-        if server.limit and self.random.random() < 0.7:
-            report = io.Report(max(0.0, server.allowance / (2 * server.limit)), server.limit)
+        if endpoint.limit and self.random.random() < 0.7:
+            report = io.Report(max(0.0, endpoint.allowance / (2 * endpoint.limit)), endpoint.limit)
         for send in sends:
             self.at(
                 now + took,
@@ -304,14 +304,14 @@
                 ),
             )
 
-    def _answer(self, now: int, server: Endpoint, stop_at: int) -> tuple[io.Status, int, int]:
+    def _answer(self, now: int, endpoint: Endpoint, stop_at: int) -> tuple[io.Status, int, int]:
         """Outcome, nanoseconds until it arrives, requested wait."""
         draw = self.random
-        took = round(draw.lognormvariate(0, 0.4) * server.pace * S)
-        active_trouble = server.trouble if server.begins <= now < server.ends else ""
+        took = round(draw.lognormvariate(0, 0.4) * endpoint.pace * S)
+        active_trouble = endpoint.trouble if endpoint.begins <= now < endpoint.ends else ""
         match active_trouble:
             case "shut":
-                return io.Status.FULL, 20 * MS, server.ends - now if draw.random() < 0.4 else 0
+                return io.Status.FULL, 20 * MS, endpoint.ends - now if draw.random() < 0.4 else 0
             case "hang":
                 return io.Status.TIMEOUT, max(1, stop_at - now), 0
             case "errors" if draw.random() < 0.8:
@@ -320,13 +320,13 @@
                 return io.Status.RESET, took, 0
         if draw.random() < 0.005:
             return draw.choice([io.Status.MOOT, io.Status.ABANDONED]), MS, 0
-        if server.limit:
-            gained = (now - server.counted_at) * server.limit / S
-            server.allowance = min(2 * server.limit, server.allowance + gained)
-            server.counted_at = now
-            server.allowance -= 1
-            if server.allowance < 0:
-                server.allowance = max(server.allowance, -2.0)
+        if endpoint.limit:
+            gained = (now - endpoint.counted_at) * endpoint.limit / S
+            endpoint.allowance = min(2 * endpoint.limit, endpoint.allowance + gained)
+            endpoint.counted_at = now
+            endpoint.allowance -= 1
+            if endpoint.allowance < 0:
+                endpoint.allowance = max(endpoint.allowance, -2.0)
                 wait_requested = draw.random() < 0.5
                 return io.Status.FULL, 20 * MS, round(draw.uniform(0.2, 0.9) * S) if wait_requested else 0
         if now + took > stop_at:
@@ -371,15 +371,15 @@
 
 def record(scenario: Scenario, path: Path) -> int:
     """Run a scenario and record each tick: time, events, actions. Returns the number of ticks."""
-    simulation, pacer, turns = Simulation(scenario), Pacer(settings(scenario), scenario.seed), 0
+    simulation, pacer, ticks = Simulation(scenario), Pacer(settings(scenario), scenario.seed), 0
     with gzip.GzipFile(path, "wb", mtime=0) as file:
         for now, events in simulation.batches():
             actions = pacer.handle(now, events)
             simulation.carry_out(now, actions)
             line = [now, list(map(encode, events)), list(map(encode, actions))]
             file.write(json.dumps(line, separators=(",", ":")).encode() + b"\n")
-            turns += 1
-    return turns
+            ticks += 1
+    return ticks
 
 
 def worth_delivered(scenario: Scenario) -> float:
@@ -406,7 +406,7 @@
 def main() -> None:
     folder = Path(sys.argv[1])
     for scenario in SCENARIOS:
-        print(scenario.name, record(scenario, folder / f"{scenario.name}.jsonl.gz"), "turns")
+        print(scenario.name, record(scenario, folder / f"{scenario.name}.jsonl.gz"), "ticks")
     worth = {scenario.name: round(worth_delivered(scenario), 4) for scenario in SCENARIOS + LARGE}
     (folder / "worth.json").write_text(json.dumps(worth, indent=1) + "\n")
 
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -131,12 +131,12 @@
 def test_new_configurations_in_a_row_cause_calls_at_a_bounded_rate_without_postponement() -> None:
     """Each caused a call at once: four from each relay were more than discovery could answer."""
     relay = Relay(entry("a"), relays=6, discovery=io.Discovery.SUBSCRIBE)
-    asked: list[int] = []
+    call_times: list[int] = []
     for _ in range(200):
         relay.tick(io.WatchMissing(), after=50 * MS)
         if relay.of(io.Subscribe):
-            asked.append(relay.now)
-    gaps_between = [later - sooner for sooner, later in itertools.pairwise(asked)]
+            call_times.append(relay.now)
+    gaps_between = [later - sooner for sooner, later in itertools.pairwise(call_times)]
     assert min(gaps_between) >= 250 * MS
     assert max(gaps_between) <= S
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -163,11 +163,11 @@
         """Return this outcome for every attempt until ``n`` attempts have ended."""
         done = 0
         for _ in range(400):
-            out = [m.name for m in self.pacer.messages.values() if m.call is not None]
+            in_flight = [m.name for m in self.pacer.messages.values() if m.call is not None]
             if done >= n:
                 return
-            if out:
-                self.tick(self.verdict(out[0], status, wait), after=10 * MS)
+            if in_flight:
+                self.tick(self.verdict(in_flight[0], status, wait), after=10 * MS)
                 done += 1
             else:
                 self.tick(after=100 * MS)
--- a/tests/scale/test_pacer_scale.py
+++ b/tests/scale/test_pacer_scale.py
@@ -27,12 +27,12 @@
 def delivery_work(driven: Driven) -> int:
     """Function calls for a message that arrives, is sent and is answered."""
 
-    def life() -> None:
+    def deliver() -> None:
         actions = driven.turn(io.Arrived("m1", 0, 1, 7, None, 8 * SECOND))
         send = next(action for action in actions if isinstance(action, io.Send))
         driven.turn(io.Verdict("m1", 0, send.host, io.Status.OK, 20_000_000, True, 0, False, None))
 
-    return calls(life)
+    return calls(deliver)
 
 
 def test_a_changed_entry_and_a_message_cost_the_same_with_ten_times_the_destinations() -> None:
--- a/tests/test_corpus.py
+++ b/tests/test_corpus.py
@@ -42,10 +42,10 @@
     )
     pacer = Pacer(settings(scenario), scenario.seed)
     with gzip.open(FOLDER / f"{scenario.name}.jsonl.gz") as file:
-        for turn, line in enumerate(file):
+        for tick, line in enumerate(file):
             now, events, actions = json.loads(line)
             decided = pacer.handle(now, map(decode, events))
-            assert decisions(decided) == decisions([decode(a) for a in actions]), f"turn {turn} at {now}"
+            assert decisions(decided) == decisions([decode(a) for a in actions]), f"tick {tick} at {now}"
 
 
 WORTH = json.loads((FOLDER / "worth.json").read_text())
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -73,7 +73,7 @@
     relay = Relay(*hosts, **chosen)
     statuses = list(io.Status)
     unfinished: set[str] = set()
-    for turn in range(120):
+    for tick in range(120):
         events: list[io.Event] = []
         for m in list(relay.pacer.messages.values()):
             if m.call is not None and draw.random() < 0.5:
@@ -85,9 +85,9 @@
             patience = draw.choice([1, chosen["classes"][klass].deadline])
             events.append(relay.message(klass, draw.randrange(3), draw.choice([None, "k1", "k2"]), 0, patience))
             unfinished.add(events[-1].call)  # type: ignore[union-attr]
-        if turn % 40 == 20:
+        if tick % 40 == 20:
             events.append(io.Roster(io.ListScope.FAILED, ()))
-        if turn % 40 == 30:
+        if tick % 40 == 30:
             changed = entry("h0", dest=0, state=draw.choice(list(io.Availability)))
             events.append(io.Roster(io.ListScope.CHANGES, (changed,)))
         relay.tick(*events, after=draw.choice([0, 10 * MS, S]))
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -220,20 +220,20 @@
     """All messages took the routes without a fee, which therefore answered three times as slowly and occupied all slots,
     while the routes with a fee were idle."""
     relay = Relay(
-        entry("cheap", kind=1, zone=0, rate=20.0),
-        entry("dear", kind=1, zone=1, rate=20.0),
+        entry("free", kind=1, zone=0, rate=20.0),
+        entry("paid", kind=1, zone=1, rate=20.0),
         slots=6,
         listed_rates=True,
         zone_fees=(0.0, 0.03),
     )
     relay.serve(5)
-    assert set(relay.where.values()) == {"cheap"}
+    assert set(relay.where.values()) == {"free"}
     relay.tick(relay.message(), after=100 * MS)
-    assert [send.host for send in relay.sends()] == ["cheap"]  # enough slots: no fee is paid
+    assert [send.host for send in relay.sends()] == ["free"]  # enough slots: no fee is paid
     relay.tick(relay.verdict("m6", io.Status.OK), after=100 * MS)
     relay.tick(*[relay.message() for _ in range(5)], after=100 * MS)
     # One concurrent call: 10 calls a second, its share of 20, times 100 ms. Beyond that, the fee no longer matters.
-    assert sorted(send.host for send in relay.sends()) == ["cheap", "cheap", "dear", "dear"]
+    assert sorted(send.host for send in relay.sends()) == ["free", "free", "paid", "paid"]
 
 
 def test_one_broken_connection_does_not_make_a_suspect() -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -53,20 +53,20 @@
 
 def test_tick_does_no_more_work_for_messages_of_other_destinations(counts: Counter[str]) -> None:
     done = []
-    for held in (100, 5_000):
+    for pending in (100, 5_000):
         bed = Bed(26)
         bed.shut(0)
-        bed.hold(0, held)
+        bed.hold(0, pending)
         done.append(work(counts, life(bed, range(1, 26)), 50))
     assert done[0] == done[1]
 
 
 def test_tick_does_no_more_work_for_more_messages_in_the_same_queue(counts: Counter[str]) -> None:
     done = []
-    for held in (100, 5_000):
+    for pending in (100, 5_000):
         bed = Bed(26, slots=32)
         in_flight = sends(bed.turn(*[bed.message(0) for _ in range(100)]))
-        bed.hold(0, held)
+        bed.hold(0, pending)
 
         def step(n: int, bed: Bed = bed, in_flight: list[io.Send] = in_flight) -> None:
             in_flight.extend(sends(bed.turn(bed.answer(in_flight.pop(0)), bed.message(0))))
@@ -88,17 +88,17 @@
 
 def test_shedding_does_no_more_work_with_more_pending_messages(counts: Counter[str]) -> None:
     done = []
-    for held in (260, 5_200):
-        bed = Bed(26, held=held)
+    for pending in (260, 5_200):
+        bed = Bed(26, held=pending)
         for dest in range(26):
             bed.shut(dest)
-            bed.hold(dest, held // 26 + 1)
+            bed.hold(dest, pending // 26 + 1)
 
         def step(n: int, bed: Bed = bed) -> None:
             bed.turn(bed.message(n % 26))
 
         done.append(work(counts, step, 50))
-        assert bed.pacer.pending_count <= held
+        assert bed.pacer.pending_count <= pending
     assert done[1] <= 1.5 * done[0]
 
 
@@ -123,7 +123,7 @@
     for dest in range(26):
         bed.shut(dest)
         bed.hold(dest, 100)
-    held = set(bed.pacer.messages)
+    pending = set(bed.pacer.messages)
     bed.now += 60 * SECOND
     ended = [a.call for a in bed.turn() if isinstance(a, io.Refuse | io.Fail)]
-    assert sorted(ended) == sorted(held) and not bed.pacer.messages and not bed.pacer.dest_queues
+    assert sorted(ended) == sorted(pending) and not bed.pacer.messages and not bed.pacer.dest_queues
