--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -29,9 +29,9 @@
     Session,
     WriteRecords,
 )
-from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
-from garnetrelay.operators.front import Front
+from garnetrelay.fleet.members.claims import SocketAddress
+from garnetrelay.operators.commands import CommandRefusedError
+from garnetrelay.operators.listener import OperatorListener
 
 log = logging.getLogger(__name__)
 
@@ -51,11 +51,11 @@
         self._finished = asyncio.Event()
         self._broken: Exception | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._sources: dict[Session, Place] = {}  # the latest last
+        self._sources: dict[Session, SocketAddress] = {}  # the latest last
         self._writes: list[WriteRecords] = []  # that wait for the one that runs
         self._writing: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
-        self._front: Front | None = None
+        self._front: OperatorListener | None = None
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT. RecordsError or OSError where it can't start or go on."""
@@ -75,7 +75,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
         place = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = Front(OperatorCommands(self))
+            self._front = OperatorListener(OperatorCommands(self))
             await self._front.start(config.operators)
         if self.records.truncated_bytes:
             log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
@@ -88,7 +88,7 @@
             found is None,
             self.records.previous_lease,
         )
-        log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
+        log.info("controller %d of %d hears at %s", config.number, len(config.addresses), place)
         self._tick()
 
     async def _end(self) -> None:
@@ -114,7 +114,7 @@
 
     # ---- what happens
 
-    def _heard(self, message: Message, source: Place) -> None:
+    def _heard(self, message: Message, source: SocketAddress) -> None:
         if self.controller is None:
             return
         if isinstance(message, Answer):  # from another controller, to a relay that had this address before
@@ -125,7 +125,7 @@
             self._remember(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
 
-    def _remember(self, session: Session, source: Place) -> None:
+    def _remember(self, session: Session, source: SocketAddress) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
         if len(self._sources) > MAX_SESSIONS:
@@ -139,7 +139,7 @@
         for effect in effects:
             match effect:
                 case SendToController(number, message):
-                    self.datagrams.send(self.config.places[number], message)
+                    self.datagrams.send(self.config.addresses[number], message)
                 case SendToRelay(session, answer):
                     self.metrics.answered(answer)
                     if (place := self._sources.get(session)) is not None:
@@ -206,9 +206,9 @@
         """Returns where it grants."""
         controller = self._process.controller
         if controller is None or not controller.ready:
-            raise CallRefusedError("it does not grant yet")
+            raise CommandRefusedError("it does not grant yet")
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """Its figures, a line each."""
         return metrics_text(
             self._process.metrics, self._process.controller, self._process.datagrams, self._process.records
@@ -216,8 +216,8 @@
 
     def fleet(self, words: list[str]) -> str:
         """Nothing: it has no view of the members."""
-        raise CallRefusedError("this is a controller: ask a relay")
+        raise CommandRefusedError("this is a controller: ask a relay")
 
     def exclude(self, host: str, out: bool) -> None:
         """Nothing: it calls no hosts."""
-        raise CallRefusedError("this is a controller: it calls no hosts")
+        raise CommandRefusedError("this is a controller: it calls no hosts")
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from garnetrelay.fleet.lease_service import LeaseService
-from garnetrelay.operators.figures import escaped
+from garnetrelay.operators.metrics import escaped
 
 
 class SessionLine(msgspec.Struct, frozen=True):
@@ -84,7 +84,7 @@
 def controllers(leases: LeaseService, now: int) -> Iterator[ControllerLine]:
     """All controllers, by number."""
     reached = leases.holder.reached_controllers(now)
-    for link, place in zip(leases.holder.links, leases.config.places, strict=True):
+    for link, place in zip(leases.holder.links, leases.config.addresses, strict=True):
         yield ControllerLine(
             link.controller,
             str(place),
--- a/garnetrelay/fleet/members/holding.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -11,16 +11,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from garnetrelay.fleet.members.claims import Claim, Identity, Place, Status
-from garnetrelay.fleet.members.effects import Effect, KeepLife, Note
-from garnetrelay.fleet.members.own import Answer, Own
+from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
+from garnetrelay.fleet.members.dissemination import Spreading
+from garnetrelay.fleet.members.effects import Effect, LogLine, StoreLife
+from garnetrelay.fleet.members.local_member import Answer, LocalMember
 from garnetrelay.fleet.members.settings import Settings
-from garnetrelay.fleet.members.spreading import Spreading
 from garnetrelay.fleet.members.table import Change, Member, Suspicion, Table, mark
 
 
 @dataclass(slots=True)
-class Figures:
+class Counters:
     """What has happened."""
 
     suspected: int = 0  # by this relay
@@ -29,26 +29,26 @@
     no_room: int = 0  # members that were not taken
 
 
-class Holding:
+class LocalView:
     """The words that hold, at one relay."""
 
     def __init__(
         self, own: Claim, settings: Settings, effects: list[Effect], enters: Callable[[str], None] = lambda name: None
     ) -> None:
         self.settings = settings
-        self.own = Own(own)
-        self.table = Table(settings.most_members)
+        self.local = LocalMember(own)
+        self.table = Table(settings.max_members)
         self.spreading = Spreading()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
-        self.figures = Figures()
-        self.told_by: Place | None = None  # who said that this life has ended
+        self.counters = Counters()
+        self.told_by: SocketAddress | None = None  # who said that this life has ended
         self._effects = effects
         self._enters = enters  # a member that was not in, or is in another life
 
     @property
     def name(self) -> str:
         """This relay's own name."""
-        return self.own.claim.name
+        return self.local.claim.name
 
     @property
     def count(self) -> int:
@@ -58,7 +58,7 @@
     @property
     def view(self) -> int:
         """32 bits that stand for who is in the view."""
-        own = mark(self.name, self.own.claim.identity) if self.own.named else 0
+        own = mark(self.name, self.local.claim.identity) if self.local.active else 0
         return (self.table.print ^ own) >> 32
 
     def suspicion_ends(self, member: Member) -> int:
@@ -69,13 +69,13 @@
 
     def next_judgement(self) -> int | None:
         """When the next suspicion ends; None where there is none, or this relay has no word."""
-        if not self.own.named or not self.suspects:
+        if not self.local.active or not self.suspects:
             return None
         return min(self.suspicion_ends(self.table.members[name]) for name in self.suspects)
 
     # ---- what happens
 
-    def hear(self, now: int, claim: Claim, source: Place | None = None) -> Answer:
+    def hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> Answer:
         """A word on anybody; on this relay itself, what follows."""
         if claim.name == self.name:
             return self._hear_of_self(claim, source)
@@ -83,7 +83,7 @@
         held = None if before is None else before.claim
         change = self.table.take(claim, now)
         if change is Change.FULL:
-            self.figures.no_room += 1
+            self.counters.no_room += 1
         if change in (Change.NOTHING, Change.FULL):
             return Answer.NOTHING
         member = self.table.get(claim.name)
@@ -99,7 +99,7 @@
             self.suspects[claim.name] = None
         else:
             self.suspects.pop(claim.name, None)
-        if change is not Change.WORD and not claim.final:
+        if change is not Change.OBSERVATION and not claim.final:
             self._enters(claim.name)
         self._note_change(held, claim, change)
         return Answer.NOTHING
@@ -117,9 +117,9 @@
     def suspect(self, now: int, name: str, identity: Identity, why: str) -> bool:
         """A probe of a member came to nothing; whether it is still in that life."""
         member = self.table.members.get(name)
-        if member is None or member.claim.identity != identity or not self.own.named:
+        if member is None or member.claim.identity != identity or not self.local.active:
             return False
-        self.figures.suspected += 1
+        self.counters.suspected += 1
         if member.suspicion is None:
             self._note(f"suspects {name}: {why}")
         self.hear(now, member.claim.judged(Status.SUSPECT, self.name))
@@ -129,7 +129,7 @@
         """Suspicions whose time is over. ``answered_at``: when this relay last had an answer from anybody; None where its
         word counts for nothing. Where none has come since the suspicion began, the fault may be its own, and the
         suspicion begins anew."""
-        if not self.own.named:
+        if not self.local.active:
             return
         for name in list(self.suspects):
             member = self.table.members[name]
@@ -140,7 +140,7 @@
             if answered_at is None or answered_at <= suspicion.began:
                 suspicion.began, suspicion.stretched = now, 0
                 continue
-            self.figures.failed += 1
+            self.counters.failed += 1
             ago = "none" if member.word_at is None else f"{(now - member.word_at) / 1e9:.1f} s old"
             also = f", {', '.join(sorted(suspicion.by))} too" if suspicion.by else ""
             self._note(
@@ -159,44 +159,44 @@
 
     def kept(self, life: int) -> bool:
         """The folder has the life that was wanted: whether this relay goes on in it."""
-        if not self.own.kept(life):
+        if not self.local.kept(life):
             return False
-        self.spreading.tell(self.own.claim)
-        self._note(f"goes on as {self.own.claim.said()}", logging.WARNING)
+        self.spreading.tell(self.local.claim)
+        self._note(f"goes on as {self.local.claim.said()}", logging.WARNING)
         return True
 
     # ---- what follows
 
     def _note(self, text: str, level: int = logging.INFO) -> None:
-        self._effects.append(Note(text, level))
+        self._effects.append(LogLine(text, level))
 
-    def _hear_of_self(self, claim: Claim, source: Place | None) -> Answer:
-        answer = self.own.hear(claim)
+    def _hear_of_self(self, claim: Claim, source: SocketAddress | None) -> Answer:
+        answer = self.local.hear(claim)
         if answer is Answer.REFUTED:
-            self.figures.refuted += 1
-            self.spreading.tell(self.own.claim)
-            self._note(f"was {claim.said()}: speaks up as {self.own.claim.said()}")
+            self.counters.refuted += 1
+            self.spreading.tell(self.local.claim)
+            self._note(f"was {claim.said()}: speaks up as {self.local.claim.said()}")
         elif answer is Answer.OLD:
-            self.spreading.tell(self.own.claim)
+            self.spreading.tell(self.local.claim)
         elif answer is Answer.WANTED:
             self.spreading.drop(claim.name)
             self.told_by = source
-            self._note(f"is {claim.said()}: goes on in life {self.own.wanted} once that is kept", logging.WARNING)
-            self._effects.append(KeepLife(self.own.wanted))
+            self._note(f"is {claim.said()}: goes on in life {self.local.wanted} once that is kept", logging.WARNING)
+            self._effects.append(StoreLife(self.local.wanted))
         elif answer is Answer.ASIDE:
             self.spreading.drop(claim.name)
             self._note(
-                f"another process at {claim.place} has this name: {claim.said()}; standing aside until that life "
+                f"another process at {claim.address} has this name: {claim.said()}; standing aside until that life "
                 "has ended",
                 logging.ERROR,
             )
         return answer
 
     def _note_change(self, held: Claim | None, claim: Claim, change: Change) -> None:
-        if change is Change.WORD and held is not None and not claim.final:
+        if change is Change.OBSERVATION and held is not None and not claim.final:
             # Whatever word brings a change of address or zone, it is told: no other word will differ in it.
-            moved = (claim.place, claim.zone) != (held.place, held.zone)
-            where = f", now at {claim.place}, zone {claim.zone or 'not known'}" if moved else ""
+            moved = (claim.address, claim.zone) != (held.address, held.zone)
+            where = f", now at {claim.address}, zone {claim.zone or 'not known'}" if moved else ""
             if claim.status is Status.SUSPECT and claim.by != self.name:
                 self._note(f"{claim.said()}{where}")
             elif held.status is Status.SUSPECT:
@@ -210,4 +210,4 @@
             same = "the same process is back" if claim.process == held.process else "a new process"
             self._note(f"{claim.said()}, {same} (was {held.said()})")
         else:
-            self._note(f"{claim.said()} at {claim.place} is new here")
+            self._note(f"{claim.said()} at {claim.address} is new here")
--- a/garnetrelay/laboratory/hostile.py
+++ b/garnetrelay/laboratory/hostile.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, MOST_LIFE, MOST_ZONE, Claim, Place, Status
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, MAX_ZONE, Claim, SocketAddress, Status
 
-STRANGER = Place("10.9.9.9", 9)
+STRANGER = SocketAddress("10.9.9.9", 9)
 
 
 def frames(draw: random.Random, codec: fr.Codec, heard: list[bytes]) -> Iterator[tuple[str, bytes]]:
@@ -38,9 +38,9 @@
         sender = whole[1]
         what = draw.randrange(13)
         if what == 0:
-            sender[1] = MOST_LIFE + 1
+            sender[1] = MAX_LIFE + 1
         elif what == 1:
-            sender[4] = MOST_INCARNATION + 1
+            sender[4] = MAX_INCARNATION + 1
         elif what == 2:
             sender[1] = -1
         elif what == 3:
@@ -52,7 +52,7 @@
         elif what == 6:
             sender[7] = 70_000
         elif what == 7:
-            whole[4] = [sender] * (fr.MOST_CLAIMS + 1)
+            whole[4] = [sender] * (fr.MAX_CLAIMS + 1)
             whole[4] = whole[4][:1] if draw.random() < 0.5 else "claims"
             whole[2] = -5
         elif what == 8:
@@ -64,7 +64,7 @@
         elif what == 11:
             whole[6] = b"12345"  # words of no whole number
         else:
-            sender[10] = MOST_ZONE + 1
+            sender[10] = MAX_ZONE + 1
         return codec.sign(msgspec.msgpack.encode(whole), 2)
 
     def shortened() -> bytes:
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/laboratory/world.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, Place, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.claims import UNKNOWN_ZONE, Claim, Identity, SocketAddress, Status
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.laboratory.links import Fate, Links
 
@@ -42,10 +42,10 @@
     """A name, its folder and its process."""
 
     name: str
-    place: Place
+    place: SocketAddress
     life: int = 0  # in the folder
     process: int = 0
-    members: Members | None = None
+    members: Membership | None = None
     started_at: int = 0
     stopped: bool = False
     starved: Starved | None = None
@@ -85,7 +85,7 @@
         self.links = Links(base or Fate(), seed)
         self.codec, self.old_codec = fr.Codec([SECRET, OLD_SECRET]), fr.Codec([OLD_SECRET, SECRET])
         self.nodes = {
-            f"n{number}": Node(f"n{number}", Place(f"10.0.{number >> 8}.{number & 255}", PORT))
+            f"n{number}": Node(f"n{number}", SocketAddress(f"10.0.{number >> 8}.{number & 255}", PORT))
             for number in range(1, count + 1)
         }
         self.by_place = {node.place: node for node in self.nodes.values()}
@@ -119,7 +119,7 @@
             if done is not None and self.now >= look_at:
                 if done():
                     return True
-                look_at = self.now + self.settings.probe_every // 10
+                look_at = self.now + self.settings.probe_interval // 10
         self.now = until
         return done is not None and done()
 
@@ -146,7 +146,7 @@
             zone=self.zones(int(name[1:])),
         )
         draw = random.Random(f"{self._seed}/{name}/{node.process}")
-        node.members = Members(claim, settings, draw, self.now, self.seeds)
+        node.members = Membership(claim, settings, draw, self.now, self.seeds)
         node.started_at, node.stopped, node.waiting, node.woken_for = self.now, False, [], -1
         self._wake(node)
 
@@ -192,7 +192,7 @@
         live = self.live()
         views = {node.members.view for node in live if node.members is not None}
         return len(views) == 1 and all(
-            node.members is not None and node.members.count == len(live) and node.members.own.named for node in live
+            node.members is not None and node.members.count == len(live) and node.members.local.active for node in live
         )
 
     # ---- what happens to a process
@@ -234,13 +234,13 @@
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Tell(place, frame, version):
+                case SendFrame(place, frame, version):
                     self._send(node, place, frame, version)
-                case Exchange(place):
+                case StartExchange(place):
                     self._exchange(node, place)
-                case KeepLife(life):
+                case StoreLife(life):
                     self.at(self.now + MS, functools.partial(self._keep, node, node.process, life))
-                case Note(text, _):
+                case LogLine(text, _):
                     self._note(node, text)
         if self.after_effects is not None:
             self.after_effects(node)
@@ -251,7 +251,7 @@
             whom = self.nodes[text.split()[1]]
             held = None if node.members is None else node.members.table.get(whom.name)
             if held is not None:
-                there = whom.members is not None and whom.members.own.claim.identity == held.claim.identity
+                there = whom.members is not None and whom.members.local.claim.identity == held.claim.identity
                 self.failures.append((self.now, node.name, whom.name, held.claim.identity, there))
         if self.keep_notes:
             self.notes.append(Seen(self.now, node.name, text))
@@ -260,11 +260,11 @@
         if node.members is None or node.process != process:
             return
         node.life = max(node.life, life)
-        self._carry_out(node, node.members.life_kept(self.now + node.ahead, life))
+        self._carry_out(node, node.members.life_stored(self.now + node.ahead, life))
 
-    def _send(self, node: Node, place: Place, frame: fr.Frame, version: int) -> None:
+    def _send(self, node: Node, place: SocketAddress, frame: fr.Frame, version: int) -> None:
         data = (self.old_codec if node.old_secret else self.codec).encode(frame, version)
-        if len(data) > self.settings.most_frame:
+        if len(data) > self.settings.max_frame_bytes:
             raise AssertionError(f"a frame of {len(data)} bytes")
         node.sent_frames += 1
         self._count_bytes(node, frame, len(data))
@@ -275,7 +275,7 @@
             at = self.now + int((delay + LEAST_PASS) * SECOND)
             self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.place))  # type: ignore[misc]
 
-    def _arrive(self, node: Node, data: bytes, source: Place) -> None:
+    def _arrive(self, node: Node, data: bytes, source: SocketAddress) -> None:
         def hears() -> None:
             assert node.members is not None
             if self.heard is not None:
@@ -301,7 +301,7 @@
                 return None
         return int(delay * SECOND)
 
-    def _exchange(self, node: Node, place: Place) -> None:
+    def _exchange(self, node: Node, place: SocketAddress) -> None:
         """Hello, Whole, Whole."""
         other = self.by_place.get(place)
         if other is None or other is node or node.members is None:
@@ -323,12 +323,12 @@
 
             def hear() -> None:
                 assert node.members is not None
-                ours, effects = node.members.hear_whole(self.now + node.ahead, whole, hello.number, began)
+                ours, effects = node.members.receive_whole(self.now + node.ahead, whole, hello.number, began)
                 self._count_piece(node, ours)
 
                 def hear_ours() -> None:
                     assert other.members is not None
-                    _, effects = other.members.hear_whole(self.now + other.ahead, ours, whole.ask, asked_at)
+                    _, effects = other.members.receive_whole(self.now + other.ahead, ours, whole.ask, asked_at)
                     self._carry_out(other, effects)
 
                 then(node, other, its, hear_ours)
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -15,7 +15,7 @@
 from starlingwick.settings import SettingsError, parse_settings
 
 if TYPE_CHECKING:
-    from garnetrelay.fleet.mail import Mail
+    from garnetrelay.fleet.simulator_member import SimulatorMember
 
 MS = 1_000_000
 FIRST_FLEET_TIMER = 1 << 40  # timers with this number or a higher one belong to the fleet, not to the Pacer
@@ -182,7 +182,7 @@
         self.line_no = 0
         self.pacers: dict[int, Pacer] = {}
         self.catalogs: dict[int, tuple[io.HostEntry, ...]] = {}
-        self.fleet_members: dict[int, Mail] = {}  # if the settings allow messages between relays
+        self.fleet_members: dict[int, SimulatorMember] = {}  # if the settings allow messages between relays
         self.fleet_lines: dict[int, list[str]] = {}  # reply lines of the fleet members in this batch
 
     def _line(self) -> str | None:
@@ -259,7 +259,7 @@
         pacer = self.pacers[instance]
         if not pacer.settings.limits.peers or pacer.settings.relays < 2:
             return
-        from garnetrelay.fleet.mail import Mail  # loaded only if used
+        from garnetrelay.fleet.simulator_member import SimulatorMember  # loaded only if used
 
         decoded = json.loads(facts)
         me, price = decoded.get("me"), decoded.get("prices", {}).get("peer", 0)
@@ -267,7 +267,7 @@
             raise WireError(f"facts: me: '{me}' is not a relay's number")
         if not isinstance(price, int | float) or not 0 <= price <= 1000:
             raise WireError(f"facts: prices.peer: '{price}' is not a valid price")
-        self.fleet_members[instance] = Mail(me, pacer.settings.relays, seed, now, price)
+        self.fleet_members[instance] = SimulatorMember(me, pacer.settings.relays, seed, now, price)
         self._add_fleet_replies(instance, self.fleet_members[instance].begin(now))
 
     def _mail(self, instance: int, fields: dict[str, str], now: int) -> None:
@@ -280,7 +280,7 @@
             self._add_fleet_replies(instance, self.fleet_members[instance].mail(now, origin, data))
 
     def _add_fleet_replies(self, instance: int, replies: list[Any]) -> None:
-        from garnetrelay.fleet.mail import Line, Post
+        from garnetrelay.fleet.simulator_member import Line, Post
 
         lines = self.fleet_lines.setdefault(instance, [])
         for reply in replies:
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -11,9 +11,9 @@
 import pytest
 
 from benchmarks.simulator import changed
-from garnetrelay.fleet.mail import MOST, Mail, Post, Reply, Wake, number, place, settings_at
-from garnetrelay.fleet.members.condition import Condition
 from garnetrelay.fleet.members.settings import SECOND
+from garnetrelay.fleet.members.view_state import Condition
+from garnetrelay.fleet.simulator_member import MOST, Post, Reply, SimulatorMember, Wake, number, place, settings_at
 from starlingwick import wirehost
 from tests.test_library import FACTS
 
@@ -25,12 +25,12 @@
 
     def __init__(self, count: int) -> None:
         self.count, self.now, self.posts = count, 0, 0
-        self.mails: dict[int, Mail] = {}
+        self.mails: dict[int, SimulatorMember] = {}
         self.queue: list[tuple[int, int, int, Callable[..., list[Reply]]]] = []
         self.order = itertools.count()
 
     def up(self, relay: int) -> None:
-        self.mails[relay] = Mail(relay, self.count, relay + self.now, self.now)
+        self.mails[relay] = SimulatorMember(relay, self.count, relay + self.now, self.now)
         self.take(relay, self.mails[relay].begin(self.now))
 
     def take(self, relay: int, replies: list[Reply]) -> None:
@@ -81,7 +81,7 @@
     )
     day.up(7)  # it knows nothing of its earlier life
     day.run(60)
-    assert day.one_view() and day.mails[7].members.own.claim.life == 2
+    assert day.one_view() and day.mails[7].members.local.claim.life == 2
 
 
 def test_a_fleet_of_notes_begins_as_one_and_tells_differences_only() -> None:
@@ -106,7 +106,7 @@
         day.up(relay)
     day.run(60)
     assert day.one_view() and day.posts - before <= 2 * 60 * 60  # as much again as peace, at most
-    assert {mail.members.own.claim.life for relay, mail in day.mails.items() if relay % 3} == {1}
+    assert {mail.members.local.claim.life for relay, mail in day.mails.items() if relay % 3} == {1}
     whole = day.mails[1].members.answer_hello(day.now, day.mails[2].members.hello(day.now))
     pieces = [day.mails[2].codec.decode(post.data, exchange=True) for post in day.mails[1]._pieces(2, whole)]
     told = {claim.name for piece in pieces for claim in piece.claims}
@@ -114,17 +114,17 @@
 
 
 def test_a_price_of_notes_stretches_the_time_between_questions() -> None:
-    assert settings_at(0).probe_every == settings_at(0.001).probe_every == 2 * SECOND
-    assert settings_at(0.01).probe_every == 5 * SECOND
+    assert settings_at(0).probe_interval == settings_at(0.001).probe_interval == 2 * SECOND
+    assert settings_at(0.01).probe_interval == 5 * SECOND
 
 
 def test_a_note_that_cannot_be_used_changes_nothing() -> None:
-    mail = Mail(0, 3, 1, 0)
+    mail = SimulatorMember(0, 3, 1, 0)
     mail.begin(0)
-    before = mail.members.own.claim, list(mail.members.table.claims())
+    before = mail.members.local.claim, list(mail.members.table.claims())
     for data in (b"", b"noise", bytes(300), mail.codec.encode(mail.members.hello(0), 2)[:-1]):
         assert mail.mail(1, 1, data) == []
-    assert mail.refused == 4 and before == (mail.members.own.claim, list(mail.members.table.claims()))
+    assert mail.refused == 4 and before == (mail.members.local.claim, list(mail.members.table.claims()))
     assert all(number(place(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
 
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -11,11 +11,11 @@
 
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place, Status
-from garnetrelay.fleet.members.effects import Exchange, Tell
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
+from garnetrelay.fleet.members.effects import SendFrame, StartExchange
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
 from garnetrelay.fleet.members.outgoing import FIXED
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.meter import Kind, Meter
@@ -38,17 +38,17 @@
     assert world.run(60 * SECOND, world.one_view)
     assert world.run(
         world.now + 120 * SECOND,
-        lambda: not any(node.members is not None and len(node.members.holding.spreading) for node in world.live()),
+        lambda: not any(node.members is not None and len(node.members.local_view.spreading) for node in world.live()),
     )
     return world, meter
 
 
 def peace_bound(world: World) -> float:
     """Bytes a member a second where nothing happens, by the settings alone."""
-    claim = max(node.members.own.claim.size() for node in world.live() if node.members is not None)
-    frame = fr.HEAD + FIXED + claim
-    ages = min(SETTINGS.most_words, MEMBERS - 1) * fr.WORD.size
-    period = SETTINGS.probe_every / SECOND
+    claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
+    frame = fr.HEADER_BYTES + FIXED + claim
+    ages = min(SETTINGS.max_observations, MEMBERS - 1) * fr.OBSERVATION.size
+    period = SETTINGS.probe_interval / SECOND
     # Two begun or answered in the mean, three frames each; all hold the same, so they hold digests alone.
     buckets = digests.buckets_for(MEMBERS) * digests.DIGEST.size
     exchange = 2 * (3 * frame + 2 * buckets) / (SETTINGS.exchange_gap(MEMBERS) / SECOND)
@@ -83,7 +83,7 @@
     assert world.run(world.now + 60 * SECOND, world.one_view)
     assert {whom for _, _, whom, *_ in world.failures} == set(zone)
     assert not any(there for *_, there in world.failures)
-    views = [node.members.view_of_members() for node in world.live() if node.members is not None]
+    views = [node.members.fleet_view() for node in world.live() if node.members is not None]
     assert all(1 not in view.zones.values() and len(view.zones) == MEMBERS - len(zone) for view in views)
 
 
@@ -95,23 +95,23 @@
     ]
 
 
-def relay() -> Members:
-    return Members(Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.2", 1, 2), SETTINGS, random.Random(1), 0)
+def relay() -> Membership:
+    return Membership(Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.2", 1, 2), SETTINGS, random.Random(1), 0)
 
 
-def pause_for(members: Members, words: int) -> int:
-    return words * members.own.claim.size() * SETTINGS.probe_every // SETTINGS.most_frame
+def pause_for(members: Membership, words: int) -> int:
+    return words * members.local.claim.size() * SETTINGS.probe_interval // SETTINGS.max_frame_bytes
 
 
 def asks_after(failed: int, count: int) -> tuple[int, int]:
     """A relay that others held for failed goes on, with so many held for failed by itself: how long until it exchanges,
     and the pause that so many words ask for."""
     members = relay()
-    members.go_on_from(0, others(count, failed))
+    members.resume_from(0, others(count, failed))
     began = now = members.next_at
-    members.holding.hear(now, members.own.claim.judged(Status.FAILED, f"n{count}"), Place("10.0.0.1", count))
-    effects = members.life_kept(now, 2)
-    while not any(isinstance(effect, Exchange) for effect in effects):
+    members.local_view.hear(now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
+    effects = members.life_stored(now, 2)
+    while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
         effects = members.tick(now)
     return now - began, pause_for(members, failed + 1)
@@ -120,26 +120,26 @@
 def test_who_is_back_asks_at_once_where_little_has_changed_and_in_its_turn_where_much_has() -> None:
     assert asks_after(3, MEMBERS)[0] == 0
     after, pause = asks_after(310, 619)
-    assert pause > BULK_PERIODS * SETTINGS.probe_every and 0 < after <= pause
+    assert pause > BULK_PERIODS * SETTINGS.probe_interval and 0 < after <= pause
 
 
 def test_where_much_has_changed_other_views_are_asked_for_in_turn() -> None:
     """Answers tell of another view each period; exchanges are begun once in the pause."""
     members, claims = relay(), others(619)
-    members.go_on_from(0, claims[:310])
+    members.resume_from(0, claims[:310])
     for claim in claims[310:]:
-        members.holding.hear(0, claim)
-    by_place = {claim.place: claim for claim in claims}
+        members.local_view.hear(0, claim)
+    by_place = {claim.address: claim for claim in claims}
     pause = pause_for(members, 309)
     begun: list[int] = []
     while members.next_at < pause:
         now = members.next_at
         effects = members.tick(now)
-        for tell in [effect for effect in effects if isinstance(effect, Tell) and isinstance(effect.frame, fr.Ping)]:
+        for tell in [effect for effect in effects if isinstance(effect, SendFrame) and isinstance(effect.frame, fr.Ping)]:
             summary = fr.Summary(members.view ^ 1, 620)
             ack = fr.Ack(sender=by_place[tell.place], sequence=now, number=tell.frame.number, summary=summary)
             effects += members.receive(now, ack, tell.place)
-        begun += [now for effect in effects if isinstance(effect, Exchange)]
+        begun += [now for effect in effects if isinstance(effect, StartExchange)]
     assert 1 <= len(begun) <= 2
 
 
@@ -154,5 +154,5 @@
     assert world.run(began + 120 * SECOND, world.one_view)
     span = meter.span(began, world.now)
     # Exchanges pause so that they take no more than full frames do, the first of each relay drawn in that time.
-    full = FRAMES * SETTINGS.most_frame * SECOND / SETTINGS.probe_every
+    full = FRAMES * SETTINGS.max_frame_bytes * SECOND / SETTINGS.probe_interval
     assert span.by_kind[Kind.EXCHANGES] < full and span.worst < 2 * full
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -57,7 +57,7 @@
     field.facts["classes"][1]["repeatWindow"] = WINDOW
     journal = Store.open(field.state, 3_000_000)
     for entry in entries:
-        journal.taken(entry)
+        journal.record_accepted(entry)
     journal.close()
 
 
@@ -114,14 +114,14 @@
     """The final check came before the write, and a disk may be slow."""
     write_journal(field, attempted_entry("k", 200))
     relay = await unstarted_relay(field)
-    original_trying = relay.journal.trying
+    original_record_attempt = relay.journal.record_attempt
 
     def slow(ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
-        recorded = original_trying(ref, zone, now_ms, epoch)
+        recorded = original_record_attempt(ref, zone, now_ms, epoch)
         clock.advance(WINDOW)
         return recorded
 
-    relay.journal.trying = slow  # type: ignore[method-assign]
+    relay.journal.record_attempt = slow  # type: ignore[method-assign]
     await relay.start()
     await expect_single_end(field, "k")
     assert clock.passed
