--- a/starlingwick/interface.py
+++ b/starlingwick/interface.py
@@ -217,7 +217,7 @@
 
     scope: ListScope
     entries: tuple[HostEntry, ...]
-    current: bool = True  # from a watch at discovery's present address
+    current: bool = True  # from a watch at discovery's present address, not one about to be closed
 
 
 @dataclass(slots=True)
