--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -98,13 +98,13 @@
 async def test_the_window_closes_while_the_connection_is_established(field: Field, clock: SetClock) -> None:
     write_journal(field, attempted_entry("k", 200))
     relay = await unstarted_relay(field)
-    original_go = relay.hosts._go
+    original_start = relay.hosts._prepare_and_start
 
     def late(connection: hosts.Connection, exchange: hosts.Exchange) -> None:
         clock.advance(WINDOW)
-        original_go(connection, exchange)
+        original_start(connection, exchange)
 
-    relay.hosts._go = late  # type: ignore[method-assign]
+    relay.hosts._prepare_and_start = late  # type: ignore[method-assign]
     await relay.start()
     await expect_single_end(field, "k")
     assert clock.passed
