--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and events for tests of the module: made-up figures, no bench."""
+"""Settings and events for tests of the Pacer, with invented values."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 S = 1_000_000_000
 MS = 1_000_000
 
-SAFE, KEYED, UNSAFE, TURNS = 0, 1, 2, 3
+SAFE, KEYED, UNSAFE, ORDERED = 0, 1, 2, 3
 
 
 def klass(repeat: io.Repeat, scope: io.Scope = io.Scope.ALL, in_turn: bool = False) -> io.MessageClass:
@@ -94,7 +94,7 @@
 
 
 class Relay:
-    """Drives one Pacer and keeps what it did."""
+    """Drives one Pacer and records its actions."""
 
     def __init__(self, *entries: io.HostEntry, seed: int = 7, **changes: Any) -> None:
         self.settings = settings(**changes)
@@ -103,11 +103,11 @@
         self.count = 0
         self.attempts: dict[str, int] = {}
         self.where: dict[str, str] = {}
-        self.actions: list[io.Action] = self.turn(io.Roster(io.ListScope.CACHED, entries))
+        self.actions: list[io.Action] = self.tick(io.Roster(io.ListScope.CACHED, entries))
         if self.settings.relays >= MANY_RELAYS:
-            self.now += 60 * S  # many relays begin each at a moment of its own: long ago
+            self.now += 60 * S  # many relays spread their first calls; skip that phase
 
-    def turn(self, *events: io.Event, after: int = 0) -> list[io.Action]:
+    def tick(self, *events: io.Event, after: int = 0) -> list[io.Action]:
         self.now += after
         self.actions = self.pacer.handle(self.now, events)
         for send in self.sends():
@@ -153,22 +153,22 @@
         return [a for a in self.actions if isinstance(a, kind)]
 
     def serve(self, n: int = 1, klass: int = SAFE, dest: int = 1) -> None:
-        """n messages, one after the other, each delivered."""
+        """Send ``n`` messages, one after the other, each delivered."""
         for _ in range(n):
-            self.turn(self.message(klass, dest), after=100 * MS)
+            self.tick(self.message(klass, dest), after=100 * MS)
             for send in self.sends():
-                self.turn(self.verdict(send.call, io.Status.OK), after=100 * MS)
+                self.tick(self.verdict(send.call, io.Status.OK), after=100 * MS)
 
     def try_all(self, status: io.Status, n: int, wait: int = 0) -> None:
-        """Let whatever is sent come back with this outcome until n attempts did."""
+        """Return this outcome for every attempt until ``n`` attempts have ended."""
         done = 0
         for _ in range(400):
-            out = [m.name for m in self.pacer.messages.values() if m.call is not None]
+            in_flight = [m.name for m in self.pacer.messages.values() if m.call is not None]
             if done >= n:
                 return
-            if out:
-                self.turn(self.verdict(out[0], status, wait), after=10 * MS)
+            if in_flight:
+                self.tick(self.verdict(in_flight[0], status, wait), after=10 * MS)
                 done += 1
             else:
-                self.turn(after=100 * MS)
+                self.tick(after=100 * MS)
         raise AssertionError(f"only {done} of {n} attempts were sent")
