--- a/garnetrelay/cli/journal.py
+++ b/garnetrelay/cli/journal.py
@@ -12,7 +12,7 @@
 from garnetrelay.store import legacy
 from garnetrelay.store.format import Kind, LaterVersionError
 from garnetrelay.store.reading import iter_records, load, segment_number
-from garnetrelay.store.storage import Folder, blocks
+from garnetrelay.store.storage import Folder, round_to_blocks
 
 FOLDER = click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 
@@ -27,10 +27,10 @@
 def verify(folder: Path) -> None:
     """Read all of it. The exit status is 0 if every byte could be read, but for a tail that is being written."""
     try:
-        index, said = load(Folder(folder))
+        index, problems = load(Folder(folder))
     except (LaterVersionError, OSError) as error:
         raise click.ClickException(str(error)) from None
-    for line in said:
+    for line in problems:
         click.echo(line)
     newest = max(index.segments, default=0)
     records = sum(segment.records for segment in index.segments.values())
@@ -44,7 +44,7 @@
     )
     if (folder / legacy.NAME).exists():
         click.echo("a journal of an earlier version waits to be taken over")
-    sys.exit(1 if unsealed or any(not _last(line, newest) for line in said) else 0)
+    sys.exit(1 if unsealed or any(not _last(line, newest) for line in problems) else 0)
 
 
 def _last(line: str, newest: int) -> bool:
@@ -113,7 +113,7 @@
                 what = ""
     except fmt.FormatError as error:
         what = f"can't be understood: {error}"
-    return f"{found.at} {found.kind.name} {what}".rstrip()
+    return f"{found.offset} {found.kind.name} {what}".rstrip()
 
 
 @command.command()
@@ -130,9 +130,9 @@
             f"{number:>16}{segment.size:>10}{segment.live:>10}{segment.live / max(1, segment.size):>7.2f}"
             f"{segment.records:>9}  {'sealed' if segment.sealed else 'open'}"
         )
-    used = sum(blocks(segment.size) for segment in index.segments.values())
+    used = sum(round_to_blocks(segment.size) for segment in index.segments.values())
     live = max(1, index.live)
     click.echo(
         f"{used} bytes used, {index.live} live ({used / live:.2f} times), {len(index.entries)} messages, "
-        f"{len(index.tombs)} ends kept for older records"
+        f"{len(index.tombstones)} ends kept for older records"
     )
--- a/garnetrelay/store/__init__.py
+++ b/garnetrelay/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable record of what is held."""
+"""The journal: the durable record of pending messages and of notices that are not acknowledged yet."""
--- a/garnetrelay/store/compaction_policy.py
+++ b/garnetrelay/store/compaction_policy.py
@@ -1,7 +1,8 @@
-"""Decides about compaction: when it is wanted, which segment is next, and how much of it in one step. No I/O.
+"""Compaction policy: when compaction is due, which segment is next, and how much of it one step copies. No I/O.
 
-What is live in the segment with the least of it is written anew at the log's end, then the segment goes. With live data
-at most half of the disk, some segment is at least half dead: cleaning always frees more than it writes.
+The live records of the segment with the smallest live share are copied to the end of the log, then the segment is
+removed. With live data at most half of the disk, some segment is at least half dead: compaction always frees more than
+it writes.
 """
 
 from __future__ import annotations
@@ -10,40 +11,47 @@
 
 from garnetrelay.store.index import Segment
 
-PARTS = 16  # segments that a full disk has
-LEAST, MOST = 4096, 1 << 20  # bytes of a segment: what one step takes away at its end grows with it
-TIDY_FROM = 256 * 1024  # below this, dead records are not worth the work
-OVER_LIVE = 1.5  # used over live data that is let be
-STEP = 16 * 1024  # bytes written in one step, or twice what came since the last
-STEP_MESSAGES = 50  # and messages looked at
-HELD_BACK = 3  # segments that are kept free for cleaning
+SEGMENTS_PER_DISK = 16
+# Bounds of a segment. The last step of a compaction removes a whole file: the larger it is, the longer that step takes.
+MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 4096, 1 << 20
+MIN_COMPACTION_BYTES = 256 * 1024  # with less used space, removing dead records is not worth the work
+MAX_USED_TO_LIVE = 1.5  # ratio of used to live bytes up to which compaction is not due
+MIN_STEP_BYTES = 16 * 1024  # a step writes this much, or twice the bytes appended since the previous step
+MAX_STEP_MESSAGES = 50  # messages copied in one step
+RESERVED_SEGMENTS = 3  # kept free for compaction
 
 
 class Sizes:
-    """What follows from the disk that a store may use (bytes)."""
+    """Limits in bytes that follow from the disk space that a store may use."""
 
-    __slots__ = ("most", "segment", "pressing", "floor")
+    __slots__ = ("max_bytes", "segment_bytes", "pressure_bytes", "compaction_floor_bytes")
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # of all files
-        self.segment = min(MOST, max(LEAST, most // PARTS))  # from which size on the next segment is begun
-        # Used from which on cleaning comes before new records.
-        self.pressing = max(most // 2, most - HELD_BACK * self.segment)
-        self.floor = min(TIDY_FROM, most // 4)  # used below which nothing is cleaned
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes  # of all files together
+        # At this size the next segment is begun.
+        self.segment_bytes = min(MAX_SEGMENT_BYTES, max(MIN_SEGMENT_BYTES, max_bytes // SEGMENTS_PER_DISK))
+        # From this much used space on, compaction has priority over new records.
+        self.pressure_bytes = max(max_bytes // 2, max_bytes - RESERVED_SEGMENTS * self.segment_bytes)
+        self.compaction_floor_bytes = min(MIN_COMPACTION_BYTES, max_bytes // 4)  # no compaction below
 
-    def admits(self, reserved: int, more: int) -> bool:
-        """Whether a message that may come to take so much fits beside what is reserved. Half stays free: then some
-        segment is at least half dead whenever the disk is full. One message is an eighth at most."""
-        return 2 * (reserved + more) <= self.most and 8 * more <= max(self.most, 8 * LEAST)
+    def admits(self, reserved: int, additional: int) -> bool:
+        """Whether a message that may need up to ``additional`` bytes fits beside the bytes reserved already.
 
+        Reservations take at most half of the disk: then some segment is at least half dead whenever the disk is full.
+        One message may take at most an eighth.
+        """
+        return 2 * (reserved + additional) <= self.max_bytes and 8 * additional <= max(
+            self.max_bytes, 8 * MIN_SEGMENT_BYTES
+        )
 
-def wanted(sizes: Sizes, used: int, live: int) -> bool:
-    """Whether there is enough to gain."""
-    return used > sizes.floor and used > OVER_LIVE * live + sizes.segment
+
+def compaction_due(sizes: Sizes, used: int, live: int) -> bool:
+    """Whether there is enough dead data for compaction to be worth the work."""
+    return used > sizes.compaction_floor_bytes and used > MAX_USED_TO_LIVE * live + sizes.segment_bytes
 
 
 def next_victim(segments: Iterable[Segment], active: int) -> int | None:
-    """The sealed segment with the least live data for its size, if cleaning it frees anything worth while."""
+    """The sealed segment with the smallest live share; None if more than 90 percent of that one is live."""
     best: Segment | None = None
     for segment in segments:
         if segment.number == active or not segment.size:
@@ -56,5 +64,5 @@
 
 
 def step_bytes(appended: int) -> int:
-    """How much a step may write, so that cleaning keeps ahead of what comes."""
-    return max(STEP, 2 * appended)
+    """How many bytes a step may write: twice what was appended, so that compaction keeps up with new records."""
+    return max(MIN_STEP_BYTES, 2 * appended)
--- a/garnetrelay/store/durability.py
+++ b/garnetrelay/store/durability.py
@@ -1,7 +1,7 @@
-"""Syncs in groups, off the loop: what waits for one is answered when it is on disk.
+"""Group syncs outside the event loop; waiting callbacks are called once their records are on disk.
 
-Only where the machine's power counts. One sync runs at a time, in a thread of its own; all that has come to wait
-meanwhile is the next one's.
+Used only if records must survive a power loss. One sync runs at a time, in its own thread; callbacks that are added
+meanwhile wait for the next one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SyncWorker:
-    """Carries out a store's syncs."""
+    """Runs a store's syncs."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -25,10 +25,10 @@
         self.thread = ThreadPoolExecutor(1, "sync")
         self.running: asyncio.Future[None] | None = None
         self.closed = False
-        store.wake = self.wake
+        store.wake_sync = self.wake
 
     def wake(self) -> None:
-        """Something waits."""
+        """Starts a sync if a callback waits and none is running."""
         if self.running is None and not self.closed:
             sync = self.store.begin_sync()
             if sync is not None:
@@ -39,13 +39,13 @@
         self.running = None
         error = None if done.cancelled() else done.exception()
         if error is not None and not isinstance(error, OSError):
-            log.error("a sync failed", exc_info=error)
+            log.error("journal: sync failed", exc_info=error)
             error = OSError(str(error))
         self.store.end_sync(sync, error)
         self.wake()
 
     def close(self) -> None:
-        """Let the one that runs come to its end; the store's own close covers the rest."""
+        """Waits for the running sync; closing the store syncs the rest."""
         self.closed = True
-        self.store.wake = None
+        self.store.wake_sync = None
         self.thread.shutdown(wait=True)
--- a/garnetrelay/store/format.py
+++ b/garnetrelay/store/format.py
@@ -1,17 +1,17 @@
-"""Segments and records as bytes. No I/O.
+"""The binary format of segments and records. No I/O.
 
-A segment: a header of 24 bytes (magic, version, number, checksum), then records, at its end a seal. A record: a mark,
-its kind, the payload's length, a CRC-32 of the payload that begins from kind and length, and the payload. Numbers are
+A segment is a header of 24 bytes (magic, version, number, checksum), then records, and a seal at its end. A record is a
+mark, its kind, the payload's length, a CRC-32 of the payload seeded with kind and length, and the payload. Integers are
 big-endian.
 
-    TAKEN   a message as it was taken on           STATE    a message's whole state: supersedes all before it
-    TRY     an attempt's first byte may go out     OUTCOME  an attempt ended: whether it may have run
-    ENDED   over, with a result that is to be told GONE     nothing more is owed: what stands before it is void
-    SEAL    the segment is whole: how many records it has
-    NOTE    says nothing: written to see whether the folder takes something
+    TAKEN    a message was accepted                    STATE    a message's full state; supersedes earlier records
+    TRY      an attempt's first byte may be sent       OUTCOME  an attempt ended; whether it may have run
+    ENDED    the message ended, its notice is pending  GONE     nothing is pending; earlier records are void
+    SEAL     the segment is complete; its record count
+    NOTE     no content; written to test whether the folder accepts writes
 
-A TRY may have eight bytes behind its last field: the epoch in which the relay owned the destination. Earlier programs
-of this version pass them over.
+A TRY may have eight more bytes after its last field: the epoch in which the relay owned the destination. Programs that
+know this format version but not epochs ignore them.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 HEADER = struct.Struct(">8sIQI")
 RECORD = struct.Struct(">BBII")
 MARK = 0xA7
-MOST_PAYLOAD = 1 << 20
+MAX_PAYLOAD_BYTES = 1 << 20
 
 _ENTRY = struct.Struct(">QIBBH")  # deadline, destination, lengths of ref, class and key
 _STATE = struct.Struct(">HBQQBBBI")  # attempts, flags, trying_at, ran_at, lengths of two zones, result, wait
@@ -40,12 +40,12 @@
 _ENDED = struct.Struct(">BBI")
 _COUNT = struct.Struct(">I")
 NO_KEY = 0xFFFF
-TRYING, RAN, UNCERTAIN = 1, 2, 4
+FLAG_TRYING, FLAG_RAN, FLAG_UNCERTAIN = 1, 2, 4
 RESULTS = ("", "dead", "bounced")
 
 
 class Kind(IntEnum):
-    """What a record says."""
+    """Kinds of records, by their number in the file. ``garnetrelay journal show`` prints the names."""
 
     TAKEN = 1
     STATE = 2
@@ -58,16 +58,19 @@
 
 
 class FormatError(ValueError):
-    """Bytes that are no record of this version."""
+    """The bytes are not a valid record of this version."""
 
 
 class LaterVersionError(ValueError):
-    """A segment of a version that this program does not know."""
+    """The segment has a format version later than this program's."""
 
 
 class Entry(msgspec.Struct, eq=False, gc=False):
-    """A message as the disk knows it. Times are wall clock, in milliseconds. It holds nothing that could hold it: no
-    collection has to look at a hundred thousand of them."""
+    """A message as it is on disk. Times are wall clock, in milliseconds.
+
+    The garbage collector does not track entries (``gc=False``): they form no reference cycles, and there may be a
+    hundred thousand of them. ``legacy.py`` creates entries from JSON keys, so the fields' names must stay.
+    """
 
     ref: str
     klass: str
@@ -76,33 +79,33 @@
     deadline: int
     body: bytes
     attempts: int = 0
-    trying_at: int | None = None  # an attempt without an outcome: it may have run
+    trying_at: int | None = None  # start of an attempt without an outcome; it may have run
     trying_zone: str = ""
-    ran_at: int | None = None  # the first attempt known to have perhaps run
+    ran_at: int | None = None  # start of the first attempt that may have run
     ran_zone: str = ""
-    ended: str | None = None  # a result whose notice is not acknowledged yet
+    ended: str | None = None  # the result, while its notice is not acknowledged
     wait_ms: int = 0
-    uncertain: bool = False  # a record was damaged since it was taken: an attempt may be missing
-    # Where its records lie: the index keeps these.
-    base: int = 0
-    spread: dict[int, int] = msgspec.field(default_factory=dict)  # bytes of its records, by segment
-    stale: tuple[int, ...] = ()  # segments with an older base
+    uncertain: bool = False  # a record written after it was accepted is damaged: an attempt may be missing
+    # The location of its records, maintained by ``Index``.
+    base: int = 0  # the segment with its current base record (TAKEN or STATE)
+    spread: dict[int, int] = msgspec.field(default_factory=dict)  # bytes of its live records, by segment
+    stale: tuple[int, ...] = ()  # segments with a superseded base record
 
     def __eq__(self, other: object) -> bool:
-        """Alike in what the disk knows, wherever that stands."""
-        return isinstance(other, Entry) and _known(self) == _known(other)
+        """Compares the stored fields, not the location of the records."""
+        return isinstance(other, Entry) and _stored_fields(self) == _stored_fields(other)
 
 
 class Record(msgspec.Struct, gc=False):
-    """A record that was read. ``at`` and ``size`` are its place in the segment."""
+    """A record that was read. ``offset`` and ``size`` locate it in the segment, in bytes."""
 
     kind: Kind
     payload: bytes
-    at: int
+    offset: int
     size: int
 
 
-def _known(entry: Entry) -> tuple[Any, ...]:
+def _stored_fields(entry: Entry) -> tuple[Any, ...]:
     return (
         entry.ref,
         entry.klass,
@@ -125,73 +128,77 @@
 
 
 def header(number: int) -> bytes:
-    """A segment's first bytes, with its own checksum."""
+    """Encodes a segment's header, with the header's own checksum."""
     head = HEADER.pack(MAGIC, VERSION, number, 0)[:-4]
     return head + zlib.crc32(head).to_bytes(4, "big")
 
 
 def pack(kind: Kind, payload: bytes) -> bytes:
-    """A record."""
+    """Encodes a record."""
     length = len(payload)
     return RECORD.pack(MARK, kind, length, zlib.crc32(payload, kind << 24 ^ length)) + payload
 
 
-def taken(entry: Entry) -> bytes:
-    """A message is taken on, with all that is needed to deliver it."""
-    return pack(Kind.TAKEN, _entry(entry))
+def encode_taken(entry: Entry) -> bytes:
+    """Encodes a TAKEN record: all that is needed to deliver the message."""
+    return pack(Kind.TAKEN, _encode_entry(entry))
 
 
-def state(entry: Entry) -> bytes:
-    """Its whole state. A result that the format has no number for does not occur."""
-    trying, ran = entry.trying_zone.encode(), entry.ran_zone.encode()
-    flags = TRYING * (entry.trying_at is not None) + RAN * (entry.ran_at is not None) + UNCERTAIN * entry.uncertain
-    more = _STATE.pack(
+def encode_state(entry: Entry) -> bytes:
+    """Encodes a STATE record. ``entry.ended`` must be one of ``RESULTS`` or None."""
+    trying_zone, ran_zone = entry.trying_zone.encode(), entry.ran_zone.encode()
+    flags = (
+        FLAG_TRYING * (entry.trying_at is not None)
+        + FLAG_RAN * (entry.ran_at is not None)
+        + FLAG_UNCERTAIN * entry.uncertain
+    )
+    head = _STATE.pack(
         min(entry.attempts, 0xFFFF),
         flags,
         entry.trying_at or 0,
         entry.ran_at or 0,
-        len(trying),
-        len(ran),
+        len(trying_zone),
+        len(ran_zone),
         RESULTS.index(entry.ended or ""),
         min(entry.wait_ms, 0xFFFFFFFF),
     )
-    return pack(Kind.STATE, more + trying + ran + _entry(entry))
+    return pack(Kind.STATE, head + trying_zone + ran_zone + _encode_entry(entry))
 
 
-def trying(ref: str, zone: str, at: int, epoch: int | None = None) -> bytes:
-    """An attempt begins at a time (wall clock, milliseconds) at a host of this zone."""
-    name, where = ref.encode(), zone.encode()
-    stamp = b"" if epoch is None else EPOCH.pack(epoch)
-    return pack(Kind.TRY, _TRY.pack(len(name), at, len(where)) + name + where + stamp)
+def encode_try(ref: str, zone: str, at: int, epoch: int | None = None) -> bytes:
+    """Encodes a TRY record: an attempt that starts at ``at`` (wall clock, milliseconds) at a host in ``zone``."""
+    raw_ref, raw_zone = ref.encode(), zone.encode()
+    raw_epoch = b"" if epoch is None else EPOCH.pack(epoch)
+    return pack(Kind.TRY, _TRY.pack(len(raw_ref), at, len(raw_zone)) + raw_ref + raw_zone + raw_epoch)
 
 
-def outcome(ref: str, ran: bool) -> bytes:
-    """The last attempt has an outcome; ``ran``: its effect may have happened."""
-    name = ref.encode()
-    return pack(Kind.OUTCOME, _OUTCOME.pack(len(name), ran) + name)
+def encode_outcome(ref: str, ran: bool) -> bytes:
+    """Encodes an OUTCOME record of the latest attempt. ``ran``: its effect may have taken place."""
+    raw_ref = ref.encode()
+    return pack(Kind.OUTCOME, _OUTCOME.pack(len(raw_ref), ran) + raw_ref)
 
 
-def ended(ref: str, result: str, wait_ms: int) -> bytes:
-    """The message is over and a notice has to tell it: one of ``RESULTS``, with a wait (milliseconds)."""
-    name = ref.encode()
-    return pack(Kind.ENDED, _ENDED.pack(len(name), RESULTS.index(result), min(wait_ms, 0xFFFFFFFF)) + name)
+def encode_ended(ref: str, result: str, wait_ms: int) -> bytes:
+    """Encodes an ENDED record: a result of ``RESULTS`` that a notice has to report, and a wait in milliseconds."""
+    raw_ref = ref.encode()
+    return pack(Kind.ENDED, _ENDED.pack(len(raw_ref), RESULTS.index(result), min(wait_ms, 0xFFFFFFFF)) + raw_ref)
 
 
-def gone(ref: str) -> bytes:
-    """Nothing of the message is owed any more."""
+def encode_gone(ref: str) -> bytes:
+    """Encodes a GONE record: neither delivery nor a notice is pending for the message."""
     return pack(Kind.GONE, ref.encode())
 
 
-def seal(count: int) -> bytes:
-    """The end of a segment, with the count of records before it."""
+def encode_seal(count: int) -> bytes:
+    """Encodes a SEAL record: the end of a segment, with the number of records before it."""
     return pack(Kind.SEAL, _COUNT.pack(count))
 
 
-SEAL_SIZE = len(seal(0))
-NOTE = pack(Kind.NOTE, b"")
+SEAL_SIZE = len(encode_seal(0))
+NOTE_RECORD = pack(Kind.NOTE, b"")
 
 
-def _entry(entry: Entry) -> bytes:
+def _encode_entry(entry: Entry) -> bytes:
     ref, klass = entry.ref.encode(), entry.klass.encode()
     key = b"" if entry.key is None else entry.key.encode()
     return (
@@ -207,7 +214,7 @@
 
 
 def header_number(data: bytes) -> int | None:
-    """A segment's own number; None where its header can't be read. LaterVersionError for one of a later format."""
+    """The segment number in a header; None if the header is invalid. LaterVersionError for a later format version."""
     if len(data) < HEADER.size:
         return None
     magic, version, number, checksum = HEADER.unpack_from(data)
@@ -218,19 +225,19 @@
     return int(number)
 
 
-_KINDS = (Kind.NOTE, *Kind)  # by number; none has 0
+_KINDS = (Kind.NOTE, *Kind)  # indexed by kind number; 0 is not used
 _RECORD_SIZE = RECORD.size
 _unpack_record = RECORD.unpack_from
 
 
 def record_at(data: bytes, at: int) -> Record | None:
-    """The record that begins there, if one does."""
+    """The record at the offset ``at``; None if there is no valid one."""
     start = at + _RECORD_SIZE
     if start > len(data) or data[at] != MARK:
         return None
     _, kind, length, checksum = _unpack_record(data, at)
     end = start + length
-    if length > MOST_PAYLOAD or end > len(data) or not 0 < kind < len(_KINDS):
+    if length > MAX_PAYLOAD_BYTES or end > len(data) or not 0 < kind < len(_KINDS):
         return None
     payload = data[start:end]
     if zlib.crc32(payload, kind << 24 ^ length) != checksum:
@@ -239,8 +246,10 @@
 
 
 def scan(data: bytes, at: int = HEADER.size) -> Iterator[Record | tuple[int, int]]:
-    """A segment's records, or those from a place on, and between them what can't be read: from where to where. What
-    can't be read at its end comes last, as any other."""
+    """Yields a segment's records from the offset ``at`` on, and for each unreadable range its start and end offsets.
+
+    An unreadable range at the end of the segment is yielded too.
+    """
     while at < len(data):
         record = record_at(data, at)
         if record is not None:
@@ -256,33 +265,33 @@
 
 
 def read_entry(record: Record) -> Entry:
-    """The message of a TAKEN or STATE record; FormatError where it can't be read."""
+    """Decodes the message of a TAKEN or STATE record; FormatError if the payload is invalid."""
     payload = record.payload
     try:
         if record.kind is Kind.TAKEN:
-            return _read_entry(payload)
+            return _decode_entry(payload)
         attempts, flags, trying_at, ran_at, trying_size, ran_size, result, wait = _STATE.unpack_from(payload)
         at = _STATE.size
-        entry = _read_entry(payload[at + trying_size + ran_size :])
+        entry = _decode_entry(payload[at + trying_size + ran_size :])
         entry.attempts = attempts
-        entry.trying_at = trying_at if flags & TRYING else None
+        entry.trying_at = trying_at if flags & FLAG_TRYING else None
         entry.trying_zone = payload[at : at + trying_size].decode()
-        entry.ran_at = ran_at if flags & RAN else None
+        entry.ran_at = ran_at if flags & FLAG_RAN else None
         entry.ran_zone = payload[at + trying_size : at + trying_size + ran_size].decode()
         entry.ended = RESULTS[result] or None
         entry.wait_ms = wait
-        entry.uncertain = bool(flags & UNCERTAIN)
+        entry.uncertain = bool(flags & FLAG_UNCERTAIN)
         return entry
     except (struct.error, UnicodeDecodeError, IndexError) as error:
         raise FormatError(str(error)) from None
 
 
-def _read_entry(payload: bytes) -> Entry:
+def _decode_entry(payload: bytes) -> Entry:
     deadline, dest, ref_size, klass_size, key_size = _ENTRY.unpack_from(payload)
     at = _ENTRY.size
     ref = payload[at : at + ref_size].decode()
     at += ref_size
-    klass = sys.intern(payload[at : at + klass_size].decode())  # a few names, in every message
+    klass = sys.intern(payload[at : at + klass_size].decode())  # few distinct names, one in every message
     at += klass_size
     key = None
     if key_size != NO_KEY:
@@ -292,7 +301,7 @@
 
 
 def read_try(record: Record) -> tuple[str, int, str]:
-    """Ref, time and zone of an attempt."""
+    """Decodes ref, time and zone of a TRY record; FormatError if the payload is invalid."""
     try:
         size, at, zone_size = _TRY.unpack_from(record.payload)
         start = _TRY.size
@@ -306,17 +315,17 @@
 
 
 def read_epoch(record: Record) -> int | None:
-    """The epoch of an attempt; None where none is on record."""
+    """Decodes the epoch of a TRY record; None if the record has none. FormatError if the payload is invalid."""
     try:
         size, _, zone_size = _TRY.unpack_from(record.payload)
-        stamp = record.payload[_TRY.size + size + zone_size :]
-        return int(EPOCH.unpack(stamp)[0]) if stamp else None
+        raw_epoch = record.payload[_TRY.size + size + zone_size :]
+        return int(EPOCH.unpack(raw_epoch)[0]) if raw_epoch else None
     except struct.error as error:
         raise FormatError(str(error)) from None
 
 
 def read_outcome(record: Record) -> tuple[str, bool]:
-    """The ref, and whether the attempt may have run; FormatError where it can't be read."""
+    """Decodes an OUTCOME record: the ref, and whether the attempt may have run; FormatError if it is invalid."""
     try:
         size, ran = _OUTCOME.unpack_from(record.payload)
         return record.payload[_OUTCOME.size : _OUTCOME.size + size].decode(), bool(ran)
@@ -325,7 +334,7 @@
 
 
 def read_ended(record: Record) -> tuple[str, str, int]:
-    """The ref, the result and the wait in milliseconds; FormatError where it can't be read."""
+    """Decodes an ENDED record: ref, result and wait in milliseconds; FormatError if it is invalid."""
     try:
         size, result, wait = _ENDED.unpack_from(record.payload)
         return record.payload[_ENDED.size : _ENDED.size + size].decode(), RESULTS[result], wait
@@ -334,7 +343,7 @@
 
 
 def read_gone(record: Record) -> str:
-    """The ref; FormatError where it can't be read."""
+    """Decodes the ref of a GONE record; FormatError if it is invalid."""
     try:
         return record.payload.decode()
     except UnicodeDecodeError as error:
@@ -342,7 +351,7 @@
 
 
 def read_seal(record: Record) -> int:
-    """The count of records before it; FormatError where it can't be read."""
+    """Decodes the record count of a SEAL record; FormatError if it is invalid."""
     try:
         return int(_COUNT.unpack(record.payload)[0])
     except struct.error as error:
@@ -350,7 +359,7 @@
 
 
 def ref_of(record: Record) -> str:
-    """Whose record it is; empty for one that is of no message."""
+    """The ref of the message that a record belongs to; empty for SEAL and NOTE."""
     match record.kind:
         case Kind.TAKEN | Kind.STATE:
             return read_entry(record).ref
--- a/garnetrelay/store/index.py
+++ b/garnetrelay/store/index.py
@@ -1,8 +1,8 @@
-"""What the store holds and where its records lie: what is live in each segment, and what may go. No I/O.
+"""The index of the journal: entries, where their records are, and how much of each segment is live. No I/O.
 
-A message has one base (TAKEN or STATE) that counts, and behind it records that belong to it, perhaps in other segments.
-Older bases are stale: a GONE record is needed for as long as any other segment still has a base of its message, or that
-base would bring the message back.
+A message has one current base record (TAKEN or STATE) and later records that apply to it, possibly in other segments.
+Earlier base records are stale. A GONE record is a tombstone: it is needed as long as any other segment has a base record
+of its message, since without it that base record would restore the message at the next start.
 """
 
 from __future__ import annotations
@@ -12,162 +12,178 @@
 from garnetrelay.store import format as fmt
 from garnetrelay.store.format import Entry, Kind, Record
 
-TRIES = 6  # of a message, where nobody says how many there may be
-FIXED = 416  # of all its records, what depends neither on the message nor on its attempts: frames and times
-EACH = 64  # the same for an attempt and its outcome, with the name of a building
-
-
-def reserve(ref: str, key: str | None, body_length: int, tries: int = TRIES, each: int = EACH) -> int:
-    """What a message may come to take in all (bytes): its base, so many attempts, their outcomes, its end."""
-    return body_length + (2 * tries + 3) * len(ref) + 2 * len(key or "") + FIXED + tries * each
+DEFAULT_MAX_ATTEMPTS = 6  # attempts of a message, unless the settings say otherwise
+# Bytes of a message's records that depend neither on its ref, key and body nor on its attempts: record heads and times.
+FIXED_RECORD_BYTES = 416
+ATTEMPT_RECORD_BYTES = 64  # the same for one attempt and its outcome, with the zone's name
+
+
+def reserve(
+    ref: str,
+    key: str | None,
+    body_length: int,
+    max_attempts: int = DEFAULT_MAX_ATTEMPTS,
+    attempt_bytes: int = ATTEMPT_RECORD_BYTES,
+) -> int:
+    """Upper bound in bytes of all records of a message: its base, all attempts with their outcomes, and its end."""
+    return (
+        body_length
+        + (2 * max_attempts + 3) * len(ref)
+        + 2 * len(key or "")
+        + FIXED_RECORD_BYTES
+        + max_attempts * attempt_bytes
+    )
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file of the store."""
+    """One segment file."""
 
     number: int
     size: int = 0
-    live: int = 0  # bytes of its records that are still needed
+    live: int = 0  # bytes of its records that are needed
     records: int = 0
     sealed: bool = False
     entries: dict[str, None] = field(default_factory=dict)  # messages with needed records here
-    tombs: dict[str, int] = field(default_factory=dict)  # needed GONE records, with their size
-    stale: set[str] = field(default_factory=set)  # messages with a base here that counts no more
+    tombstones: dict[str, int] = field(default_factory=dict)  # needed GONE records, with their size in bytes
+    stale: set[str] = field(default_factory=set)  # messages with a stale base record here
 
 
 @dataclass(slots=True)
-class Tomb:
+class Tombstone:
     """A GONE record that is needed."""
 
     segment: int
-    bases: set[int]  # other segments with a base of its message
+    bases: set[int]  # other segments with a base record of its message
 
 
 class Index:
-    """All entries and segments. ``reserved`` counts what live messages may come to take."""
+    """All entries and segments. ``reserved``: upper bound in bytes of all records of the live messages."""
 
     def __init__(self) -> None:
-        self.tries = TRIES  # attempts that the settings allow a message
-        self.each = EACH
+        self.max_attempts = DEFAULT_MAX_ATTEMPTS  # of a message
+        self.attempt_bytes = ATTEMPT_RECORD_BYTES
         self.entries: dict[str, Entry] = {}
         self.segments: dict[int, Segment] = {}
-        self.tombs: dict[str, Tomb] = {}
+        self.tombstones: dict[str, Tombstone] = {}
         self.reserved = 0
-        self.live = 0  # bytes of all records that are still needed
+        self.live = 0  # bytes of all records that are needed
 
-    def allow(self, tries: int, epochs: bool = False) -> None:
-        """From now on a message may have so many attempts, with an epoch each or without: those that are there too."""
-        self.tries = tries
-        self.each = EACH + fmt.EPOCH.size * epochs
+    def set_attempt_limits(self, max_attempts: int, epochs: bool = False) -> None:
+        """Sets how many attempts a message may have, and whether each records an epoch; applies to all entries."""
+        self.max_attempts = max_attempts
+        self.attempt_bytes = ATTEMPT_RECORD_BYTES + fmt.EPOCH.size * epochs
         self.reserved = sum(self.reserve(e.ref, e.key, len(e.body)) for e in self.entries.values())
 
     def reserve(self, ref: str, key: str | None, body_length: int) -> int:
-        """What a message may come to take in all (bytes)."""
-        return reserve(ref, key, body_length, self.tries, self.each)
+        """Upper bound in bytes of all records of a message."""
+        return reserve(ref, key, body_length, self.max_attempts, self.attempt_bytes)
 
-    # ---- records that have been written, or were read
+    # ---- records that were written or read
 
-    def base(self, entry: Entry, number: int, size: int) -> None:
-        """A record with the whole of a message stands in a segment: all before it counts no more."""
-        old, tomb = self.entries.get(entry.ref), self.tombs.get(entry.ref)
-        if old is not None or tomb is not None:
-            self._supersede(entry, old, tomb, number)
+    def set_base(self, entry: Entry, number: int, size: int) -> None:
+        """Adds a base record in a segment; the message's earlier records are not needed any more."""
+        old, tombstone = self.entries.get(entry.ref), self.tombstones.get(entry.ref)
+        if old is not None or tombstone is not None:
+            self._supersede(entry, old, tombstone, number)
         entry.base, entry.spread = number, {}
         self.entries[entry.ref] = entry
         self.reserved += self.reserve(entry.ref, entry.key, len(entry.body))
-        self.more(entry, number, size)
+        self.add_record(entry, number, size)
 
-    def _supersede(self, entry: Entry, old: Entry | None, tomb: Tomb | None, number: int) -> None:
+    def _supersede(self, entry: Entry, old: Entry | None, tombstone: Tombstone | None, number: int) -> None:
         stale: set[int] = set()
         if old is not None:
             self.reserved -= self.reserve(old.ref, old.key, len(old.body))
-            self._unplace(old)
+            self._subtract_records(old)
             stale = {*old.stale, old.base}
-        if tomb is not None:
-            stale |= tomb.bases
-            self._drop_tomb(entry.ref, tomb)
+        if tombstone is not None:
+            stale |= tombstone.bases
+            self._drop_tombstone(entry.ref, tombstone)
         stale.discard(number)
         entry.stale = tuple(other for other in stale if other in self.segments)
         for other in entry.stale:
             self.segments[other].stale.add(entry.ref)
 
-    def more(self, entry: Entry, number: int, size: int) -> None:
-        """A further record of a message stands in a segment."""
+    def add_record(self, entry: Entry, number: int, size: int) -> None:
+        """Adds a record of a message after its base record."""
         entry.spread[number] = entry.spread.get(number, 0) + size
         segment = self.segments[number]
         segment.live += size
         self.live += size
         segment.entries[entry.ref] = None
 
-    def gone(self, ref: str, number: int, size: int) -> None:
-        """A GONE record stands in a segment."""
+    def set_gone(self, ref: str, number: int, size: int) -> None:
+        """Adds a GONE record: removes the entry, and keeps a tombstone where one is needed."""
         entry = self.entries.pop(ref, None)
-        if entry is not None and entry.base == number and not entry.stale and ref not in self.tombs:
-            # Its one base goes with this very segment: nothing can bring it back.
+        if entry is not None and entry.base == number and not entry.stale and ref not in self.tombstones:
+            # Its only base record is in the same segment and is removed with it: no tombstone is needed.
             self.reserved -= self.reserve(ref, entry.key, len(entry.body))
-            self._unplace(entry)
+            self._subtract_records(entry)
             return
         bases: set[int] = set()
         if entry is not None:
             self.reserved -= self.reserve(entry.ref, entry.key, len(entry.body))
-            self._unplace(entry)
+            self._subtract_records(entry)
             bases = {*entry.stale, entry.base}
-        tomb = self.tombs.get(ref)
-        if tomb is not None:
-            bases |= tomb.bases
-            self._drop_tomb(ref, tomb)
-        self.bury(ref, number, size, bases)
-
-    def bury(self, ref: str, number: int, size: int, bases: set[int]) -> None:
-        """Keep a GONE record for as long as there are bases elsewhere."""
-        tomb = self.tombs.get(ref)
-        if tomb is not None:
-            self._drop_tomb(ref, tomb)
-        # A base in its own segment goes with it.
+        tombstone = self.tombstones.get(ref)
+        if tombstone is not None:
+            bases |= tombstone.bases
+            self._drop_tombstone(ref, tombstone)
+        self.add_tombstone(ref, number, size, bases)
+
+    def add_tombstone(self, ref: str, number: int, size: int, bases: set[int]) -> None:
+        """Keeps a GONE record as long as other segments have base records of its message."""
+        tombstone = self.tombstones.get(ref)
+        if tombstone is not None:
+            self._drop_tombstone(ref, tombstone)
+        # A base record in the same segment is removed together with the GONE record.
         bases = {other for other in bases if other in self.segments and other != number}
         if not bases:
             return
-        self.tombs[ref] = Tomb(number, bases)
+        self.tombstones[ref] = Tombstone(number, bases)
         segment = self.segments[number]
-        segment.tombs[ref] = size
+        segment.tombstones[ref] = size
         segment.live += size
         self.live += size
         for other in bases:
             self.segments[other].stale.add(ref)
 
-    def empty_body(self, entry: Entry) -> None:
-        """It has ended and only has to be told: its body is not needed any more."""
+    def drop_body(self, entry: Entry) -> None:
+        """Frees the body of a message that has ended: only its notice is pending."""
         self.reserved -= len(entry.body)
         entry.body = b""
 
-    def removed(self, number: int) -> None:
-        """A segment's file is gone; nothing in it was needed."""
+    def remove_segment(self, number: int) -> None:
+        """Removes a segment whose file was removed; none of its records was needed."""
         segment = self.segments.pop(number)
         for ref in segment.stale:
-            tomb = self.tombs.get(ref)
-            if tomb is not None:
-                tomb.bases.discard(number)
-                if not tomb.bases:
-                    self._drop_tomb(ref, tomb)
+            tombstone = self.tombstones.get(ref)
+            if tombstone is not None:
+                tombstone.bases.discard(number)
+                if not tombstone.bases:
+                    self._drop_tombstone(ref, tombstone)
             elif (entry := self.entries.get(ref)) is not None:
                 entry.stale = tuple(other for other in entry.stale if other != number)
 
-    def vanished(self, number: int) -> None:
-        """A segment that was read is gone: it was cleaned meanwhile. What had its base there was written anew behind
-        it or is over, and so are the ends that were kept there."""
+    def forget_segment(self, number: int) -> None:
+        """Removes a preloaded segment that was compacted after it was read.
+
+        Messages with their base record there, and tombstones there, were copied to later segments or are not needed any
+        more.
+        """
         segment = self.segments[number]
         for ref in list(segment.entries):
             entry = self.entries[ref]
             if entry.base == number:
                 del self.entries[ref]
                 self.reserved -= self.reserve(ref, entry.key, len(entry.body))
-                self._unplace(entry)
-        for ref in list(segment.tombs):
-            self._drop_tomb(ref, self.tombs[ref])
-        self.removed(number)
+                self._subtract_records(entry)
+        for ref in list(segment.tombstones):
+            self._drop_tombstone(ref, self.tombstones[ref])
+        self.remove_segment(number)
 
-    def _unplace(self, entry: Entry) -> None:
+    def _subtract_records(self, entry: Entry) -> None:
         for number, size in entry.spread.items():
             segment = self.segments.get(number)
             if segment is not None:
@@ -176,61 +192,64 @@
                 segment.entries.pop(entry.ref, None)
         entry.spread = {}
 
-    def _drop_tomb(self, ref: str, tomb: Tomb) -> None:
-        del self.tombs[ref]
-        segment = self.segments.get(tomb.segment)
+    def _drop_tombstone(self, ref: str, tombstone: Tombstone) -> None:
+        del self.tombstones[ref]
+        segment = self.segments.get(tombstone.segment)
         if segment is not None:
-            size = segment.tombs.pop(ref, 0)
+            size = segment.tombstones.pop(ref, 0)
             segment.live -= size
             self.live -= size
 
-    # ---- what a record means
+    # ---- replay
 
     def replay(self, record: Record, number: int) -> None:
-        """Take in a record that was read; FormatError where it can't be understood."""
+        """Applies a record that was read; FormatError if its payload is invalid."""
         match record.kind:
             case Kind.TAKEN | Kind.STATE:
-                self.base(fmt.read_entry(record), number, record.size)
+                self.set_base(fmt.read_entry(record), number, record.size)
             case Kind.TRY:
                 ref, at, zone = fmt.read_try(record)
                 if (entry := self.entries.get(ref)) is not None:
-                    begin(entry, at, zone)
-                    self.more(entry, number, record.size)
+                    apply_attempt(entry, at, zone)
+                    self.add_record(entry, number, record.size)
             case Kind.OUTCOME:
                 ref, ran = fmt.read_outcome(record)
                 if (entry := self.entries.get(ref)) is not None:
-                    settle(entry, ran)
-                    self.more(entry, number, record.size)
+                    apply_outcome(entry, ran)
+                    self.add_record(entry, number, record.size)
             case Kind.ENDED:
                 ref, result, wait = fmt.read_ended(record)
                 if (entry := self.entries.get(ref)) is not None:
                     entry.ended, entry.wait_ms = result, wait
-                    self.empty_body(entry)
-                    self.more(entry, number, record.size)
+                    self.drop_body(entry)
+                    self.add_record(entry, number, record.size)
             case Kind.GONE:
-                self.gone(fmt.read_gone(record), number, record.size)
+                self.set_gone(fmt.read_gone(record), number, record.size)
             case Kind.SEAL | Kind.NOTE:
                 pass
 
-    def damaged(self) -> None:
-        """Something can't be read: of all messages known so far an attempt may be missing."""
+    def mark_all_uncertain(self) -> None:
+        """Marks all entries uncertain: after unreadable bytes a record of an attempt may be missing for any of them."""
         for entry in self.entries.values():
             entry.uncertain = True
 
 
-def begin(entry: Entry, at: int, zone: str) -> None:
-    """An attempt is about to go out. One before it without an outcome (a kill came between) may have run: behind the
-    new one's outcome nothing else would say so."""
+def apply_attempt(entry: Entry, at: int, zone: str) -> None:
+    """Applies the start of an attempt.
+
+    An earlier attempt without an outcome, as a kill leaves one, may have run. That is kept in ``ran_at``, since the new
+    attempt's outcome will clear ``trying_at``.
+    """
     if entry.trying_at is not None and entry.ran_at is None:
         entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
     entry.attempts += 1
     entry.trying_at, entry.trying_zone = at, zone
 
 
-def settle(entry: Entry, ran: bool) -> None:
-    """The attempt has an outcome."""
+def apply_outcome(entry: Entry, ran: bool) -> None:
+    """Applies the outcome of the latest attempt."""
     if ran and entry.ran_at is None:
         entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
-        if entry.ran_at is None:  # the attempt's own record is missing
+        if entry.ran_at is None:  # the attempt's TRY record is missing
             entry.uncertain = True
     entry.trying_at = None
--- a/garnetrelay/store/legacy.py
+++ b/garnetrelay/store/legacy.py
@@ -1,4 +1,4 @@
-"""The journal of versions before the segments, one file of JSON records: read once, to be taken over. No I/O."""
+"""Reads the journal of versions before segments, a single file of JSON records, to import it once. No I/O."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import zlib
 
 from garnetrelay.store.format import Entry
-from garnetrelay.store.index import begin, settle
+from garnetrelay.store.index import apply_attempt, apply_outcome
 
 NAME = "journal"
-SPARE = "journal.new"  # a rewrite that a kill cut short
+SPARE = "journal.new"  # an incomplete rewrite, left by a kill
 HEAD = struct.Struct(">2sII")  # mark, length of the payload, its CRC-32
 MARK = b"\xa7R"
-MOST_PAYLOAD = 1 << 20
+MAX_PAYLOAD_BYTES = 1 << 20
 
 
 def read(data: bytes) -> tuple[dict[str, Entry], int]:
-    """The live messages of such a file, and how many damaged bytes were passed over (a torn tail is none)."""
+    """The live messages of such a file, and the number of damaged bytes skipped, without a torn tail."""
     entries: dict[str, Entry] = {}
     at = damaged = 0
     while at < len(data):
@@ -44,19 +44,19 @@
 def _replay(entries: dict[str, Entry], payload: bytes) -> None:
     head, _, body = payload.partition(b"\n")
     record = json.loads(head)
-    what = record.pop("t")
-    if what == "taken":
+    kind = record.pop("t")
+    if kind == "taken":
         entry = Entry(body=body, **record)
         entries[entry.ref] = entry
         return
     found = entries.get(record["ref"])
     if found is None:
         return
-    match what:
+    match kind:
         case "try":
-            begin(found, record["at"], record["zone"])
+            apply_attempt(found, record["at"], record["zone"])
         case "outcome":
-            settle(found, record["ran"])
+            apply_outcome(found, record["ran"])
         case "ended" if record["result"] is not None:
             found.ended, found.wait_ms, found.body = record["result"], record["wait"], b""
         case "ended" | "told":
@@ -68,7 +68,7 @@
         return None
     mark, length, checksum = HEAD.unpack_from(data, at)
     payload = data[at + HEAD.size : at + HEAD.size + length]
-    if mark != MARK or length > MOST_PAYLOAD or len(payload) < length or zlib.crc32(payload) != checksum:
+    if mark != MARK or length > MAX_PAYLOAD_BYTES or len(payload) < length or zlib.crc32(payload) != checksum:
         return None
     return payload
 
--- a/garnetrelay/store/preload.py
+++ b/garnetrelay/store/preload.py
@@ -1,8 +1,8 @@
-"""Reads a live folder ahead of the claim on it, so that a start that takes it over has to read only what came since.
+"""Reads a state folder before its lock is taken, so that an upgrade reads only what was added since.
 
-Whatever the process that works on the folder does meanwhile, the files that are there when the claim is taken are the
-truth: segments that grew are read from where this reading ended, new ones whole, and what stood in segments that are
-gone was written anew behind it, or is over.
+The process that holds the lock may write meanwhile. The files that exist once the lock is taken are authoritative:
+segments that grew are read from the offset where preloading ended, new segments are read whole, and the live records of
+segments that are gone were copied to later segments before the removal.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 @dataclass(slots=True)
 class Preloaded:
-    """What has been read: the index of it, and up to where in each segment (bytes)."""
+    """The index of the records that were read, and the offset in bytes up to which each segment was read."""
 
     index: Index = field(default_factory=Index)
-    read: dict[int, int] = field(default_factory=dict)
+    offsets: dict[int, int] = field(default_factory=dict)
 
 
 def preload_folder(storage: Storage, segment_number: Callable[[str], int | None]) -> Preloaded | None:
-    """None where there is anything that only a start can judge: damage, a later version, a failing folder."""
+    """Reads all segments; None where only a start can decide what to do: damage, a later version, a failing folder."""
     found = Preloaded()
     try:
         names = {number: name for name in storage.names() if (number := segment_number(name)) is not None}
@@ -32,20 +32,20 @@
             try:
                 data = storage.read(names[number])
             except FileNotFoundError:
-                continue  # cleaned meanwhile
+                continue  # compacted and removed meanwhile
             if fmt.header_number(data) != number:
                 if number == max(names):
-                    break  # it is being begun
+                    break  # its header is being written
                 return None
-            if not _take(found, number, data, number == max(names)):
+            if not _read_segment(found, number, data, number == max(names)):
                 return None
     except (OSError, fmt.LaterVersionError, fmt.FormatError):
         return None
     return found
 
 
-def _take(found: Preloaded, number: int, data: bytes, newest: bool) -> bool:
-    """One segment, up to its end or to where it is being written; whether it could be read so."""
+def _read_segment(found: Preloaded, number: int, data: bytes, newest: bool) -> bool:
+    """Reads a segment to its end, or up to the record being written; False if anything before that is damaged."""
     segment = found.index.segments[number] = Segment(number)
     end = fmt.HEADER.size
     for record in fmt.scan(data):
@@ -56,13 +56,13 @@
         segment.records += 1
         segment.sealed = record.kind is fmt.Kind.SEAL
         found.index.replay(record, number)
-        end = record.at + record.size
-    found.read[number] = segment.size = end
+        end = record.offset + record.size
+    found.offsets[number] = segment.size = end
     return True
 
 
 def drop_removed_segments(preloaded: Preloaded, numbers: list[int]) -> None:
-    """Leave out of account what is not there any more. ``numbers`` are the segments that are."""
-    for number in sorted(preloaded.read.keys() - set(numbers)):
-        preloaded.index.vanished(number)
-        del preloaded.read[number]
+    """Forgets the preloaded segments that no longer exist. ``numbers``: the segments that do."""
+    for number in sorted(preloaded.offsets.keys() - set(numbers)):
+        preloaded.index.forget_segment(number)
+        del preloaded.offsets[number]
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -1,12 +1,12 @@
-"""The files of the log: the segment that is written to, the sealed ones before it, and syncs to the disk.
+"""The files of the log: the active segment, the sealed segments before it, and syncs to the disk.
 
-The lowest of the four layers of a store: ``SegmentLog`` (here), ``CompactedLog`` (compaction.py), ``RecoveredLog``
-(recovery.py), ``Store`` (store.py). Each is built on the one before, uses nothing of those behind it, and one
-thread uses all.
+This is the lowest of the four layers of a store: ``SegmentLog`` (here), ``CompactedLog`` (compaction.py),
+``RecoveredLog`` (recovery.py) and ``Store`` (store.py). Each extends the one before it and uses nothing of the later
+ones. A store is used by one thread.
 
-Owned here: which bytes stand in which segment, what is pending, and what a write or sync that failed leaves to be
-written anew (``failed``). Guards against half records, against blocks that are not counted, and against a sync
-that is repeated as if the first had not failed.
+This layer owns the bytes of each segment, the buffered records, and the refs whose records must be written again after a
+failed write or sync (``unrecorded``). It guards against partial records, against disk usage that is not counted, and
+against retrying a failed sync, which may succeed although the data was lost.
 """
 
 from __future__ import annotations
@@ -20,66 +20,67 @@
 from garnetrelay.store.format import Entry
 from garnetrelay.store.index import Index, Segment
 from garnetrelay.store.reading import segment_name
-from garnetrelay.store.storage import Storage, blocks
+from garnetrelay.store.storage import Storage, round_to_blocks
 
 log = logging.getLogger(__name__)
 
-BEGUN = 4 * 512  # of the disk, for blocks begun
-RESERVE = 16 * 512  # the same with all that the folder holds besides: the lock, the hosts out by hand, old and new
-LEAST_DISK = 40_000
+PARTIAL_BLOCK_BYTES = 4 * 512  # of the disk, for partly filled blocks
+# The same, and all other files of the folder: the lock, and the old and the new file of hosts excluded by operators.
+RESERVED_BYTES = 16 * 512
+MIN_DISK_BYTES = 40_000
 
-OnRecord = Callable[[bool], None]
+RecordedCallback = Callable[[bool], None]
 
 
 class StoreError(Exception):
-    """A folder that this program can't work with; it has been left as it was."""
+    """This program cannot use the folder; it has not been changed."""
 
 
 @dataclass(slots=True)
 class Sync:
-    """One sync: ``run`` blocks, and may run in another thread; the rest is the store's."""
+    """One sync. ``run`` blocks and may run in another thread; the fields belong to the store."""
 
     storage: Storage
     handles: list[int]
     retired: list[int]
-    waiting: list[OnRecord]
+    waiting: list[RecordedCallback]
     unsynced: set[str]
     unlinked: list[int]
 
     def run(self) -> None:
-        """OSError where it fails."""
+        """Syncs the files and the folder; OSError if that fails."""
         for handle in self.handles:
             self.storage.sync(handle)
         self.storage.sync_names()
 
 
 class SegmentLog:
-    """Segments and what is pending for them. Sizes are bytes; ``disk_bytes`` is all that the folder may take."""
+    """Segments and the records buffered for them. Sizes are in bytes; ``disk_bytes`` is the folder's limit."""
 
-    def __init__(self, storage: Storage, disk_bytes: int, machine: bool) -> None:
+    def __init__(self, storage: Storage, disk_bytes: int, machine_durable: bool) -> None:
         self.storage = storage
-        self.machine = machine  # on record is what outlasts the machine's power, not only this process
-        self.wake: Callable[[], None] | None = None  # tells whoever syncs that something waits for it
-        if disk_bytes < LEAST_DISK:
-            raise StoreError(f"the journal needs {LEAST_DISK / 1e6:g} MB of disk, and may have {disk_bytes / 1e6:g}")
-        self.sizes = compaction_policy.Sizes(disk_bytes - RESERVE)
+        self.machine_durable = machine_durable  # recorded: survives a power loss, not only the end of this process
+        self.wake_sync: Callable[[], None] | None = None  # notifies the sync worker of a waiting callback
+        if disk_bytes < MIN_DISK_BYTES:
+            raise StoreError(f"the journal needs {MIN_DISK_BYTES / 1e6:g} MB of disk, its limit is {disk_bytes / 1e6:g}")
+        self.sizes = compaction_policy.Sizes(disk_bytes - RESERVED_BYTES)
         self.index = Index()
-        self.write_failed = False  # nothing can be put on record just now
-        self.failed: set[str] = set()  # messages whose records are not what stands in the files
+        self.write_failed = False  # a write or sync failed, or the disk limit is reached; until a retry succeeds
+        self.unrecorded: set[str] = set()  # refs whose records are missing from the files
         self._pending = bytearray()
-        self._touched: list[str] = []  # messages of the records that are pending
+        self._pending_refs: list[str] = []  # of the buffered records
         self._handle: int | None = None
         self._active = Segment(0)
         self._used = 0  # bytes of all segments, in whole blocks
-        self._appended = 0  # since the last step of cleaning
-        self._distrusted = False  # a sync of it failed: it is left
-        self._waiting: list[OnRecord] = []  # for the next sync
-        self._unsynced: set[str] = set()  # messages with records that no sync has covered
+        self._appended = 0  # bytes since the last step of compaction
+        self._sync_failed = False  # a sync of the active segment failed: it is not written to any more
+        self._waiting: list[RecordedCallback] = []  # callbacks for the next sync
+        self._unsynced: set[str] = set()  # refs with records that no sync has covered
         self._retired: list[int] = []  # handles of sealed segments that no sync has covered
         self._unlinked: list[int] = []  # segments whose removal no sync has covered
-        self._last = 0  # the highest number that was ever tried
-        self._said = False  # that it is broken
-        self._spoilt = False  # the active segment may end in half a record: nothing goes behind that
+        self._last_number = 0  # the highest segment number used or tried
+        self._failure_logged = False  # one log line for each period of failing writes
+        self._torn_tail = False  # the active segment may end in a partial record: nothing may follow that
 
     @property
     def entries(self) -> dict[str, Entry]:
@@ -88,20 +89,20 @@
 
     @property
     def used(self) -> int:
-        """Bytes of all files, in whole blocks, with what is pending."""
+        """Disk usage of all segments in bytes, in whole blocks, including the buffered records."""
         if not self._pending:
             return self._used
-        return self._used - blocks(self._active.size) + blocks(self._active.size + len(self._pending))
+        return self._used - round_to_blocks(self._active.size) + round_to_blocks(self._active.size + len(self._pending))
 
     def flush_and_sync(self) -> bool:
-        """Put on record all that was noted, on disk too where that counts; whether that came about."""
+        """Writes all buffered records, and syncs them if ``machine_durable``; False if anything remains unrecorded."""
         if self.flush():
             self._sync_all()
-        return not self.write_failed and not self.failed
+        return not self.write_failed and not self.unrecorded
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         if self.flush() and self._handle is not None:
-            self._append(fmt.seal(self._active.records))  # what is missing behind it is missing, not torn
+            self._append(fmt.encode_seal(self._active.records))  # then missing bytes mean damage, not a torn tail
             self._sync_all()
         for handle in (*self._retired, *(() if self._handle is None else (self._handle,))):
             self._close(handle)
@@ -110,74 +111,77 @@
     # ---- writing
 
     def flush(self) -> bool:
-        """Write what was noted; whether it is all on record. What could not be written is written anew, by message,
-        once the folder takes something again: no attempt goes out on it, and no client is told of it."""
+        """Writes all buffered records; whether that succeeded.
+
+        After a failure the messages' full states are written again once the folder accepts writes; until then the caller
+        must not send attempts or answer clients that depend on these records.
+        """
         if self.write_failed:
             self._give_up_pending()
             return False
         if not self._pending:
             return True
         data, self._pending = bytes(self._pending), bytearray()
-        touched, self._touched = self._touched, []
+        touched, self._pending_refs = self._pending_refs, []
         if self._append(data):
-            if self.machine:
+            if self.machine_durable:
                 self._unsynced.update(touched)
             return True
-        self.failed.update(touched)
+        self.unrecorded.update(touched)
         return False
 
-    def when_recorded(self, callback: OnRecord) -> None:
-        """Flush, and call back with whether it is all on record: at once, or when the next sync has covered it."""
+    def when_recorded(self, callback: RecordedCallback) -> None:
+        """Flushes, and calls back with whether all is recorded: now, or after the next sync if ``machine_durable``."""
         recorded = self.flush()
-        if not recorded or not self.machine:
+        if not recorded or not self.machine_durable:
             callback(recorded)
             return
         self._waiting.append(callback)
-        if self.wake is not None:
-            self.wake()
+        if self.wake_sync is not None:
+            self.wake_sync()
 
     def _give_up_pending(self) -> None:
         self._pending.clear()
-        self.failed.update(self._touched)
-        self._touched = []
+        self.unrecorded.update(self._pending_refs)
+        self._pending_refs = []
 
     def _append(self, data: bytes) -> bool:
-        """Write to the active segment, or say that it can't be done."""
+        """Writes to the active segment; False if there is no room or the write fails."""
         active = self._active
-        if self._handle is None or self.used + len(data) > self.sizes.most + BEGUN:
-            self._fail("no room" if self._handle is not None else "no segment")
+        if self._handle is None or self.used + len(data) > self.sizes.max_bytes + PARTIAL_BLOCK_BYTES:
+            self._fail("disk limit reached" if self._handle is not None else "no segment could be created")
             return False
         try:
             self.storage.append(self._handle, data)
         except OSError as error:
             self._fail(error.strerror or type(error).__name__)
             try:
-                self.storage.truncate(self._handle, active.size)  # half a record would hide those behind it
+                self.storage.truncate(self._handle, active.size)  # a partial record would hide later ones
             except OSError:
-                self._spoilt = True
+                self._torn_tail = True
             return False
-        self._used += blocks(active.size + len(data)) - blocks(active.size)
+        self._used += round_to_blocks(active.size + len(data)) - round_to_blocks(active.size)
         active.size += len(data)
         self._appended += len(data)
         return True
 
     def _fail(self, why: str) -> None:
         self.write_failed = True
-        if not self._said:
-            self._said = True
+        if not self._failure_logged:
+            self._failure_logged = True
             log.error("journal: cannot write: %s; what is held goes on, newcomers are refused", why)
 
     def _rotate(self) -> bool:
-        """Seal the active segment and begin the next."""
+        """Seals the active segment and begins the next."""
         if self._pending and not self.flush():
             return False
-        if not self.write_failed and self._handle is not None and not self._append(fmt.seal(self._active.records)):
+        if not self.write_failed and self._handle is not None and not self._append(fmt.encode_seal(self._active.records)):
             return False
-        return self._begin()
+        return self._begin_segment()
 
-    def _begin(self) -> bool:
-        """A new segment, for all that comes from now on."""
-        number = self._last = max(self._last, self._active.number) + 1
+    def _begin_segment(self) -> bool:
+        """Creates the next segment and makes it the active one."""
+        number = self._last_number = max(self._last_number, self._active.number) + 1
         try:
             handle = self.storage.create(segment_name(number))
         except OSError as error:
@@ -188,38 +192,38 @@
             self.storage.append(handle, head)
         except OSError as error:
             self._fail(error.strerror or type(error).__name__)
-            self._drop_file(handle, number)
+            self._discard_new_file(handle, number)
             return False
         if self._handle is not None:
             self._active.sealed = True
-            if self.machine:
+            if self.machine_durable:
                 self._retired.append(self._handle)
             else:
                 self._close(self._handle)
-        self._handle, self._spoilt, self._distrusted = handle, False, False
+        self._handle, self._torn_tail, self._sync_failed = handle, False, False
         self._active = self.index.segments[number] = Segment(number, len(head))
-        self._used += blocks(len(head))
+        self._used += round_to_blocks(len(head))
         return True
 
-    def _drop_file(self, handle: int, number: int) -> None:
-        """Take back a file that could not be begun."""
+    def _discard_new_file(self, handle: int, number: int) -> None:
+        """Removes a new segment file whose header could not be written."""
         self._close(handle)
         try:
             self.storage.remove(segment_name(number))
         except OSError as error:
-            # It stays, without a whole header: a start takes it away.
+            # It remains without a complete header; the next start removes it.
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
 
     def _close(self, handle: int) -> None:
         try:
             self.storage.close(handle)
         except OSError as error:
-            log.error("journal: closing a segment: %s", error.strerror)
+            log.error("journal: a segment cannot be closed: %s", error.strerror)
 
-    # ---- syncs, where the machine's power counts
+    # ---- syncs, only if ``machine_durable``
 
     def begin_sync(self) -> Sync | None:
-        """What the next sync has to cover; None if nothing waits for one. One at a time: ``end_sync`` ends it."""
+        """Collects what the next sync covers; None if no callback waits. ``end_sync`` must follow before another."""
         if not self._waiting:
             return None
         handles = [*self._retired, *([] if self._handle is None else [self._handle])]
@@ -228,20 +232,23 @@
         return sync
 
     def end_sync(self, sync: Sync, error: OSError | None) -> None:
-        """What it covered is on record; or, after a failure, nothing of it can be relied on: it is written anew in
-        another segment, never synced again as if nothing had happened."""
+        """Completes a sync: what it covered is recorded.
+
+        After a failure the data that it covered may be lost, even if a later sync of the same file succeeds. The messages
+        are then written again to another segment.
+        """
         for handle in sync.retired:
             self._close(handle)
         if error is None:
             for number in sync.unlinked:
-                self.index.removed(number)
+                self.index.remove_segment(number)
             for callback in sync.waiting:
                 callback(True)
             return
         self._fail(error.strerror or type(error).__name__)
-        self._spoilt = self._distrusted = True
+        self._torn_tail = self._sync_failed = True
         self._give_up_pending()
-        self.failed |= sync.unsynced | self._unsynced
+        self.unrecorded |= sync.unsynced | self._unsynced
         self._unsynced = set()
         self._unlinked += sync.unlinked
         waiting, self._waiting = [*sync.waiting, *self._waiting], []
@@ -249,8 +256,8 @@
             callback(False)
 
     def _sync_all(self) -> None:
-        """Where the machine's power counts: all that was written must outlast it now."""
-        if not self.machine:
+        """Syncs all that was written, blocking, if ``machine_durable``."""
+        if not self.machine_durable:
             return
         self._waiting.append(lambda recorded: None)
         sync = self.begin_sync()
@@ -258,6 +265,6 @@
         error: OSError | None = None
         try:
             sync.run()
-        except OSError as failed:
-            error = failed
+        except OSError as caught:
+            error = caught
         self.end_sync(sync, error)
--- a/garnetrelay/store/storage.py
+++ b/garnetrelay/store/storage.py
@@ -1,4 +1,4 @@
-"""The only door from the store to files: a narrow interface, and the folder that it stands for."""
+"""The store's only access to files: a narrow interface, and its implementation on a folder of the file system."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 from pathlib import Path
 from typing import Protocol
 
-BLOCK = 512  # a file counts in whole blocks
-LOCK_TIMEOUT_S = 1.0  # seconds in which an earlier process may still be on its way out
-LOCK = "lock"
+BLOCK_BYTES = 512  # disk usage is counted in whole blocks of this size
+LOCK_TIMEOUT_S = 1.0  # a previous process may still be exiting
+LOCK_RETRY_S = 0.02
+LOCK_FILE = "lock"
 
 
-def blocks(size: int) -> int:
-    """What a file of a size counts (bytes)."""
-    return -(-size // BLOCK) * BLOCK
+def round_to_blocks(size: int) -> int:
+    """The disk usage in bytes of a file of this size."""
+    return -(-size // BLOCK_BYTES) * BLOCK_BYTES
 
 
 class FolderLockedError(OSError):
-    """Another process works on the folder."""
+    """Another process holds the folder's lock."""
 
 
 class Storage(Protocol):
-    """What the store needs of files. Each call may raise OSError; ``append`` may then have written a part."""
+    """The file operations that the store needs. Each may raise OSError; ``append`` may then have written a part."""
 
     def names(self) -> list[str]:
-        """All files of the folder."""
+        """The names of all files of the folder."""
         ...
 
     def read(self, name: str) -> bytes:
@@ -34,35 +35,35 @@
         ...
 
     def create(self, name: str) -> int:
-        """A new file, open for appending; it must not exist."""
+        """Creates a file, open for appending; it must not exist."""
         ...
 
     def append(self, handle: int, data: bytes) -> None:
-        """Write all of it at the end."""
+        """Writes all of ``data`` at the end."""
         ...
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut an open file."""
+        """Truncates an open file."""
         ...
 
     def cut(self, name: str, size: int, tail: bytes) -> None:
-        """Cut a closed file, write a tail at its new end, and sync it."""
+        """Truncates a closed file, writes a tail at its new end, and syncs it."""
         ...
 
     def sync(self, handle: int) -> None:
-        """Its content outlasts the machine's power from now on."""
+        """Syncs an open file: its content survives a power loss from now on."""
         ...
 
     def sync_names(self) -> None:
-        """So do the folder's names."""
+        """Syncs the folder's entries: files created and removed."""
         ...
 
     def close(self, handle: int) -> None:
-        """No more is written."""
+        """Closes an open file."""
         ...
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
+        """Removes a file."""
         ...
 
 
@@ -78,7 +79,7 @@
 
         The lock belongs to an open file description: it ends with the process, and passes to another with the descriptor.
         """
-        lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         end = time.monotonic() + LOCK_TIMEOUT_S
         while True:
             try:
@@ -87,15 +88,15 @@
                 if time.monotonic() > end:
                     os.close(lock)
                     raise FolderLockedError(f"{self.path}: another relay works on this folder") from None
-                time.sleep(0.02)
+                time.sleep(LOCK_RETRY_S)
             else:
                 self._lock = lock
                 return
 
     def is_locked(self) -> bool:
-        """Whether some process works on the folder just now."""
+        """Whether some process holds the folder's lock."""
         try:
-            lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CLOEXEC)
+            lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CLOEXEC)
         except OSError:
             return False
         try:
@@ -107,23 +108,23 @@
             os.close(lock)
 
     def adopt_lock(self, lock: int) -> None:
-        """Take the folder with a claim that another process has handed over."""
+        """Takes over a lock, as a descriptor that another process has passed."""
         self._lock = lock
 
     def detach_lock(self) -> int:
-        """The claim, for another process: this one has none any more."""
+        """Returns the lock's descriptor to pass it to another process; this folder holds no lock any more."""
         assert self._lock is not None
         lock, self._lock = self._lock, None
         return lock
 
     def unlock(self) -> None:
-        """Give the claim on the folder up; nothing happens where there is none."""
+        """Releases the lock, if this folder holds it."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
 
     def names(self) -> list[str]:
-        """All files of the folder, in no order."""
+        """The names of all files of the folder, in no particular order."""
         return os.listdir(self.path)
 
     def read(self, name: str) -> bytes:
@@ -131,21 +132,21 @@
         return (self.path / name).read_bytes()
 
     def create(self, name: str) -> int:
-        """A new file, open for appending, that its owner alone may read; FileExistsError where there is one."""
+        """Creates a file, open for appending, that only its owner may read; FileExistsError if it exists."""
         return os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def append(self, handle: int, data: bytes) -> None:
-        """Write all of it at the end, in as many writes as it takes; behind an OSError a part may stand there."""
+        """Writes all of ``data`` at the end, in as many writes as needed; after an OSError a part may be written."""
         view = memoryview(data)
         while view:
             view = view[os.write(handle, view) :]
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut an open file to a size in bytes."""
+        """Truncates an open file to a size in bytes."""
         os.ftruncate(handle, size)
 
     def cut(self, name: str, size: int, tail: bytes) -> None:
-        """Cut a closed file to a size in bytes, write a tail at its new end, and sync it."""
+        """Truncates a closed file to a size in bytes, writes a tail at its new end, and syncs it."""
         handle = os.open(self.path / name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         try:
             os.ftruncate(handle, size)
@@ -155,11 +156,11 @@
             os.close(handle)
 
     def sync(self, handle: int) -> None:
-        """Put an open file's content on the disk."""
+        """Syncs an open file's content to the disk."""
         os.fsync(handle)
 
     def sync_names(self) -> None:
-        """Put the folder's own entries on the disk: files made, renamed and removed."""
+        """Syncs the folder's entries to the disk: files created, renamed and removed."""
         handle = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -167,18 +168,20 @@
             os.close(handle)
 
     def close(self, handle: int) -> None:
-        """Close an open file without a sync."""
+        """Closes an open file without a sync."""
         os.close(handle)
 
     def remove(self, name: str) -> None:
-        """Remove a file; its name is gone from the disk after ``sync_names``."""
+        """Removes a file; the removal survives a power loss after ``sync_names``."""
         (self.path / name).unlink()
 
     def replace(self, name: str, data: bytes, sync: bool) -> None:
-        """Put a whole file in another's place: at no moment does half of it stand under that name. OSError leaves
-        the old one as it was."""
+        """Writes a file atomically: the name refers to the old or the new content at any time.
+
+        After an OSError it refers to the old content.
+        """
         spare = self.path / f"{name}.new"
-        spare.unlink(missing_ok=True)  # what a stop left half written
+        spare.unlink(missing_ok=True)  # incomplete, left by an earlier process
         handle = self.create(spare.name)
         try:
             self.append(handle, data)
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -181,7 +181,7 @@
                     self.model.noted(store, ref)
 
         store.when_recorded(told)
-        if store.machine and self.draw.random() < 0.7:
+        if store.machine_durable and self.draw.random() < 0.7:
             sync = store.begin_sync()
             if sync is not None:
                 error: OSError | None = None
@@ -259,7 +259,7 @@
     data = bytearray(disk.files[name].data)
     records = [r for r in fmt.scan(bytes(data)) if isinstance(r, fmt.Record) and r.kind is not fmt.Kind.SEAL]
     hit = draw.choice(records)
-    data[hit.at + draw.randrange(hit.size)] ^= 1 << draw.randrange(8)
+    data[hit.offset + draw.randrange(hit.size)] ^= 1 << draw.randrange(8)
     disk.files[name].data = bytes(data)
     after = Store(disk, DISK)
     hurt = fmt.ref_of(hit)
--- a/tests/store/mutations.py
+++ b/tests/store/mutations.py
@@ -49,8 +49,8 @@
         segment = self.index.segments[number]
         self.storage.remove(reading.segment_name(number))
         clean(self, number, *more)
-        if number in self.index.segments and not segment.entries and not segment.tombs:
-            self.index.removed(number)
+        if number in self.index.segments and not segment.entries and not segment.tombstones:
+            self.index.remove_segment(number)
 
     return wrong
 
@@ -123,7 +123,7 @@
     return lambda self, sync, error: end(self, sync, None)
 
 
-def tombs_forgotten(bury: Any) -> Any:
+def tombstones_forgotten(add_tombstone: Any) -> Any:
     return nothing
 
 
@@ -139,25 +139,27 @@
 MUTATIONS: dict[str, Plant] = {
     "checksum skipped": lambda: in_place(fmt, "record_at", checksum_skipped),
     "reading stops at damage": lambda: in_place(fmt, "scan", scan_stops_at_damage),
-    "segment removed before its messages are written": lambda: in_place(store.Store, "_clean", removed_before_written),
+    "segment removed before its messages are written": lambda: in_place(
+        store.Store, "_compact_segment", removed_before_written
+    ),
     "attempts passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.TRY)),
     "outcomes passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.OUTCOME)),
     "results passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.ENDED)),
     "ends passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.GONE)),
     "states passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.STATE)),
-    "state without its attempt": lambda: in_place(fmt, "state", without_flag("trying_at", None)),
-    "state without what may have run": lambda: in_place(fmt, "state", without_flag("ran_at", None)),
-    "state without its result": lambda: in_place(fmt, "state", without_flag("ended", None)),
-    "state without its number of attempts": lambda: in_place(fmt, "state", without_flag("attempts", 0)),
-    "state without its doubt": lambda: in_place(fmt, "state", without_flag("uncertain", False)),
+    "state without its attempt": lambda: in_place(fmt, "encode_state", without_flag("trying_at", None)),
+    "state without what may have run": lambda: in_place(fmt, "encode_state", without_flag("ran_at", None)),
+    "state without its result": lambda: in_place(fmt, "encode_state", without_flag("ended", None)),
+    "state without its number of attempts": lambda: in_place(fmt, "encode_state", without_flag("attempts", 0)),
+    "state without its doubt": lambda: in_place(fmt, "encode_state", without_flag("uncertain", False)),
     "doubt not written anew": lambda: in_place(
-        store.Store, "_say_doubts", lambda _: lambda self, most: self._doubted.clear()
+        store.Store, "_record_uncertain", lambda _: lambda self, most: self._unrecorded_uncertain.clear()
     ),
-    "end not kept for older records": lambda: in_place(ix.Index, "bury", tombs_forgotten),
-    "damage not held against what was held": lambda: in_place(ix.Index, "damaged", lambda _: nothing),
+    "end not kept for older records": lambda: in_place(ix.Index, "add_tombstone", tombstones_forgotten),
+    "damage not held against what was held": lambda: in_place(ix.Index, "mark_all_uncertain", lambda _: nothing),
     "flush says yes whatever came": lambda: in_place(store.Store, "flush", flushed),
     "failed records not written anew": lambda: in_place(
-        store.Store, "_give_up_pending", lambda _: lambda self: (self._pending.clear(), self._touched.clear())
+        store.Store, "_give_up_pending", lambda _: lambda self: (self._pending.clear(), self._pending_refs.clear())
     ),
     "torn tail sealed as whole": lambda: in_place(store.Store, "_seal_torn", goes_on_in_the_torn_segment),
     "machine: promised before the sync": lambda: in_place(store.Store, "when_recorded", synced_at_once),
--- a/tests/store/simulated.py
+++ b/tests/store/simulated.py
@@ -23,7 +23,7 @@
 class Disk:
     """A folder in memory. ``stop_at`` counts operations that change something; ``fails`` gives an errno by number."""
 
-    machine: bool = False
+    power_loss: bool = False
     stop_at: int = 0
     draw: random.Random = field(default_factory=lambda: random.Random(0))
     fails: dict[int, int] = field(default_factory=dict)
@@ -45,9 +45,9 @@
 
     def stopped(self) -> Disk:
         """What is there after the stop: all that was written, or, without power, what was synced and some more."""
-        after = Disk(self.machine, draw=self.draw, most=self.most)
+        after = Disk(self.power_loss, draw=self.draw, most=self.most)
         names = dict(self.files)
-        if self.machine:
+        if self.power_loss:
             names = dict(self.named)
             for name in self.files.keys() ^ self.named.keys():  # each name for itself: their order is not kept
                 if self.draw.random() < 0.5:
@@ -55,7 +55,7 @@
                     if name in self.files:
                         names[name] = self.files[name]
         for name, old in names.items():
-            data = old.data if not self.machine else old.synced + self._survived(old.data[len(old.synced) :])
+            data = old.data if not self.power_loss else old.synced + self._survived(old.data[len(old.synced) :])
             after.files[name] = File(data, data)
         after.named = dict(after.files)
         return after
--- a/tests/store/test_epochs.py
+++ b/tests/store/test_epochs.py
@@ -18,12 +18,12 @@
 
 
 def test_without_an_epoch_a_record_is_as_it_was() -> None:
-    assert fmt.trying("m-1", "north", 1_800_000_000_000) == BEFORE
+    assert fmt.encode_try("m-1", "north", 1_800_000_000_000) == BEFORE
 
 
 def test_an_epoch_is_read_and_passed_over_by_those_that_know_none() -> None:
-    stamped = fmt.record_at(fmt.trying("m-1", "north", 7, 1 << 47), 0)
-    plain = fmt.record_at(fmt.trying("m-1", "north", 7), 0)
+    stamped = fmt.record_at(fmt.encode_try("m-1", "north", 7, 1 << 47), 0)
+    plain = fmt.record_at(fmt.encode_try("m-1", "north", 7), 0)
     assert stamped is not None and plain is not None
     assert fmt.read_try(stamped) == fmt.read_try(plain) == ("m-1", 7, "north")
     assert fmt.read_epoch(stamped) == 1 << 47 and fmt.read_epoch(plain) is None
@@ -31,7 +31,7 @@
 
 
 def test_half_an_epoch_is_no_record() -> None:
-    whole = fmt.trying("m-1", "north", 7, 9)
+    whole = fmt.encode_try("m-1", "north", 7, 9)
     half = fmt.record_at(fmt.pack(fmt.Kind.TRY, whole[fmt.RECORD.size : -3]), 0)
     assert half is not None
     with pytest.raises(fmt.FormatError):
@@ -54,7 +54,7 @@
 def test_room_for_epochs_is_kept_only_where_they_are_on(tmp_path: Path) -> None:
     for epochs, more in ((False, 0), (True, 8 * 6)):
         (tmp_path / str(epochs)).mkdir()
-        store = Store.open(tmp_path / str(epochs), 1_000_000, tries=6, epochs=epochs)
+        store = Store.open(tmp_path / str(epochs), 1_000_000, max_attempts=6, epochs=epochs)
         store.record_accepted(Entry("m-1", "safe", 4, None, 10**13, b"body"))
         assert store.index.reserved == index.reserve("m-1", None, 4, 6) + more
         store.close()
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -44,7 +44,7 @@
         index.entries,
         index.reserved,
         index.live,
-        sorted(index.tombs),
+        sorted(index.tombstones),
         {n: (s.size, s.live, s.records, s.sealed, sorted(s.entries)) for n, s in index.segments.items()},
         {ref: (e.base, e.spread, sorted(e.stale)) for ref, e in index.entries.items()},
     )
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -142,7 +142,7 @@
     path = tmp_path / segment_name(1)
     data = bytearray(path.read_bytes())
     attempt = next(r for r in fmt.scan(bytes(data)) if isinstance(r, fmt.Record) and r.kind is fmt.Kind.TRY)
-    data[attempt.at + 12] ^= 1
+    data[attempt.offset + 12] ^= 1
     path.write_bytes(data)
     store = Store.open(tmp_path, DISK)
     assert {ref: e.uncertain for ref, e in store.entries.items()} == {"a": True, "b": True, "c": False}
@@ -176,7 +176,7 @@
                 store.record_end(ref, None)
         assert store.flush()
         store.maintain()
-    assert store.index.live <= store.used <= max(1.5 * store.index.live + 3 * store.sizes.segment, 256 * 1024)
+    assert store.index.live <= store.used <= max(1.5 * store.index.live + 3 * store.sizes.segment_bytes, 256 * 1024)
     assert len(store.entries) > 50 and set(store.entries) == set(live)
     index, said = load(disk)
     assert said == [] and index.entries == store.entries and index.live == store.index.live
@@ -208,8 +208,8 @@
 
 def test_sync_that_failed_is_not_taken_for_one() -> None:
     """What it was to cover is answered with no, and written anew in another segment."""
-    disk = Disk(machine=True)
-    store = Store(disk, DISK, machine=True)
+    disk = Disk(power_loss=True)
+    store = Store(disk, DISK, machine_durable=True)
     heard: list[bool] = []
     store.record_accepted(entry("a"))
     store.when_recorded(heard.append)
@@ -337,7 +337,7 @@
             index = self.store.index
             assert all(segment.live >= 0 for segment in index.segments.values())
             assert index.live == sum(sum(e.spread.values()) for e in index.entries.values()) + sum(
-                sum(segment.tombs.values()) for segment in index.segments.values()
+                sum(segment.tombstones.values()) for segment in index.segments.values()
             )
 
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -111,7 +111,7 @@
 def test_the_store_has_room_for_as_many_attempts_as_the_settings_allow(tmp_path: Path) -> None:
     """A message is taken on only if all that it may come to take has room; that was reckoned for six attempts."""
     tries = 200
-    store = Store.open(tmp_path, 200_000, tries=tries)
+    store = Store.open(tmp_path, 200_000, max_attempts=tries)
     ref = "m" * 16
     before = store.used
     entry_ = Entry(ref, "fee", 1, "k", 9000, b"x" * 10)
