--- a/garnetrelay/config/__init__.py
+++ b/garnetrelay/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a relay is told, typed and checked before anything starts."""
+"""The configuration of relays and controllers, typed and checked before anything starts."""
--- a/garnetrelay/config/addresses.py
+++ b/garnetrelay/config/addresses.py
@@ -7,10 +7,10 @@
 from garnetrelay.fleet.members.claims import Place
 
 
-def place(text: str, option: str, listens: bool = False) -> Place:
-    """IP:port; names are not looked up. ``listens``: any address and any port of this machine may stand there.
+def parse_ip_port(text: str, option: str, listens: bool = False) -> Place:
+    """Parses IP:port; host names are not resolved. ``listens``: the unspecified address and port 0 are valid too.
 
-    ValueError in one line that begins with the option's name.
+    The message of a ValueError is one line that begins with the option's name.
     """
     host, _, port = text.rpartition(":")
     try:
--- a/garnetrelay/config/controller.py
+++ b/garnetrelay/config/controller.py
@@ -1,4 +1,4 @@
-"""A controller's options file (TOML). Whatever is wrong with it is said in one line, before anything starts."""
+"""A controller's options file (TOML). Any error in it is reported in one line, before anything starts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnetrelay.config.addresses import place
+from garnetrelay.config.addresses import parse_ip_port
 from garnetrelay.config.deployment import Address
 from garnetrelay.config.fleet import read_secrets
 from garnetrelay.config.leases import TermsTable, check_controllers, settings
@@ -18,17 +18,17 @@
 
 
 class ControllerTable(TermsTable, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """As the file has it."""
+    """The file's content."""
 
-    number: Annotated[int, Meta(ge=0)]  # its place in `controllers`, from 0
+    number: Annotated[int, Meta(ge=0)]  # its index in `controllers`, from 0
     listen: str  # IP:port for datagrams
     folder: str  # for its records
-    secret_file: str  # the fleet's
-    operators: str = ""  # host:port where staff ask for its figures; empty: nowhere
+    secret_file: str  # the fleet's secrets
+    operators: str = ""  # host:port of the operators' listener; empty: no listener
 
 
 class Controller(msgspec.Struct, frozen=True):
-    """The same, checked."""
+    """The checked options of a controller."""
 
     number: int
     listen: Place
@@ -39,17 +39,17 @@
     settings: Settings
 
     def secrets(self) -> list[bytes]:
-        """What the file has now; ValueError in one line."""
+        """Reads the secrets from their file; ValueError with a message of one line."""
         return read_secrets(self.secret_file)
 
 
 def read(path: Path) -> Controller:
-    """The options of a file; ValueError in one plain line where a controller can't start with them."""
+    """Reads an options file; ValueError with a message of one line if a controller can't start with it."""
     try:
         return _check(msgspec.convert(tomllib.loads(path.read_text()), ControllerTable), path.parent)
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror}") from None
-    except ValueError as error:  # what the libraries raise is one too
+    except ValueError as error:  # the libraries' errors are ValueErrors too
         raise ValueError(f"{path}: {error}") from None
 
 
@@ -57,10 +57,10 @@
     addresses = check_controllers(table)
     if table.number >= len(addresses):
         raise ValueError(f"number: {table.number} of {len(addresses)} controllers: they are counted from 0")
-    listen = place(table.listen, "listen", listens=True)
+    listen = parse_ip_port(table.listen, "listen", listens=True)
     if not listen.port:
         raise ValueError("listen: port 0: the others could not find it")
-    found = Controller(
+    result = Controller(
         number=table.number,
         listen=listen,
         addresses=addresses,
@@ -69,8 +69,8 @@
         operators=_operators(table.operators),
         settings=settings(table),
     )
-    found.secrets()
-    return found
+    result.secrets()
+    return result
 
 
 def _operators(text: str) -> Address | None:
--- a/garnetrelay/config/deployment.py
+++ b/garnetrelay/config/deployment.py
@@ -1,4 +1,4 @@
-"""RELAY_CONFIG as typed settings. Whatever is wrong with it is said in one line, before anything starts."""
+"""RELAY_CONFIG as typed settings. Any error in it is reported in one line, before anything starts."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 if TYPE_CHECKING:
     from garnetrelay.config.fleet import Fleet
 
-# Descriptors that are neither a client's nor a host's: standard streams, the loop's own, the journal old and
-# new, discovery and notices, old and new as they move (16); clients that are told that there is no room (16);
-# clients accepted ahead of a look at them, descriptors for three rounds of the loop, and what closes for them (16).
+# Descriptors used for neither clients nor hosts: standard streams, the event loop, the active segment and the next one,
+# discovery and notices, twice while their address changes (16); clients that are refused for lack of descriptors (16);
+# clients accepted and not yet counted, for three iterations of the loop, and connections closed in their favor (16).
 RESERVED_DESCRIPTORS = 48
-FLEET_DESCRIPTORS = 16  # more where relays know each other: as ``config/fleet.py`` has them
-FLEET_STATE_BYTES = 4096  # bytes of the folder for the life number, old and new
-OPERATOR_DESCRIPTORS = 10  # more where staff may call: a listener, their calls, and some that wait to be told no
+FLEET_DESCRIPTORS = 16  # in addition in a fleet; the same as DESCRIPTORS of ``config/fleet.py``, which is not loaded here
+FLEET_STATE_BYTES = 4096  # of the state folder, for the old and the new file of the life number
+OPERATOR_DESCRIPTORS = 10  # in addition with operators' commands: a listener, connections, and some to be refused
 
 
 class ConfigError(ValueError):
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where something listens."""
+    """A host and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: Any) -> Address:
-        """Read ``host:port`` (IPv6 in brackets); ValueError with the reason where it is none."""
+        """Parses ``host:port`` (IPv6 in brackets); ValueError with the reason if the text is invalid."""
         host, colon, port = str(text).rpartition(":")
         if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
             raise ValueError(f"'{text}' is not host:port")
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a relay is told at its start."""
+    """The configuration of a relay."""
 
     name: str
     listen: Address
@@ -68,9 +68,9 @@
     load_reports: bool
     known_hosts: Any
     settings: io.Settings
-    operators: Address | None = None  # where staff call; None: nowhere
-    machine_durable: bool = False  # what is promised outlasts the machine's power, not only the process
-    fleet: Fleet | None = None  # relays that know each other; None: each for itself
+    operators: Address | None = None  # of the operators' listener; None: no listener
+    machine_durable: bool = False  # records survive a power loss, not only the end of the process
+    fleet: Fleet | None = None  # None: this relay is not a member of a fleet
 
     @property
     def shared_sockets(self) -> int:
@@ -85,23 +85,22 @@
 
     @property
     def journal_bytes(self) -> int:
-        """What of the folder the store may use."""
+        """The share of the state folder that the store may use."""
         return self.disk_bytes - (FLEET_STATE_BYTES if self.fleet is not None else 0)
 
     @property
     def client_sockets(self) -> int:
-        """What of that hosts leave to clients in any case: a third of all may hold requests, and some come
-        and go."""
+        """The descriptors guaranteed to clients: a third of all for pending requests, and some for new connections."""
         return min(self.shared_sockets // 2, self.sockets // 3 + 16)
 
     @property
     def host_sockets(self) -> int:
-        """What of it clients leave to hosts in any case: each slot's call, and a few probes."""
+        """The descriptors guaranteed to hosts: one call for each slot, and a few probes."""
         return min(self.shared_sockets - self.client_sockets, self.settings.slots + 8)
 
 
 def load(environment: Mapping[str, str]) -> Config:
-    """The configuration that the environment points to; ConfigError with one plain line if it is unusable."""
+    """Loads the configuration named by the environment; ConfigError with a message of one line if it is unusable."""
     try:
         path = environment["RELAY_CONFIG"]
         state = Path(environment["RELAY_STATE"])
@@ -121,27 +120,29 @@
         raise ConfigError(f"{path}: {error}") from None
     if not environment.get("RELAY_OPTIONS"):
         return config
-    from garnetrelay.config.options import read  # where nothing is switched on, nothing of it is loaded
+    from garnetrelay.config.options import read  # loaded only if it is needed
 
     try:
         options, fleet = read(Path(environment["RELAY_OPTIONS"]), config.name)
     except ValueError as error:
         raise ConfigError(str(error)) from None
-    return _fitted(dataclasses.replace(config, machine_durable=options.store.durability == "machine", fleet=fleet))
+    return _limit_slots(dataclasses.replace(config, machine_durable=options.store.durability == "machine", fleet=fleet))
 
 
 def reload(environment: Mapping[str, str]) -> Config:
-    """The configuration as its file has it now. Addresses that the environment told at the start are those of
-    the start: the file was replaced since, so what it says holds."""
+    """Loads the configuration again.
+
+    RELAY_DISCOVERY is ignored: the file was replaced after the start, so its address of discovery is newer.
+    """
     return load({name: value for name, value in environment.items() if name != "RELAY_DISCOVERY"})
 
 
 def _config(raw: Any, environment: Mapping[str, str], state: Path) -> Config:
     if not isinstance(raw, dict):
         raise ValueError("not an object")
-    limits, facts = raw.get("limits", {}), raw["settings"]
-    settings = parse_settings(facts)
-    # The protocol carries one message in a call, whatever the simulator's kinds allow.
+    limits, raw_settings = raw.get("limits", {}), raw["settings"]
+    settings = parse_settings(raw_settings)
+    # The protocol carries one message per call, whatever ``per_call`` the simulator's kinds have.
     kinds = tuple(dataclasses.replace(kind, per_call=1) for kind in settings.kinds)
     operators = environment.get("RELAY_OPS") or raw.get("ops")
     config = Config(
@@ -150,28 +151,28 @@
         listen=Address.parse(environment.get("RELAY_LISTEN") or raw["listen"]),
         discovery=Address.parse(environment.get("RELAY_DISCOVERY") or raw["discovery"]),
         state=state,
-        # Any text will do for a seed; a hash keeps it the same from run to run.
+        # A seed may be any text; unlike Python's ``hash``, SHA-256 gives the same number in each process.
         seed=int.from_bytes(hashlib.sha256(str(raw.get("seed", "")).encode()).digest()[:8]),
         sockets=min(int(limits.get("sockets", 1024)), _kernel_limit()),
         disk_bytes=int(float(limits.get("disk_mb", 64)) * 1_000_000),
         memory_bytes=int(float(limits.get("memory_mb", 192)) * 1_000_000),
-        class_names=tuple(str(c["name"]) for c in facts["classes"]),
-        zone_names=tuple(str(zone) for zone in facts.get("azs", ())),
-        kind_names=tuple(str(kind) for kind in facts.get("kinds", ())),
-        load_reports=facts.get("loadReport", {}).get("via", "off") != "off",
+        class_names=tuple(str(c["name"]) for c in raw_settings["classes"]),
+        zone_names=tuple(str(zone) for zone in raw_settings.get("azs", ())),
+        kind_names=tuple(str(kind) for kind in raw_settings.get("kinds", ())),
+        load_reports=raw_settings.get("loadReport", {}).get("via", "off") != "off",
         known_hosts=raw.get("known"),
         settings=dataclasses.replace(settings, kinds=kinds),
     )
-    return _fitted(config)
+    return _limit_slots(config)
 
 
 def _kernel_limit() -> int:
-    """Descriptors that the kernel lets this process have: a configuration that says more can't be held to it."""
+    """The kernel's limit of descriptors for this process; a higher limit in the configuration has no effect."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if soft == resource.RLIM_INFINITY else soft
 
 
-def _fitted(config: Config) -> Config:
-    """A call out holds a connection: no more of them than there are descriptors."""
+def _limit_slots(config: Config) -> Config:
+    """Limits the slots to the descriptors for hosts: each call uses a connection."""
     slots = min(config.settings.slots, max(1, config.host_sockets - 8))
     return dataclasses.replace(config, settings=dataclasses.replace(config.settings, slots=slots))
--- a/garnetrelay/config/fleet.py
+++ b/garnetrelay/config/fleet.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` table of RELAY_OPTIONS: relays that know each other. Loaded only where the file has it."""
+"""The `[fleet]` table of RELAY_OPTIONS: relays that are members of a fleet. Loaded only if the file has the table."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnetrelay.config.addresses import place
+from garnetrelay.config.addresses import parse_ip_port
 from garnetrelay.fleet.members.claims import MOST_NAME, UNKNOWN_ZONE, Place, Zone
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.signing import LEAST_SECRET
@@ -16,52 +16,52 @@
 if TYPE_CHECKING:
     from garnetrelay.config.leases import Leases
 
-MOST_SEEDS = 16
-MOST_SECRETS = 2  # during a change
-DESCRIPTORS = 16  # a datagram socket, a listener, exchanges (12), the life on its way to the disk
+MAX_SEEDS = 16
+MAX_SECRETS = 2  # the second one while secrets are changed
+DESCRIPTORS = 16  # a datagram socket, a listener, exchanges (12), the file of the life number while it is written
 
 
 class FleetTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """As the file has it."""
+    """The table's content."""
 
     listen: str  # IP:port for datagrams and full exchanges
-    secret_file: str  # a line with a secret, or two during a change: the first signs, both are good
-    advertise: str = ""  # IP:port where the others reach this relay, if not where it listens
-    seeds: Annotated[list[str], Meta(max_length=MOST_SEEDS)] = []  # whom to ask at the start
+    secret_file: str  # one secret in a line, or two during a change: the first one signs, both are accepted
+    advertise: str = ""  # IP:port where other members reach this relay, if not at ``listen``
+    seeds: Annotated[list[str], Meta(max_length=MAX_SEEDS)] = []  # members to contact at the start
     probe_every_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1000
     probe_timeout_ms: Annotated[int, Meta(ge=5, le=30_000)] = 300
     suspicion: Annotated[float, Meta(ge=1, le=20)] = 4.0
     forget_s: Annotated[int, Meta(ge=1, le=86_400)] = 600
     most_members: Annotated[int, Meta(ge=2, le=1000)] = 1000
-    frames: Literal[1, 2] = 2  # the highest version that is spoken: 1 while relays of before are in the fleet
-    zone: Zone = UNKNOWN_ZONE  # where this relay stands, 1 to 255; 0: not said
-    leases: dict[str, Any] | None = None  # typed by ``config/leases.py``, which is loaded only where it stands
+    frames: Literal[1, 2] = 2  # highest frame version sent: 1 while the fleet has relays of earlier versions
+    zone: Zone = UNKNOWN_ZONE  # this relay's zone, 1 to 255; 0: unknown
+    leases: dict[str, Any] | None = None  # checked by ``config/leases.py``, which is loaded only if present
 
 
 class Fleet(msgspec.Struct, frozen=True):
-    """The same, checked."""
+    """The checked options of a relay in a fleet."""
 
-    listen: Place  # port 0: any
+    listen: Place  # port 0: any free port
     advertise: Place | None
     seeds: tuple[Place, ...]
     secret_file: Path
     settings: Settings
     zone: int = UNKNOWN_ZONE
-    leases: Leases | None = None  # who owns which destinations; None: nobody
+    leases: Leases | None = None  # ownership of destinations; None: switched off
 
     def secrets(self) -> list[bytes]:
-        """What the file has now; ValueError in one line."""
+        """Reads the secrets from their file; ValueError with a message of one line."""
         return read_secrets(self.secret_file)
 
 
 def read_secrets(path: Path) -> list[bytes]:
-    """The secrets of a file, the one that signs first."""
+    """Reads the secrets of a file, the signing one first; ValueError with a message of one line."""
     try:
         lines = [line.strip() for line in path.read_bytes().splitlines() if line.strip()]
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror}") from None
-    if not 1 <= len(lines) <= MOST_SECRETS:
-        raise ValueError(f"{path}: {len(lines)} lines; a secret stands in one, a second one is good during a change")
+    if not 1 <= len(lines) <= MAX_SECRETS:
+        raise ValueError(f"{path}: {len(lines)} lines; expected one secret, or two during a change, one in a line")
     for number, line in enumerate(lines, 1):
         if len(line) < LEAST_SECRET:
             raise ValueError(f"{path}:{number}: a secret has {LEAST_SECRET} bytes at least")
@@ -71,20 +71,20 @@
 
 
 def check(table: FleetTable, folder: Path, name: str) -> Fleet:
-    """The table as it is used; ValueError in one line. ``folder``: where relative paths begin."""
+    """Checks the table; ValueError with a message of one line. ``folder``: the base of relative paths."""
     if not 1 <= len(name) <= MOST_NAME or not name.isascii() or not name.isprintable() or " " in name:
         raise ValueError(f"fleet: the relay's name '{name[:80]}' is not 1 to {MOST_NAME} printable characters")
     if table.probe_timeout_ms * 2 > table.probe_every_ms:
         raise ValueError("fleet.probe_timeout_ms: half of probe_every_ms at most")
-    listen = place(table.listen, "fleet.listen", listens=True)
-    seeds = tuple(place(seed, "fleet.seeds") for seed in table.seeds)
+    listen = parse_ip_port(table.listen, "fleet.listen", listens=True)
+    seeds = tuple(parse_ip_port(seed, "fleet.seeds") for seed in table.seeds)
     if len(set(seeds)) < len(seeds):
         raise ValueError("fleet.seeds: one stands twice")
     secret_file = folder / table.secret_file
     read_secrets(secret_file)
     return Fleet(
         listen,
-        place(table.advertise, "fleet.advertise") if table.advertise else None,
+        parse_ip_port(table.advertise, "fleet.advertise") if table.advertise else None,
         seeds,
         secret_file,
         Settings(
@@ -102,6 +102,6 @@
 
 
 def _leases(raw: dict[str, Any]) -> Leases:
-    from garnetrelay.config.leases import check  # only where it stands
+    from garnetrelay.config.leases import check  # loaded only if the table is present
 
     return check(raw)
--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -1,4 +1,4 @@
-"""What relays and controllers are told of leases: the controllers, the partitions, the lease."""
+"""The lease options of relays and controllers: the controllers' addresses, the partitions, the lease's duration."""
 
 from __future__ import annotations
 
@@ -8,41 +8,42 @@
 import msgspec
 from msgspec import Meta
 
-from garnetrelay.config.addresses import place
+from garnetrelay.config.addresses import parse_ip_port
 from garnetrelay.fleet.leases.messages import MOST_CONTROLLERS
 from garnetrelay.fleet.leases.settings import LEAST_CONTROLLERS, MS, Settings
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
-LEAST_LEASE_MS = 500  # below it the time that a busy process takes to answer eats the lease
-MOST_LEASE_MS = 600_000
+MIN_LEASE_MS = 500  # shorter leases run out while a busy process answers
+MAX_LEASE_MS = 600_000
 DEFAULT = Settings()
 
 
 class TermsTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What all relays and all controllers of a fleet must be told alike; a request under other terms is refused."""
+    """Options that must be the same for all relays and controllers of a fleet; requests with other terms are refused."""
 
     controllers: list[str]  # IP:port of each, in the order of their numbers
-    partitions: int = DEFAULT.partitions  # for good
-    lease_ms: Annotated[int, Meta(ge=LEAST_LEASE_MS, le=MOST_LEASE_MS)] = DEFAULT.lease // MS
+    partitions: int = DEFAULT.partitions  # can't be changed later
+    lease_ms: Annotated[int, Meta(ge=MIN_LEASE_MS, le=MAX_LEASE_MS)] = DEFAULT.lease // MS
 
 
 class LeasesTable(TermsTable, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """The `[fleet.leases]` table of RELAY_OPTIONS."""
 
-    renew_every_ms: Annotated[int, Meta(ge=10, le=MOST_LEASE_MS)] | None = None  # None: as the default's to its lease
-    write_margin_ms: Annotated[int, Meta(ge=0, le=MOST_LEASE_MS)] = DEFAULT.write_margin // MS
+    # None: in the default's ratio to the lease.
+    renew_every_ms: Annotated[int, Meta(ge=10, le=MAX_LEASE_MS)] | None = None
+    write_margin_ms: Annotated[int, Meta(ge=0, le=MAX_LEASE_MS)] = DEFAULT.write_margin // MS
 
 
 class Leases(msgspec.Struct, frozen=True):
-    """The table of a relay, checked."""
+    """The checked lease options of a relay."""
 
     addresses: tuple[Place, ...]  # the controllers, by number
     settings: Settings
 
 
 def check(raw: dict[str, Any]) -> Leases:
-    """The table as it is used; ValueError in one line."""
+    """Checks the table; ValueError with a message of one line that begins with the option's name."""
     try:
         table = msgspec.convert(raw, LeasesTable)
     except msgspec.ValidationError as error:
@@ -56,18 +57,20 @@
 
 
 def check_controllers(table: TermsTable) -> tuple[Place, ...]:
-    """The controllers' addresses; ValueError in one line that begins with the option's name."""
+    """Parses the controllers' addresses; ValueError with a message of one line that begins with the option's name."""
     count = len(table.controllers)
     if not (LEAST_CONTROLLERS <= count <= MOST_CONTROLLERS and count % 2):
-        raise ValueError(f"controllers: {count} addresses, and there are 3, 5, 7 or 9 (an even one more bears no more)")
-    addresses = tuple(place(text, "controllers") for text in table.controllers)
+        raise ValueError(
+            f"controllers: {count} addresses, and there are 3, 5, 7 or 9 (an even number tolerates no more failures)"
+        )
+    addresses = tuple(parse_ip_port(text, "controllers") for text in table.controllers)
     if len(set(addresses)) < len(addresses):
         raise ValueError("controllers: one stands twice")
     return addresses
 
 
 def settings(table: TermsTable, renew_every: int | None = None, write_margin: int = 0) -> Settings:
-    """The settings of the decisions (nanoseconds). Patience and pauses stand to the renewals as the default's do."""
+    """The lease protocol's settings, in nanoseconds. Timeouts and retries scale with the renewal interval."""
     lease = table.lease_ms * MS
     if renew_every is None:
         renew_every = lease * DEFAULT.renew_every // DEFAULT.lease
@@ -77,7 +80,7 @@
         raise ValueError(
             f"renew_every_ms: {renew_every // MS} and a patience of {answer_timeout // MS} take over half a lease"
         )
-    found = Settings(
+    result = Settings(
         controllers=len(table.controllers),
         partitions=table.partitions,
         lease=lease,
@@ -88,7 +91,7 @@
         first_retry=renew_every * DEFAULT.first_retry // DEFAULT.renew_every,
         most_retry=renew_every * DEFAULT.most_retry // DEFAULT.renew_every,
     )
-    room = found.holder_time - renew_every - answer_timeout
-    if write_margin > room:
-        raise ValueError(f"write_margin_ms: {write_margin // MS}, and lease and renewals leave {max(0, room) // MS}")
-    return dataclasses.replace(found, write_margin=write_margin)
+    available = result.holder_time - renew_every - answer_timeout
+    if write_margin > available:
+        raise ValueError(f"write_margin_ms: {write_margin // MS}, and lease and renewals leave {max(0, available) // MS}")
+    return dataclasses.replace(result, write_margin=write_margin)
--- a/garnetrelay/config/options.py
+++ b/garnetrelay/config/options.py
@@ -1,4 +1,4 @@
-"""RELAY_OPTIONS: what other installations switch on, a TOML file. Where it is not set, nothing of this is loaded."""
+"""RELAY_OPTIONS: a TOML file that switches on optional features. This module is loaded only if it is set."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Store(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The journal."""
+    """The options of the journal."""
 
-    durability: Literal["process", "machine"] = "process"  # what a promise outlasts: a kill, or the machine's power
+    durability: Literal["process", "machine"] = "process"  # records survive a kill, or also a power loss
 
 
 class Options(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """All options."""
+    """The content of the file."""
 
     store: Store = Store()
-    fleet: dict[str, Any] | None = None  # typed by ``config/fleet.py``, which is loaded only where it stands
+    fleet: dict[str, Any] | None = None  # checked by ``config/fleet.py``, which is loaded only if present
 
 
 def read(path: Path, name: str) -> tuple[Options, Fleet | None]:
-    """The options of a file for the relay of a name; ValueError in one plain line where it can't be used."""
+    """Reads the options of the relay ``name``; ValueError with a message of one line if they can't be used."""
     try:
         options = msgspec.convert(tomllib.loads(path.read_text()), Options)
         if options.fleet is None:
@@ -36,7 +36,7 @@
         return options, check(_fleet(options.fleet, FleetTable), path.parent, name)
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror}") from None
-    except ValueError as error:  # what the libraries raise is one too
+    except ValueError as error:  # the libraries' errors are ValueErrors too
         raise ValueError(f"{path}: {error}") from None
 
 
