--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -9,8 +9,8 @@
 from msgspec import Meta
 
 from garnetrelay.config.addresses import parse_ip_port
-from garnetrelay.fleet.leases.messages import MOST_CONTROLLERS
-from garnetrelay.fleet.leases.settings import LEAST_CONTROLLERS, MS, Settings
+from garnetrelay.fleet.leases.messages import MAX_CONTROLLERS
+from garnetrelay.fleet.leases.settings import MIN_CONTROLLERS, MS, Settings
 from garnetrelay.fleet.members.claims import Place
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
@@ -59,7 +59,7 @@
 def check_controllers(table: TermsTable) -> tuple[Place, ...]:
     """Parses the controllers' addresses; ValueError with a message of one line that begins with the option's name."""
     count = len(table.controllers)
-    if not (LEAST_CONTROLLERS <= count <= MOST_CONTROLLERS and count % 2):
+    if not (MIN_CONTROLLERS <= count <= MAX_CONTROLLERS and count % 2):
         raise ValueError(
             f"controllers: {count} addresses, and there are 3, 5, 7 or 9 (an even number tolerates no more failures)"
         )
@@ -89,7 +89,7 @@
         answer_timeout=answer_timeout,
         request_gap=min(DEFAULT.request_gap, answer_timeout),
         first_retry=renew_every * DEFAULT.first_retry // DEFAULT.renew_every,
-        most_retry=renew_every * DEFAULT.most_retry // DEFAULT.renew_every,
+        max_retry=renew_every * DEFAULT.max_retry // DEFAULT.renew_every,
     )
     available = result.holder_time - renew_every - answer_timeout
     if write_margin > available:
--- a/garnetrelay/fleet/leases/register.py
+++ b/garnetrelay/fleet/leases/grant_table.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.leases.digest import grant_hash
-from garnetrelay.fleet.leases.messages import MOST_EPOCH_STEP, Grant, Record, Refusal, Session
+from garnetrelay.fleet.leases.messages import MAX_EPOCH_STEP, Grant, Record, Refusal, Session
 
 
 @dataclass(slots=True)
-class Held:
+class SessionGrants:
     """One session at one controller."""
 
     number: int = 0  # the highest of its requests that was taken
@@ -19,14 +19,14 @@
     digest: int = 0  # of the grants
 
 
-class Register:
+class GrantTable:
     """The highest epoch of each partition, and the session that has it."""
 
     def __init__(self, partitions: int) -> None:
         self.partitions = partitions
         self.epochs = [0] * partitions
         self.holders: list[Session | None] = [None] * partitions
-        self.sessions: dict[Session, Held] = {}
+        self.sessions: dict[Session, SessionGrants] = {}
 
     def load(self, records: Iterable[Record]) -> None:
         """Takes over records, with leases that have run out. Partitions out of range are left out."""
@@ -43,7 +43,7 @@
             held.digest ^= grant_hash(partition, held.grants.pop(partition))
         self.epochs[partition], self.holders[partition] = epoch, holder
         if holder is not None:
-            held = self.sessions.setdefault(holder, Held())
+            held = self.sessions.setdefault(holder, SessionGrants())
             held.grants[partition] = epoch
             held.digest ^= grant_hash(partition, epoch)
 
@@ -73,7 +73,7 @@
         """Why a grant that is not on record can't be given now; None: it can."""
         epoch = self.epochs[grant.partition]
         wait = self.wait(now, grant.partition, session)
-        if wait or not epoch < grant.epoch <= epoch + MOST_EPOCH_STEP:
+        if wait or not epoch < grant.epoch <= epoch + MAX_EPOCH_STEP:
             return Refusal(grant.partition, epoch, wait)
         return None
 
--- a/garnetrelay/laboratory/lease_faults.py
+++ b/garnetrelay/laboratory/lease_faults.py
@@ -63,10 +63,10 @@
             world.at(world.now + self.draw.randrange(FAULTS_LAST), self.fault)
         world.run(last)
         self.mend()
-        within = 3 * settings.lease + 2 * settings.most_retry
+        within = 3 * settings.lease + 2 * settings.max_retry
         world.run(last + within, self.all_owned)
         owned = world.now - last if self.all_owned() else None
-        return Outcome(world.problems, owned, sum(process.machine.figures["gained"] for process in world.relays))
+        return Outcome(world.problems, owned, sum(process.machine.event_counts["gained"] for process in world.relays))
 
     def assign(self) -> None:
         """The view's wishes, of those that it holds for there."""
--- a/tests/rehearsal/faults.py
+++ b/tests/rehearsal/faults.py
@@ -17,12 +17,12 @@
 from garnetrelay import daemon
 from garnetrelay import relay as core
 from garnetrelay.delivery.http import answers, hosts
+from garnetrelay.discovery import client, host_list
 from garnetrelay.fronts.resp import server
-from garnetrelay.membership import listing, register
 from garnetrelay.operators import exclusions
 from garnetrelay.platform import notices
 from garnetrelay.store import store
-from starlingwick import control, memory
+from starlingwick import control, snapshot
 from starlingwick import interface as io
 
 SECOND = 1_000_000_000
@@ -82,7 +82,7 @@
 
         return wrong
 
-    replaced(notices.Notices, "tell", make)
+    replaced(notices.Notices, "add", make)
 
 
 def nothing_recovered() -> None:
@@ -114,7 +114,7 @@
                 import asyncio
 
                 asyncio.get_running_loop().call_later(
-                    1.5, lambda: (self.notices.tell(message.ref, "dead", 0), self.notices.send())
+                    1.5, lambda: (self.notices.add(message.ref, "dead", 0), self.notices.send())
                 )
 
         return wrong
@@ -168,7 +168,7 @@
 
 def drain_not_understood() -> None:
     """An endpoint that drains is taken for one that serves."""
-    listing.STATES["Terminating"] = io.Availability.RUNNING
+    host_list.AVAILABILITY_BY_STATUS["Terminating"] = io.Availability.RUNNING
 
 
 def news_taken_up_late() -> None:
@@ -196,7 +196,7 @@
 
         return wrong
 
-    replaced(register.Discovery, "subscribe", make)
+    replaced(client.Discovery, "subscribe", make)
 
 
 # ---- rule 4
@@ -204,7 +204,7 @@
 
 def outage_not_seen() -> None:
     """However many calls fail, it is no outage."""
-    control.OUT = 2.0
+    control.OUTAGE_FAILURE_SHARE = 2.0
 
 
 def return_taken_for_warm() -> None:
@@ -245,7 +245,7 @@
 
 def knowledge_left_behind() -> None:
     """What the old process knew of hosts, waits above all, does not pass."""
-    memory.restore = lambda pacer, memory: None
+    snapshot.restore_snapshot = lambda pacer, memory: None
 
 
 def calls_left_behind() -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -130,7 +130,7 @@
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
     dest, host = relay.pacer.hosts["s-1"]
-    assert not short and dest.bad_at == 0 and host.bad == 0.0
+    assert not short and dest.last_failure_at == 0 and host.failure_share == 0.0
 
 
 async def test_a_burst_of_callers_takes_no_descriptor_that_is_kept_for_others(field: Field) -> None:
@@ -190,7 +190,7 @@
         await asyncio.sleep(0)
     await until(lambda: connection in relay.server.idle)
     open_before = descriptors()
-    now = relay.server.now() + clients.IDLE_TIME + 1
+    now = relay.server.now() + clients.MIN_IDLE_S + 1
     relay.server.now = lambda: now
     while connection in relay.server.connections:
         assert relay.server.close_longest_idle()
@@ -204,7 +204,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its answers can't be written, so its connection never closed, and as one with work to do it made no room either."""
-    monkeypatch.setattr(clients, "LINGER", 0.0)
+    monkeypatch.setattr(clients, "LINGER_S", 0.0)
     await field.start()
     relay = field.relays[0]
     deaf = await Client.connect(field.port)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,8 +9,8 @@
 
 from garnetrelay.delivery.http import hosts
 from garnetrelay.delivery.http.answers import AnswerReader, Outcome
+from garnetrelay.discovery import watches
 from garnetrelay.fronts.resp import server as clients
-from garnetrelay.membership import watches
 from garnetrelay.rehearsal.scripted_peers import ScriptedHost
 from garnetrelay.store.reading import load
 from garnetrelay.store.storage import Folder
@@ -37,12 +37,12 @@
 async def test_a_call_that_has_passed_to_another_process_is_not_timed_out_here(passed: bool) -> None:
     outcomes: list[Outcome] = []
     exchange = hosts.Exchange("s-1", 0, lambda address: None, outcomes.append)
-    exchange.stops()
+    exchange.start_timer()
     for _ in range(2):
         await asyncio.sleep(0)  # the timer has come; its end waits for a look at the sockets
     assert not outcomes and exchange.timer is not None
     if passed:
-        exchange.timer.cancel()  # as `let_go` does
+        exchange.timer.cancel()  # as `close_after_handover` does
     for _ in range(5):
         await asyncio.sleep(0)
     assert len(outcomes) == (0 if passed else 1)
@@ -114,7 +114,7 @@
 ) -> None:
     client = await field.start()
     (await field.platform.next_watch()).line("")  # before that, a destination that is not listed may be a new one
-    await until(lambda: field.relays[0].discovery.heard)
+    await until(lambda: field.relays[0].discovery.up_to_date)
     assert (await client.ask(*words)).startswith("ERR")
     assert await client.ask("PING") == b"PONG"
     assert field.relays[0].held == {}
@@ -156,8 +156,8 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
     """The time runs from the beginning: a byte now and then wins none. One that has asked may stay."""
-    assert clients.COMMAND_TIME < 3
-    monkeypatch.setattr(clients, "COMMAND_TIME", 0.2)
+    assert clients.COMMAND_TIMEOUT_S < 3
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.2)
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     bad = await Client.connect(field.port)
@@ -176,7 +176,7 @@
 
 async def test_sender_of_much_gets_to_read_the_error(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """It reads only when it has sent all, long after it was shut out."""
-    monkeypatch.setattr(clients, "LINGER", 0.1)
+    monkeypatch.setattr(clients, "LINGER_S", 0.1)
     client = await field.start()
     client.write("PING")
     client.writer.write(b"*1\r\n$60000000\r\n")
@@ -200,7 +200,7 @@
     assert relay._client_room() == 0
     late = await Client.connect(field.port)
     assert (await late.read()).startswith("BUSY") and await late.read() is None
-    monkeypatch.setattr(clients, "IDLE_TIME", 0.0)
+    monkeypatch.setattr(clients, "MIN_IDLE_S", 0.0)
     first.writer.write(b"*1\r\n")  # a command has begun
     await until(lambda: any(connection.raw for connection in relay.server.connections))
     late = await Client.connect(field.port)
@@ -212,15 +212,15 @@
 
 async def test_silent_connections_make_room_long_before_others(field: Field) -> None:
     """Hundreds connected, said nothing and came again; for 2 s each they shut out all that had to ask."""
-    assert clients.SILENT_TIME < clients.IDLE_TIME
+    assert clients.MIN_IDLE_WITHOUT_COMMAND_S < clients.MIN_IDLE_S
     field.limits["sockets"] = 60
     usual = await field.start()
     assert await usual.ask("PING") == b"PONG"
     relay = field.relays[0]
     silent = [await Client.connect(field.port) for _ in range(relay._client_room())]
     await until(lambda: relay._client_room() == 0)
-    first = next(iter(relay.server.silent))
-    await until(lambda: relay.server.now() > first.heard_at + clients.SILENT_TIME)
+    first = next(iter(relay.server.without_command))
+    await until(lambda: relay.server.now() > first.heard_at + clients.MIN_IDLE_WITHOUT_COMMAND_S)
     late = await Client.connect(field.port)
     assert await late.ask("PING") == b"PONG" and await silent[0].read() is None
     assert await usual.ask("PING") == b"PONG"
@@ -241,15 +241,15 @@
     assert net.close_longest_idle() and list(net.idle) == ["s-1"]
     assert net.close_longest_idle() and not net.close_longest_idle()
     asked: list[bool] = []
-    net.more_room = lambda: not asked.append(True)  # type: ignore[func-returns-value]
-    net.room = lambda: 0
+    net.free_descriptor = lambda: not asked.append(True)  # type: ignore[func-returns-value]
+    net.remaining_capacity = lambda: 0
     for _ in range(2):  # an idle client goes first: the connection of the first call is there for the second
         net.begin(hosts.Exchange("s-1", 1 << 62, lambda address: None, opened.append))
         await until(lambda: bool(opened))
         opened.clear()
     assert len(asked) == 1 and net.close_longest_idle()
-    net.more_room = lambda: False
-    net.room = lambda: 0
+    net.free_descriptor = lambda: False
+    net.remaining_capacity = lambda: 0
     net.begin(hosts.Exchange("s-1", 1 << 62, lambda address: None, opened.append))
     await until(lambda: bool(opened))
     assert opened == [Outcome(io.Status.ABANDONED)] and net.count == 0
@@ -343,7 +343,7 @@
 async def test_first_line_with_200_is_true_in_a_spoilt_answer(
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.1)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
@@ -383,14 +383,14 @@
     field: Field, monkeypatch: pytest.MonkeyPatch, data: bytes
 ) -> None:
     """The host answers others as before: it is neither suspect nor told to be waited for."""
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.1)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.1)
     client = await field.start()
     await client.enqueue("m1", "unsafe", d=8000)
     call = await field.host.next_call()
     call.raw(data)
     assert await field.platform.next_notice() == {"ref": "m1", "result": "dead"}
     dest, host = field.relays[0].pacer.hosts["s-1"]
-    assert dest.bad == host.bad == 0 and dest.wait_until == 0 and dest.refused_from is None
+    assert dest.failure_share == host.failure_share == 0 and dest.wait_until == 0 and dest.refused_since is None
     async with asyncio.timeout(20):
         assert await field.host.next_closing() == call.connection
 
@@ -407,7 +407,7 @@
 
 
 async def test_answer_may_take_its_time_behind_1xx(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(hosts, "DRAIN_TIME", 0.05)
+    monkeypatch.setattr(hosts, "ANSWER_REST_TIMEOUT_S", 0.05)
     client = await field.start()
     await client.enqueue("m1", "unsafe")
     call = await field.host.next_call()
@@ -610,8 +610,8 @@
 
 async def test_silent_watch_is_given_up(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine that vanished says nothing; lines come every 2 s while all is well."""
-    assert watches.SILENCE > 3
-    monkeypatch.setattr(watches, "SILENCE", 0.1)
+    assert watches.SILENCE_TIMEOUT_S > 3
+    monkeypatch.setattr(watches, "SILENCE_TIMEOUT_S", 0.1)
     await field.start()
     await field.platform.next_watch()
     await field.platform.next_watch()
@@ -687,7 +687,7 @@
     field.facts["rules"]["answerSlack"] = 250_000_000
     client = await field.start()
     relay = field.relays[0]
-    handle, tell = relay.pacer.handle, relay.notices.tell
+    handle, tell = relay.pacer.handle, relay.notices.add
     longest, late = 0, {}
     deadlines: dict[str, int] = {}
 
@@ -705,7 +705,7 @@
         tell(ref, result, wait_ms)
 
     monkeypatch.setattr(relay.pacer, "handle", dear)
-    monkeypatch.setattr(relay.notices, "tell", told)
+    monkeypatch.setattr(relay.notices, "add", told)
     answers = [await client.enqueue(f"m{n}", ("unsafe", "keyed", "safe")[n % 3], d=900) for n in range(24)]
     taken = [f"m{n}" for n, answer in enumerate(answers) if answer == b"OK"]
     notices = [(await field.platform.next_notice())["ref"] for _ in taken]
