--- a/garnetrelay/fleet/controller/metrics.py
+++ b/garnetrelay/fleet/controller/metrics.py
@@ -9,7 +9,7 @@
 from garnetrelay.fleet.lease_datagrams import Datagrams
 from garnetrelay.fleet.leases.controller import Controller
 from garnetrelay.fleet.leases.messages import Answer, Message
-from garnetrelay.operators.metrics import escaped
+from garnetrelay.operators.metrics import escape_label
 
 
 @dataclass(slots=True)
@@ -71,8 +71,9 @@
         ("bytes_in", datagrams.bytes_in),
         ("bytes_out", datagrams.bytes_out),
     ]
-    rows += [(f'messages_in{{kind="{escaped(kind)}"}}', count) for kind, count in sorted(metrics.received.items())]
+    rows += [(f'messages_in{{kind="{escape_label(kind)}"}}', count) for kind, count in sorted(metrics.received.items())]
     rows += [
-        (f'datagrams_refused{{cause="{escaped(cause)}"}}', count) for cause, count in sorted(datagrams.refused.items())
+        (f'datagrams_refused{{cause="{escape_label(cause)}"}}', count)
+        for cause, count in sorted(datagrams.refused.items())
     ]
     return "".join(f"controller_{name} {value}\n" for name, value in rows)
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from garnetrelay.fleet.lease_service import LeaseService
-from garnetrelay.operators.metrics import escaped
+from garnetrelay.operators.metrics import escape_label
 
 
 class SessionLine(msgspec.Struct, frozen=True):
@@ -108,6 +108,10 @@
         ("bytes_in", leases.bytes_in),
         ("bytes_out", leases.bytes_out),
     ]
-    rows += [(f'events{{kind="{escaped(kind.lower())}"}}', count) for kind, count in sorted(holder.event_counts.items())]
-    rows += [(f'datagrams_refused{{cause="{escaped(cause)}"}}', count) for cause, count in sorted(leases.refused.items())]
+    rows += [
+        (f'events{{kind="{escape_label(kind.lower())}"}}', count) for kind, count in sorted(holder.event_counts.items())
+    ]
+    rows += [
+        (f'datagrams_refused{{cause="{escape_label(cause)}"}}', count) for cause, count in sorted(leases.refused.items())
+    ]
     return "".join(f"relay_leases_{name} {value}\n" for name, value in rows)
--- a/garnetrelay/fleet/words.py
+++ b/garnetrelay/fleet/words.py
@@ -11,7 +11,7 @@
 from garnetrelay.fleet.members.condition import RELIES
 from garnetrelay.fleet.members.protocol import Members
 from garnetrelay.fleet.members.table import Member, Path
-from garnetrelay.operators.metrics import escaped
+from garnetrelay.operators.metrics import escape_label
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -178,11 +178,11 @@
         rows.append(("oldest_word_seconds", told.oldest_word))
     rows += [(f'others{{status="{status}"}}', count[status]) for status in ("alive", "suspect", "failed", "left")]
     rows += [
-        (f'frames_in{{kind="{escaped(kind.lower())}"}}', number)
+        (f'frames_in{{kind="{escape_label(kind.lower())}"}}', number)
         for kind, number in sorted(members.figures.frames.items())
     ]
     rows += [
-        (f'frames_refused{{cause="{escaped(cause)}"}}', number)
+        (f'frames_refused{{cause="{escape_label(cause)}"}}', number)
         for cause, number in sorted((members.figures.refused + refused).items())
     ]
     if members.holding.figures.no_room:
--- a/garnetrelay/operators/metrics.py
+++ b/garnetrelay/operators/metrics.py
@@ -28,7 +28,7 @@
     list_watched: int  # 1: a watch at that address tells changes; 0: the list may be old
 
 
-def escaped(label: str) -> str:
+def escape_label(label: str) -> str:
     """A label's value as the text form writes it."""
     return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
@@ -36,7 +36,7 @@
 def text(counts: Counters, gauges: Gauges) -> str:
     """All figures, a line each."""
     lines = [
-        f'relay_{name}{{class="{escaped(klass)}"}} {count}'
+        f'relay_{name}{{class="{escape_label(klass)}"}} {count}'
         for name, by_class in (("served", counts.served), ("refused", counts.refused), ("failed", counts.failed))
         for klass, count in by_class.items()
     ]
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -85,7 +85,7 @@
         ...
 
 
-class Operators:
+class OperatorService:
     """Answers staff for one relay."""
 
     def __init__(self, relay: OperatedRelay) -> None:
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -42,7 +42,7 @@
     from garnetrelay.handover.receiver import Inheritance, PredecessorLink
     from garnetrelay.handover.sender import HandoverSender
     from garnetrelay.operators.metrics import Gauges
-    from garnetrelay.operators.service import Operators
+    from garnetrelay.operators.service import OperatorService
     from garnetrelay.ownership import Owners
     from garnetrelay.store.durability import SyncWorker
     from garnetrelay.store.preload import Preloaded
@@ -78,7 +78,7 @@
         self.listed: dict[str, io.HostEntry] = {}  # by host
         self.gone: dict[str, None] = {}  # hosts that were listed, the latest last
         self.counts = Counters(config.class_names)
-        self.operators: Operators | None = None
+        self.operators: OperatorService | None = None
         self.fleet: Fleet | None = None
         self.owners: Owners | None = None  # None: no leases
         self.handover_sender: HandoverSender | None = None
@@ -140,9 +140,9 @@
 
             self.syncing = SyncWorker(self.journal)
         if self.config.operators is not None:
-            from garnetrelay.operators.service import Operators  # only where staff may call
+            from garnetrelay.operators.service import OperatorService  # only where staff may call
 
-            self.operators = Operators(self)
+            self.operators = OperatorService(self)
             await self.operators.start(self.config.operators)
             self.inbox += self.operators.excluded()
         if self.config.fleet is not None:
