--- a/garnetrelay/operators/__init__.py
+++ b/garnetrelay/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What staff ask of a running relay: calls, figures, hosts taken out by hand. Imported only where they may call."""
+"""Operators' access to a running relay: commands, metrics, excluded hosts. Imported only if it is configured."""
--- a/garnetrelay/operators/exclusions.py
+++ b/garnetrelay/operators/exclusions.py
@@ -1,7 +1,7 @@
-"""The hosts that staff took out by hand, kept in the state folder until they are put back.
+"""The hosts that operators have excluded, stored in the state folder until they are included again.
 
-One small file, replaced whole: a first line with its version and checksum, then a JSON list of names. One that can't be
-read, or of a later version, is said in the log and left out of account; it is replaced by the next call.
+They are stored in one small file that is replaced atomically: a first line with version and checksum, then a JSON list
+of names. A file that is unreadable or of a later version is logged and ignored; the next change replaces it.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 log = logging.getLogger(__name__)
 
 FILE = "excluded"
-MOST_BYTES = 2048  # four blocks: the journal leaves room for as many old and new
+MAX_FILE_BYTES = 2048  # four blocks; the journal reserves space for the old and the new file
 VERSION = 1
 
 
 def encode(names: list[str]) -> bytes:
-    """A file's content."""
+    """Encodes the file's content."""
     body = msgspec.json.encode(names)
     return b"garnetrelay excluded %d %08x\n" % (VERSION, zlib.crc32(body)) + body
 
 
 def decode(data: bytes) -> list[str]:
-    """The names; ValueError with the reason where it can't be read."""
+    """Decodes the names; ValueError with the reason if the content is invalid."""
     head, _, body = data.partition(b"\n")
     words = head.split()
     if len(words) != 4 or words[:2] != [b"garnetrelay", b"excluded"]:
-        raise ValueError("not a file of hosts out by hand")
+        raise ValueError("not a file of excluded hosts")
     if words[2] != b"%d" % VERSION:
         raise ValueError(f"of version {words[2][:10]!r}, not {VERSION}")
     if words[3] != b"%08x" % zlib.crc32(body):
@@ -42,7 +42,7 @@
 
 
 class Exclusions:
-    """The names, in the order in which they were taken out."""
+    """The names of the excluded hosts, in the order in which they were excluded."""
 
     def __init__(self, folder: Path, sync: bool) -> None:
         self._folder = Folder(folder)
@@ -50,7 +50,7 @@
         self.names: dict[str, None] = {}
 
     def read(self) -> None:
-        """Take up what an earlier life kept."""
+        """Reads the names that an earlier process stored."""
         if FILE not in self._folder.names():
             return
         try:
@@ -61,14 +61,14 @@
         if self.names:
             log.info("out by hand: %s", ", ".join(self.names))
 
-    def put(self, host: str, out: bool) -> bool:
-        """Keep a change; whether it was one. CommandRefusedError where it can't be kept: then nothing has changed."""
-        if (host in self.names) == out:
+    def set_excluded(self, host: str, excluded: bool) -> bool:
+        """Stores a change; False if there was none. CommandRefusedError, with nothing changed, if it can't be stored."""
+        if (host in self.names) == excluded:
             return False
-        names = [*self.names, host] if out else [name for name in self.names if name != host]
+        names = [*self.names, host] if excluded else [name for name in self.names if name != host]
         data = encode(names)
-        if len(data) > MOST_BYTES:
-            raise CommandRefusedError(f"{len(self.names)} hosts are out by hand, and no more can be kept")
+        if len(data) > MAX_FILE_BYTES:
+            raise CommandRefusedError(f"{len(self.names)} hosts are excluded, and no more fit in the file")
         try:
             self._folder.replace(FILE, data, self._sync)
         except OSError as error:
--- a/garnetrelay/operators/listener.py
+++ b/garnetrelay/operators/listener.py
@@ -1,6 +1,6 @@
-"""The listener that staff call: one line a connection, one answer, however busy the relay is.
+"""The listener for operators' commands: one command and one answer on each connection, however busy the relay is.
 
-Callers that say nothing hold a place for a bounded time, and give it up to the next as soon as places are short.
+A connection without a command stays open for a bounded time; beyond the maximum number the oldest one is closed.
 """
 
 from __future__ import annotations
@@ -10,18 +10,19 @@
 from typing import cast
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.operators.commands import MOST_LINE, CommandHandler, answer
+from garnetrelay.operators.commands import MAX_LINE_BYTES, CommandHandler, answer
 
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 6
-TAKEN_UP_AT_ONCE = 1  # in a round of the loop: each is a descriptor for three rounds before it is looked at
-LINE_TIME = 3.0  # seconds for the whole line
-ANSWER_TIME = 2.0  # seconds for a connection to read its answer
+# In an iteration of the event loop: a connection uses a descriptor for three iterations before this module is called.
+ACCEPTS_PER_ITERATION = 1
+LINE_TIMEOUT_S = 3.0  # for the whole line
+ANSWER_READ_TIMEOUT_S = 2.0
 
 
 class OperatorConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection to the listener."""
 
     def __init__(self, listener: OperatorListener) -> None:
         self.listener = listener
@@ -31,40 +32,40 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a place among the callers; the whole line is due within ``LINE_TIME``."""
+        """Registers the connection; the whole line must arrive within ``LINE_TIMEOUT_S``."""
         self.transport = cast(asyncio.Transport, transport)
         self.listener.add(self)
-        self.timer = asyncio.get_running_loop().call_later(LINE_TIME, self.end, b"-ERR no whole line in time\n")
+        self.timer = asyncio.get_running_loop().call_later(LINE_TIMEOUT_S, self.end, b"-ERR no whole line in time\n")
 
     def data_received(self, data: bytes) -> None:
-        """Gather the line, at most ``MOST_LINE`` bytes, and answer once it is whole."""
+        """Buffers the line, at most ``MAX_LINE_BYTES``, and answers once it is complete."""
         if self.answered:
             return
-        self.line += data[: MOST_LINE + 1 - len(self.line)]
+        self.line += data[: MAX_LINE_BYTES + 1 - len(self.line)]
         line, newline, _ = self.line.partition(b"\n")
         if newline:
-            self.end(answer(self.listener.service, bytes(line)))
-        elif len(self.line) > MOST_LINE:
+            self.end(answer(self.listener.handler, bytes(line)))
+        elif len(self.line) > MAX_LINE_BYTES:
             self.end(b"-ERR the line is too long\n")
 
     def eof_received(self) -> bool:
-        """Answer a last line that came without its newline, and keep our side open to write it."""
-        if not self.answered:  # a last line may come without its end
-            self.end(answer(self.listener.service, bytes(self.line)))
+        """Answers a line without a newline, and keeps this side open to write the answer."""
+        if not self.answered:  # the client may end its line by closing its side
+            self.end(answer(self.listener.handler, bytes(self.line)))
         return True
 
     def end(self, data: bytes) -> None:
-        """Answer, and close once that is written; a connection that does not read it is cut off."""
+        """Answers, and closes once the answer is written; aborts if it is not read in time."""
         self.answered = True
         self._stop_timer()
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(data)
         self.transport.close()
-        self.timer = asyncio.get_running_loop().call_later(ANSWER_TIME, self.transport.abort)
+        self.timer = asyncio.get_running_loop().call_later(ANSWER_READ_TIMEOUT_S, self.transport.abort)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Give up the place."""
+        """Removes the connection from the listener."""
         self._stop_timer()
         self.listener.connections.pop(self, None)
 
@@ -75,32 +76,32 @@
 
 
 class OperatorListener:
-    """Listens where staff call."""
+    """Listens for operators' connections."""
 
-    def __init__(self, service: CommandHandler) -> None:
-        self.service = service
-        self.connections: dict[OperatorConnection, None] = {}  # longest first
+    def __init__(self, handler: CommandHandler) -> None:
+        self.handler = handler
+        self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> int:
-        """Listen; the port that came of it. OSError where that can't be."""
+        """Listens; the port, also if the address has port 0. OSError if listening fails."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: OperatorConnection(self), address.host, address.port, backlog=TAKEN_UP_AT_ONCE, reuse_port=True
+            lambda: OperatorConnection(self), address.host, address.port, backlog=ACCEPTS_PER_ITERATION, reuse_port=True
         )
         with self._server.sockets[0].dup() as listening:
-            listening.listen(16)  # more may wait than are taken up at once
+            listening.listen(16)  # the kernel's queue may be longer than ACCEPTS_PER_ITERATION
         return int(self._server.sockets[0].getsockname()[1])
 
     def add(self, connection: OperatorConnection) -> None:
-        """A connection has come: the one that has been silent for the longest gives way where places are short."""
+        """Adds a connection; beyond ``MAX_CONNECTIONS`` the oldest one is closed."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
-            oldest.end(b"-ERR too many callers\n")
+            oldest.end(b"-ERR too many connections\n")
             del self.connections[oldest]
 
     def close(self) -> None:
-        """Stop listening and cut off whoever still waits for an answer."""
+        """Stops listening and aborts all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
--- a/garnetrelay/operators/metrics.py
+++ b/garnetrelay/operators/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a relay in the text form of Prometheus. No I/O.
+"""A relay's metrics in the text format of Prometheus. No I/O.
 
-What happens is counted where it happens (``counters.py``), from the start of the process; the rest is asked of the relay
-when the figures are fetched, so that they are never old.
+Counters (``counters.py``) count events as they happen, from the start of the process. Gauges are read from the relay when
+the metrics are fetched, so they are always current.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """Figures that go by no class, under their names behind ``relay_``. Counts are since the process's start."""
+    """Metrics without a class label. A field's name after ``relay_`` is the metric's name. Counts since process start."""
 
-    attempts: int  # messages written whole to hosts
-    in_flight: int  # taken on and not ended
+    attempts: int  # messages written completely to hosts
+    in_flight: int  # accepted and not ended
     hosts_known: int
-    hosts_excluded: int  # of those, the ones that get no ordinary work
+    hosts_excluded: int  # of the known hosts, those that get no regular messages
     reloads_ok: int
     reloads_failed: int
     discovery_calls: int
-    discovery_failures: int  # calls that failed and watches that broke, as the schedule of calls counts them
-    list_version: int  # in force, as discovery's present address counts
-    list_watched: int  # 1: a watch at that address tells changes; 0: the list may be old
+    discovery_failures: int  # failed calls and broken watches, as the retry schedule counts them
+    list_version: int  # of the list in force, as numbered by discovery at its current address
+    list_watched: int  # 1: a watch at that address reports changes; 0: the list may be outdated
 
 
 def escape_label(label: str) -> str:
-    """A label's value as the text form writes it."""
+    """Escapes a label's value for the text format."""
     return label.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-def text(counts: Counters, gauges: Gauges) -> str:
-    """All figures, a line each."""
+def render(counts: Counters, gauges: Gauges) -> str:
+    """All metrics, a line each."""
     lines = [
         f'relay_{name}{{class="{escape_label(klass)}"}} {count}'
         for name, by_class in (("served", counts.served), ("refused", counts.refused), ("failed", counts.failed))
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -1,4 +1,4 @@
-"""What staff's calls do to a relay: the one place where the two meet."""
+"""Carries out operators' commands on a relay."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 
 
 class OperatedFleet(Protocol):
-    """What staff ask of the relays that know each other. Texts are lines as ``docs/operations/fleet.md`` has them."""
+    """What operators' commands need of the fleet. ``docs/operations/fleet.md`` describes the returned lines."""
 
-    closed: bool  # this process has no part in the fleet any more
+    closed: bool  # this process is not a member of the fleet any more
 
     def metrics(self) -> str:
-        """The figures, a line each."""
+        """The fleet's metrics, a line each."""
         ...
 
     def listing(self) -> str:
-        """All members."""
+        """The state of this relay, then all members, a line each."""
         ...
 
     def explain(self, name: str) -> list[str] | None:
-        """What is known of one; None where it was never heard of."""
+        """What is known of a member, in lines; None for an unknown name."""
         ...
 
     def leave(self) -> None:
-        """Tell the others that this relay goes."""
+        """Leaves the fleet, and notifies the other members."""
         ...
 
     def owners(self, destination: int | None) -> str | None:
-        """What this relay owns, or whether it owns one destination; None where it holds no leases."""
+        """The partitions that this relay owns, or whether it owns one destination; None if leases are switched off."""
         ...
 
     def controllers(self) -> str | None:
-        """The controllers as this relay sees them; None where it holds no leases."""
+        """The controllers as this relay sees them, a line each; None if leases are switched off."""
         ...
 
 
 class Successor(Protocol):
-    """The process that the relay has passed to."""
+    """The new process that has taken over the relay."""
 
     def exclude(self, host: str, out: bool) -> str:
-        """Pass on a host taken out or put back; why it can't be done, or nothing."""
+        """Passes on an exclusion or its end; the reason of a failure, or an empty string."""
         ...
 
 
 class OperatedRelay(Protocol):
-    """What staff's calls need of a relay. ``Relay`` fits it without naming it: neither module imports the other's."""
+    """What operators' commands need of a relay. ``Relay`` implements it without importing it, nor is it imported here."""
 
     config: Config
     counts: Counters
@@ -61,32 +61,32 @@
 
     @property
     def fleet(self) -> OperatedFleet | None:
-        """None where relays do not know each other."""
+        """None if this relay is not a member of a fleet."""
         ...
 
     def draining(self) -> bool:
-        """Whether it closes what clients have open, to end."""
+        """Whether it closes its clients' connections in order to end."""
         ...
 
     def successor(self) -> Successor | None:
-        """None while the relay is this process's."""
+        """The process that has taken over; None as long as this process serves."""
         ...
 
     def gauges(self) -> Gauges:
-        """Its figures that go by no class, as they are now."""
+        """The current values of the metrics without a class label."""
         ...
 
     def knows_host(self, host: str) -> bool:
-        """Whether the list names a host, or has named it."""
+        """Whether the host is in the list, or has been."""
         ...
 
     def exclude(self, host: str, out: bool) -> None:
-        """Take a host out, or put it back; in force at once."""
+        """Excludes a host, or includes it again; in force at once."""
         ...
 
 
 class OperatorService:
-    """Answers staff for one relay."""
+    """The operators' service of one relay."""
 
     def __init__(self, relay: OperatedRelay) -> None:
         self.relay = relay
@@ -95,56 +95,56 @@
         self.port = 0
 
     async def start(self, address: Address) -> None:
-        """Read what is kept, and listen: until the relay serves, HEALTH says no."""
+        """Reads the excluded hosts, and listens. HEALTH fails until the relay serves."""
         self.exclusions.read()
         self.port = await self.listener.start(address)
 
     def excluded(self) -> list[io.Event]:
-        """What the Pacer has to know before its first decision."""
+        """The excluded hosts, as events that the Pacer must get before its first decision."""
         return [io.Excluded(name, True) for name in self.exclusions.names]
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stops listening."""
         self.listener.close()
 
-    # ---- the calls
+    # ---- commands
 
     def health(self) -> None:
-        """CommandRefusedError while this process does not serve yet, or stops."""
-        if not self.relay.serving:  # a relay that has passed to a new process serves on there
-            raise CommandRefusedError("it does not serve yet")
+        """Returns if this process can serve; CommandRefusedError before it serves and while it stops."""
+        if not self.relay.serving:  # stays true after a handover: the relay serves in the new process
+            raise CommandRefusedError("the relay does not serve yet")
         if self.relay.draining():
-            raise CommandRefusedError("it is stopping")
+            raise CommandRefusedError("the relay is stopping")
 
     def metrics(self) -> str:
-        """The relay's figures, and the fleet's where this process has a part in it."""
+        """The relay's metrics, and the fleet's if this process is a member of one."""
         relay = self.relay
-        text = metrics.text(relay.counts, relay.gauges())
+        text = metrics.render(relay.counts, relay.gauges())
         return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.metrics()
 
     def fleet(self, words: list[str]) -> str:
-        """Answer ``FLEET``: ``words``: MEMBERS, EXPLAIN and a name, or LEAVE. CommandRefusedError without a fleet."""
+        """Carries out ``FLEET`` with its arguments ``words``; CommandRefusedError without a fleet."""
         fleet = self.relay.fleet
         if fleet is None:
-            raise CommandRefusedError("this relay knows no others: [fleet] is not switched on")
+            raise CommandRefusedError("this relay is in no fleet: [fleet] is not switched on")
         if fleet.closed:
-            raise CommandRefusedError("this process has no part in the fleet any more")
+            raise CommandRefusedError("this process is not a member of the fleet any more")
         match words:
             case ["EXPLAIN", name]:
                 lines = fleet.explain(name)
                 if lines is None:
-                    raise CommandRefusedError(f"no relay {name} was ever heard of")
+                    raise CommandRefusedError(f"unknown relay {name}")
                 return "\n".join(lines) + "\n"
             case ["LEAVE"]:
                 fleet.leave()
             case ["OWNERS", *rest]:
-                return _leased(fleet.owners(int(rest[0]) if rest else None))
+                return _require_leases(fleet.owners(int(rest[0]) if rest else None))
             case ["CONTROLLERS"]:
-                return _leased(fleet.controllers())
+                return _require_leases(fleet.controllers())
         return fleet.listing()
 
     def exclude(self, host: str, out: bool) -> None:
-        """Keep the change, then put it in force, or pass it on to the new process; CommandRefusedError says why."""
+        """Stores and applies the change, or passes it on to the new process; CommandRefusedError if that fails."""
         relay = self.relay
         successor = relay.successor()
         if successor is not None:
@@ -153,12 +153,12 @@
                 raise CommandRefusedError(error)
             return
         if not relay.knows_host(host) and host not in self.exclusions.names:
-            raise CommandRefusedError(f"no host {host} was ever listed")
-        if self.exclusions.put(host, out):
+            raise CommandRefusedError(f"unknown host {host}: it was never listed")
+        if self.exclusions.set_excluded(host, out):
             relay.exclude(host, out)
 
 
-def _leased(answer: str | None) -> str:
+def _require_leases(answer: str | None) -> str:
     if answer is None:
-        raise CommandRefusedError("this relay holds no leases: [fleet.leases] is not switched on")
+        raise CommandRefusedError("this relay has no leases: [fleet.leases] is not switched on")
     return answer
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -112,7 +112,7 @@
 
 def test_file_is_whole_or_left_out(tmp_path: Path) -> None:
     kept = Exclusions(tmp_path, False)
-    kept.put("s-1", True)
+    kept.set_excluded("s-1", True)
     path = tmp_path / exclusions.FILE
     whole = path.read_bytes()
     for spoilt in [whole[:n] for n in range(len(whole))] + [whole.replace(b" 1 ", b" 2 "), whole[:-3] + b'9"]']:
@@ -124,11 +124,11 @@
     (tmp_path / "excluded.new").write_bytes(b"half")  # a stop came in the middle of a call
     again = Exclusions(tmp_path, False)
     again.read()
-    assert list(again.names) == ["s-1"] and again.put("s-2", True)
+    assert list(again.names) == ["s-1"] and again.set_excluded("s-2", True)
     with pytest.raises(CommandRefusedError):
         for n in range(1000):
-            again.put(f"{n:0200}", True)
-    assert path.stat().st_size <= exclusions.MOST_BYTES
+            again.set_excluded(f"{n:0200}", True)
+    assert path.stat().st_size <= exclusions.MAX_FILE_BYTES
 
 
 def test_host_comes_back_cold() -> None:
