--- a/garnetrelay/cli/__init__.py
+++ b/garnetrelay/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `garnetrelay` command: one thin module a subcommand. The daemon imports none of it."""
+"""The `garnetrelay` command: one module for each subcommand. The daemon imports none of it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """The console script. What the tools need besides the relay is an extra: say so where it is missing."""
+    """The console script. The tools' dependencies are an extra of the package; if one is missing, it names the extra."""
     try:
         from garnetrelay.cli.commands import command
     except ModuleNotFoundError as error:
--- a/garnetrelay/cli/__main__.py
+++ b/garnetrelay/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m garnetrelay.cli`: the `garnetrelay` command where its script is not installed."""
+"""`python -m garnetrelay.cli`: the `garnetrelay` command without an installed script."""
 
 from garnetrelay.cli import main
 
--- a/garnetrelay/cli/commands.py
+++ b/garnetrelay/cli/commands.py
@@ -1,4 +1,4 @@
-"""All subcommands, each loaded when it is called for: `--help` must not wait for plots."""
+"""All subcommands. Each module is imported when its subcommand runs, so that `--help` does not load the plotting code."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """A group whose subcommands are imported by name."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """All subcommands by name, in the order of ``--help``."""
+        """The names of all subcommands, sorted as in ``--help``."""
         return sorted(SUBCOMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """Import a subcommand's module and return its command; None for an unknown name."""
+        """Imports a subcommand's module and returns its command; None for an unknown name."""
         if name not in SUBCOMMANDS:
             return None
         found = importlib.import_module(SUBCOMMANDS[name]).command
@@ -33,7 +33,7 @@
         return found
 
 
-@click.command(cls=Lazy)
+@click.command(cls=LazyGroup)
 @click.version_option(package_name="garnetrelay", message="%(prog)s %(version)s")
 def command() -> None:
     """A message relay, and the tools that come with it."""
--- a/garnetrelay/cli/controller.py
+++ b/garnetrelay/cli/controller.py
@@ -1,4 +1,4 @@
-"""`garnetrelay fleet controller`: one of the processes that grant leases."""
+"""`garnetrelay fleet controller`: runs one of the processes that grant leases."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 @click.command("controller")
 @click.argument("options", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--initialize", is_flag=True, help="Write an empty file of records, once for a new cluster, and end.")
-@click.option("--check", is_flag=True, help="Say whether a controller could start with these options, and end.")
+@click.option("--initialize", is_flag=True, help="Write an empty records file, once for a new cluster, and exit.")
+@click.option("--check", is_flag=True, help="Check whether a controller could start with these options, and exit.")
 def command(options: Path, initialize: bool, check: bool) -> None:
     """Run the controller of OPTIONS, a TOML file, until SIGTERM."""
     from garnetrelay.config.controller import read
--- a/garnetrelay/cli/journal.py
+++ b/garnetrelay/cli/journal.py
@@ -1,4 +1,4 @@
-"""`garnetrelay journal`: looks into a state folder, also a live relay's, and changes nothing."""
+"""`garnetrelay journal`: inspects a state folder, also a live relay's, and changes nothing."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @click.group()
 def command() -> None:
-    """Verify, show or measure the journal in a relay's state FOLDER. Nothing is changed, also beside a live relay."""
+    """Verify, show or measure the journal in a relay's state FOLDER. It changes nothing and may run beside the relay."""
 
 
 @command.command()
 @FOLDER
 def verify(folder: Path) -> None:
-    """Read all of it. The exit status is 0 if every byte could be read, but for a tail that is being written."""
+    """Read all records. The exit status is 0 if every byte is readable, except for a tail that is being written."""
     try:
         index, problems = load(Folder(folder))
     except (LaterVersionError, OSError) as error:
@@ -43,25 +43,25 @@
         f"{uncertain} uncertain"
     )
     if (folder / legacy.NAME).exists():
-        click.echo("a journal of an earlier version waits to be taken over")
-    sys.exit(1 if unsealed or any(not _last(line, newest) for line in problems) else 0)
+        click.echo("a journal of an earlier version will be imported at the next start")
+    sys.exit(1 if unsealed or any(not _in_newest_segment(line, newest) for line in problems) else 0)
 
 
-def _last(line: str, newest: int) -> bool:
-    """Of the newest segment, which a live relay may be writing to."""
+def _in_newest_segment(line: str, newest: int) -> bool:
+    """Whether the problem is in the newest segment, which a live relay may be writing to."""
     return segment_number(line.partition(":")[0]) == newest
 
 
 @command.command()
 @FOLDER
-@click.option("--records", is_flag=True, help="Every record, in its order, in place of what is live.")
-@click.option("--ref", help="Of one message only.")
+@click.option("--records", is_flag=True, help="Show every record in order instead of the live messages.")
+@click.option("--ref", help="Show one message only.")
 def show(folder: Path, records: bool, ref: str | None) -> None:
-    """What is live, a message a line, or every record."""
+    """The live messages, one in a line, or every record."""
     try:
         if records:
             for name, found in iter_records(Folder(folder)):
-                line = _said(found)
+                line = _describe(found)
                 if ref is None or ref in line.split():
                     click.echo(f"{name} {line}")
             return
@@ -72,54 +72,54 @@
     for entry in index.entries.values():
         if ref is not None and entry.ref != ref:
             continue
-        state = f"ended {entry.ended}, not told yet" if entry.ended else "held"
+        state = f"ended {entry.ended}, notice pending" if entry.ended else "held"
         if entry.trying_at is not None:
-            state += f", out since {_ago(now, entry.trying_at)} in {entry.trying_zone}"
+            state += f", out since {_age(now, entry.trying_at)} in {entry.trying_zone}"
         if entry.ran_at is not None:
-            state += f", may have run {_ago(now, entry.ran_at)} ago in {entry.ran_zone}"
+            state += f", may have run {_age(now, entry.ran_at)} ago in {entry.ran_zone}"
         click.echo(
             f"{entry.ref} {entry.klass} to {entry.dest}, key {entry.key}, {len(entry.body)} bytes, "
-            f"{(entry.deadline - now) / 1000:.1f} s left, {entry.attempts} attempts: {state}"
+            f"{(entry.deadline - now) / 1000:.1f} s remaining, {entry.attempts} attempts: {state}"
             f"{', uncertain' if entry.uncertain else ''}"
         )
 
 
-def _ago(now: float, at: int) -> str:
+def _age(now: float, at: int) -> str:
     return f"{(now - at) / 1000:.1f} s"
 
 
-def _said(found: fmt.Record | tuple[int, int]) -> str:
+def _describe(found: fmt.Record | tuple[int, int]) -> str:
     if isinstance(found, tuple):
         return f"{found[0]} unreadable {found[1] - found[0]} bytes"
     try:
         match found.kind:
             case Kind.TAKEN | Kind.STATE:
                 entry = fmt.read_entry(found)
-                what = f"{entry.ref} {entry.klass} to {entry.dest} {len(entry.body)} bytes {entry.attempts} attempts"
+                text = f"{entry.ref} {entry.klass} to {entry.dest} {len(entry.body)} bytes {entry.attempts} attempts"
             case Kind.TRY:
                 ref, at, zone = fmt.read_try(found)
-                what = f"{ref} at {at} in {zone}"
+                text = f"{ref} at {at} in {zone}"
                 if (epoch := fmt.read_epoch(found)) is not None:
-                    what += f" epoch {epoch}"
+                    text += f" epoch {epoch}"
             case Kind.OUTCOME:
                 ref, ran = fmt.read_outcome(found)
-                what = f"{ref} {'may have run' if ran else 'never ran'}"
+                text = f"{ref} {'may have run' if ran else 'never ran'}"
             case Kind.ENDED:
                 ref, result, wait = fmt.read_ended(found)
-                what = f"{ref} {result} wait {wait} ms"
+                text = f"{ref} {result} wait {wait} ms"
             case Kind.GONE:
-                what = fmt.read_gone(found)
+                text = fmt.read_gone(found)
             case _:
-                what = ""
+                text = ""
     except fmt.FormatError as error:
-        what = f"can't be understood: {error}"
-    return f"{found.offset} {found.kind.name} {what}".rstrip()
+        text = f"invalid: {error}"
+    return f"{found.offset} {found.kind.name} {text}".rstrip()
 
 
 @command.command()
 @FOLDER
 def stats(folder: Path) -> None:
-    """Segments, what is live in each, and what the folder takes."""
+    """The segments with their live bytes, and the disk usage of all."""
     try:
         index, _ = load(Folder(folder))
     except (LaterVersionError, OSError) as error:
@@ -134,5 +134,5 @@
     live = max(1, index.live)
     click.echo(
         f"{used} bytes used, {index.live} live ({used / live:.2f} times), {len(index.entries)} messages, "
-        f"{len(index.tombstones)} ends kept for older records"
+        f"{len(index.tombstones)} tombstones"
     )
--- a/garnetrelay/cli/operators.py
+++ b/garnetrelay/cli/operators.py
@@ -1,4 +1,4 @@
-"""`garnetrelay operators`: calls a running relay as staff do."""
+"""`garnetrelay operators`: sends operators' commands to a running relay."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from garnetrelay.config.deployment import Address
 
-ANSWER_TIME = 3.0  # seconds
-MOST_ANSWER = 1 << 20
+ANSWER_TIMEOUT_S = 3.0
+MAX_ANSWER_BYTES = 1 << 20
 
 
 class AddressType(click.ParamType[Address]):
-    """host:port."""
+    """A parameter of the form host:port."""
 
     name = "address"
 
     def convert(self, value: str | Address, parameter: click.Parameter | None, context: click.Context | None) -> Address:
-        """Parse ``HOST:PORT``; a usage error of one line where it is none."""
+        """Parses ``HOST:PORT``; a usage error of one line if the text is invalid."""
         try:
             return value if isinstance(value, Address) else Address.parse(value)
         except ValueError as error:
@@ -32,26 +32,26 @@
     type=AddressType(),
     envvar="RELAY_OPS",
     required=True,
-    help="Where staff call the relay; RELAY_OPS by default.",
+    help="The address of the relay's operators' listener; RELAY_OPS by default.",
 )
 
 
-def ask(address: Address, line: str, patience: float = ANSWER_TIME) -> str:
-    """A call's whole answer; OSError where none comes."""
+def send_command(address: Address, line: str, timeout_s: float = ANSWER_TIMEOUT_S) -> str:
+    """Sends a command and returns the complete answer; OSError if that fails."""
     answer = bytearray()
-    with socket.create_connection((address.host, address.port), timeout=patience) as caller:
-        caller.sendall(line.encode("ascii") + b"\n")
-        while piece := caller.recv(65536):
+    with socket.create_connection((address.host, address.port), timeout=timeout_s) as connection:
+        connection.sendall(line.encode("ascii") + b"\n")
+        while piece := connection.recv(65536):
             answer += piece
-            if len(answer) > MOST_ANSWER:
-                raise OSError("the answer does not end")
+            if len(answer) > MAX_ANSWER_BYTES:
+                raise OSError("the answer is too long")
     return answer.decode("ascii", "replace")
 
 
-def call(address: Address, line: str) -> str:
-    """The same for a subcommand: it ends with status 1 on a no, and 2 where the relay can't be reached."""
+def run_command(address: Address, line: str) -> str:
+    """The same for a subcommand: exits with status 1 if the command fails, and 2 if the relay can't be reached."""
     try:
-        answer = ask(address, line)
+        answer = send_command(address, line)
     except (OSError, UnicodeEncodeError) as error:
         click.echo(f"garnetrelay: {address}: {error}", err=True)
         sys.exit(2)
@@ -63,23 +63,23 @@
 
 @click.group()
 def command() -> None:
-    """Ask a running relay for its health and figures, or take hosts out by hand."""
+    """Query a running relay's health and metrics, or exclude hosts."""
 
 
 @command.command()
 @ADDRESS
 def health(address: Address) -> None:
-    """Whether it can serve: the exit status is 0 for yes, 1 for no, 2 where it can't be reached."""
-    call(address, "HEALTH")
+    """Whether the relay can serve: the exit status is 0 if so, 1 if not, 2 if it can't be reached."""
+    run_command(address, "HEALTH")
     click.echo("it serves")
 
 
 @command.command()
 @ADDRESS
-@click.option("--only", default="", help="Only figures with this in their name.")
+@click.option("--only", default="", help="Only metrics with this text in their name.")
 def figures(address: Address, only: str) -> None:
-    """Its figures, in the text form of Prometheus."""
-    for line in call(address, "DUMP").splitlines()[1:-1]:
+    """The relay's metrics in the text format of Prometheus."""
+    for line in run_command(address, "DUMP").splitlines()[1:-1]:
         if only in line:
             click.echo(line)
 
@@ -88,8 +88,8 @@
 @ADDRESS
 @click.argument("host")
 def offline(address: Address, host: str) -> None:
-    """Take HOST out until it is put back."""
-    call(address, f"OFFLINE {host}")
+    """Exclude HOST until `online` includes it again."""
+    run_command(address, f"OFFLINE {host}")
     click.echo(f"{host} is out")
 
 
@@ -97,6 +97,6 @@
 @ADDRESS
 @click.argument("host")
 def online(address: Address, host: str) -> None:
-    """Put HOST back."""
-    call(address, f"ONLINE {host}")
+    """Include HOST again."""
+    run_command(address, f"ONLINE {host}")
     click.echo(f"{host} is back")
--- a/garnetrelay/cli/serve.py
+++ b/garnetrelay/cli/serve.py
@@ -1,4 +1,4 @@
-"""`garnetrelay serve`: the daemon, as `python -m garnetrelay` starts it."""
+"""`garnetrelay serve`: starts the daemon like `python -m garnetrelay`."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 @click.command()
 def command() -> None:
-    """Run one relay, told by RELAY_CONFIG, RELAY_STATE and the other variables of its environment."""
-    # In this process's place: the daemon must not carry what the command has imported.
+    """Run one relay, configured by RELAY_CONFIG, RELAY_STATE and other environment variables."""
+    # Replaces this process: the daemon must not keep the modules that the command has imported in memory.
     os.execv(sys.executable, [sys.executable, "-m", "garnetrelay"])
--- a/garnetrelay/cli/upgrade.py
+++ b/garnetrelay/cli/upgrade.py
@@ -1,4 +1,4 @@
-"""`garnetrelay upgrade`: starts a new process beside a running relay, and ends the old one once the new one serves."""
+"""`garnetrelay upgrade`: starts a new process next to a running relay, and ends the old one once the new one serves."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 import click
 
-from garnetrelay.cli.operators import AddressType, ask
+from garnetrelay.cli.operators import AddressType, send_command
 from garnetrelay.config.deployment import Address
 from garnetrelay.handover.channel import Door
 
-LOOK_EVERY = 0.05  # seconds
-TERM_TIME = 3.7  # seconds from SIGTERM until the old process must be gone
-FAILED = 1
-UNUSABLE = 2
+POLL_INTERVAL_S = 0.05
+TERM_TIMEOUT_S = 3.7  # from SIGTERM until the old process gets SIGKILL
+EXIT_FAILED = 1
+EXIT_NOT_RUN = 2
 
 
 def serving(folder: Path) -> int | None:
-    """The process that serves from a state folder, as the kernel knows it; None where none does."""
-    door = Door(folder)
+    """The process ID of the relay that serves from a state folder, from the socket's peer credentials; None if none."""
+    endpoint = Door(folder)
     try:
-        channel = door.call()
+        channel = endpoint.call()
     finally:
-        door.close()
+        endpoint.close()
     if channel is None:
         return None
     process = channel.peer[0]
@@ -37,7 +37,7 @@
 
 
 def alive(process: int) -> bool:
-    """Whether it runs; one that has ended and that nobody has asked for its status does not."""
+    """Whether the process runs; a zombie counts as ended."""
     try:
         return Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except (OSError, IndexError):
@@ -45,9 +45,9 @@
 
 
 def healthy(address: Address) -> bool:
-    """Whether the relay whose staff address this is answers HEALTH with ``+OK`` within a second."""
+    """Whether the relay with this operators' address answers HEALTH with ``+OK`` within a second."""
     try:
-        return ask(address, "HEALTH", 1.0).startswith("+OK")
+        return send_command(address, "HEALTH", 1.0).startswith("+OK")
     except OSError:
         return False
 
@@ -66,26 +66,26 @@
     "address",
     type=AddressType(),
     required=True,
-    help="Where staff are to call the new process: another address than the old one's.",
+    help="The address of the new process's operators' listener, different from the old one's.",
 )
 @click.option(
     "--log",
     type=click.Path(dir_okay=False, path_type=Path),
     required=True,
-    help="The file that the new process's log is added to.",
+    help="The file to which the new process's log is appended.",
 )
-@click.option("--seconds", default=30.0, show_default=True, help="How long the new process may take until it serves.")
+@click.option("--seconds", default=30.0, show_default=True, help="The time limit for the new process to serve.")
 def command(state: Path, to: str | None, address: Address, log: Path, seconds: float) -> None:
-    """Upgrade the relay that serves from a state folder, while it serves.
+    """Upgrade the relay that serves from a state folder, without an interruption.
 
-    The new process gets this command's environment (RELAY_CONFIG, RELAY_LISTEN and so on, as the old one had them).
-    The exit status is 0 once it serves and the old one is gone, 1 if it failed and the old one serves on, and 2 if
-    nothing could be tried.
+    The new process gets this command's environment (RELAY_CONFIG, RELAY_LISTEN and so on, with the same values as for
+    the old one). The exit status is 0 once it serves and the old one has ended, 1 if it failed and the old one continues
+    to serve, and 2 if the upgrade could not be started.
     """
     old = serving(state)
     if old is None:
         click.echo(f"garnetrelay: no relay that can be upgraded serves from {state}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_NOT_RUN)
     click.echo(f"process {old} serves")
     environment = {**os.environ, "RELAY_STATE": str(state), "RELAY_OPS": str(address)}
     words = [sys.executable, "-m", "garnetrelay"] if to is None else shlex.split(to)
@@ -96,7 +96,7 @@
             )
     except OSError as error:
         click.echo(f"garnetrelay: {words[0]}: {error.strerror}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_NOT_RUN)
     end = time.monotonic() + seconds
     while not healthy(address):
         status = new.poll()
@@ -109,14 +109,14 @@
                 f"garnetrelay: the new process ended with status {status}, see {log}; the old one " f"{carries_on}",
                 err=True,
             )
-            sys.exit(FAILED)
-        time.sleep(LOOK_EVERY)
+            sys.exit(EXIT_FAILED)
+        time.sleep(POLL_INTERVAL_S)
     click.echo(f"process {new.pid} serves")
     try:
         os.kill(old, signal.SIGTERM)
-        end = time.monotonic() + TERM_TIME
+        end = time.monotonic() + TERM_TIMEOUT_S
         while alive(old) and time.monotonic() < end:
-            time.sleep(LOOK_EVERY)
+            time.sleep(POLL_INTERVAL_S)
         os.kill(old, signal.SIGKILL)
     except ProcessLookupError:
         pass
