--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -173,7 +173,7 @@
 
     def _retry_failed(self) -> None:
         """Retries after a failed write or sync: writes the full states of all messages with unrecorded changes."""
-        self._give_up_pending()
+        self._mark_pending_unrecorded()
         self.write_failed = False
         if (self._handle is None or self._torn_tail and not self._truncate_torn_tail()) and not self._begin_segment():
             self.write_failed = True
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -117,7 +117,7 @@
         must not send attempts or answer clients that depend on these records.
         """
         if self.write_failed:
-            self._give_up_pending()
+            self._mark_pending_unrecorded()
             return False
         if not self._pending:
             return True
@@ -140,7 +140,7 @@
         if self.wake_sync is not None:
             self.wake_sync()
 
-    def _give_up_pending(self) -> None:
+    def _mark_pending_unrecorded(self) -> None:
         self._pending.clear()
         self.unrecorded.update(self._pending_refs)
         self._pending_refs = []
@@ -247,7 +247,7 @@
             return
         self._fail(error.strerror or type(error).__name__)
         self._torn_tail = self._sync_failed = True
-        self._give_up_pending()
+        self._mark_pending_unrecorded()
         self.unrecorded |= sync.unsynced | self._unsynced
         self._unsynced = set()
         self._unlinked += sync.unlinked
--- a/tests/operators/test_cli.py
+++ b/tests/operators/test_cli.py
@@ -1,4 +1,4 @@
-"""The subcommands for staff, against real processes."""
+"""The operators' subcommands, against real processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def command(*words: str, environment: dict[str, str] | None = None) -> tuple[int, str]:
-    """A subcommand's exit status, and what it says."""
+    """A subcommand's exit status and output."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -29,18 +29,19 @@
     return child.returncode or 0, output.decode()
 
 
-async def test_staff_call_and_upgrade_from_the_command_line(field: Field, tmp_path: Path) -> None:
-    process, staff, later = Process(field), *(f"127.0.0.1:{field.free_port()}" for _ in range(2))
-    client = await process.start({"RELAY_OPS": staff})
-    assert await client.ask("PING") == b"PONG"  # its first command has a time limit, and the commands below take theirs
+async def test_operators_and_upgrade_subcommands(field: Field, tmp_path: Path) -> None:
+    process, address, new_address = Process(field), *(f"127.0.0.1:{field.free_port()}" for _ in range(2))
+    client = await process.start({"RELAY_OPS": address})
+    # A client's first command has a time limit, and the subcommands below take longer.
+    assert await client.ask("PING") == b"PONG"
     environment = {**field.environment(process.port), "RELAY_OPS": ""}
-    assert await command("operators", "health", "--at", staff) == (0, "it serves\n")
-    assert (await command("operators", "offline", "--at", staff, "s-none"))[0] == 1
-    assert await command("operators", "offline", "--at", staff, "s-1") == (0, "s-1 is out\n")
-    assert (await command("operators", "figures", "--at", staff, "--only", "excl"))[1] == "relay_hosts_excluded 1\n"
+    assert await command("operators", "health", "--at", address) == (0, "it serves\n")
+    assert (await command("operators", "offline", "--at", address, "s-none"))[0] == 1
+    assert await command("operators", "offline", "--at", address, "s-1") == (0, "s-1 is out\n")
+    assert (await command("operators", "figures", "--at", address, "--only", "excl"))[1] == "relay_hosts_excluded 1\n"
 
     state, log = str(field.state), str(tmp_path / "log")
-    words = ("upgrade", "--state", state, "--staff", later, "--log", log)
+    words = ("upgrade", "--state", state, "--staff", new_address, "--log", log)
     failed = await command(*words, "--to", f"{sys.executable} -c 'raise SystemExit(3)'", environment=environment)
     assert failed[0] == 1 and "status 3" in failed[1] and "the old one serves on" in failed[1]
     assert await client.ask("PING") == b"PONG"
@@ -50,7 +51,7 @@
     new = serving(field.state)
     assert new is not None and process.child is not None and await process.end(signal.SIGTERM) == 0
     assert await client.ask("PING") == b"PONG" and await (await Client.connect(process.port)).ask("PING") == b"PONG"
-    assert (await command("operators", "figures", "--at", later, "--only", "excl"))[1] == "relay_hosts_excluded 1\n"
+    assert (await command("operators", "figures", "--at", new_address, "--only", "excl"))[1] == "relay_hosts_excluded 1\n"
     ended, watched = asyncio.Event(), os.pidfd_open(new)
     asyncio.get_running_loop().add_reader(watched, ended.set)
     os.kill(new, signal.SIGTERM)
@@ -59,5 +60,5 @@
     asyncio.get_running_loop().remove_reader(watched)
     os.close(watched)
     assert not alive(new)
-    assert (await command("operators", "health", "--at", later))[0] == 2
+    assert (await command("operators", "health", "--at", new_address))[0] == 2
     assert (await command(*words, environment=environment))[0] == 2
--- a/tests/operators/test_operators.py
+++ b/tests/operators/test_operators.py
@@ -1,4 +1,4 @@
-"""Staff's calls over loopback: health, figures, hosts taken out by hand and kept out."""
+"""Operators' commands over loopback: health, metrics, excluded hosts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def call(field: Field, text: str, *pieces: str) -> str:
-    """A staff call, and all that it is answered."""
+    """Sends a command, and returns the complete answer."""
     operators = field.relays[-1].operators
     assert operators is not None
     reader, writer = await asyncio.open_connection("127.0.0.1", operators.port)
@@ -39,7 +39,7 @@
     return {name: int(value) for name, _, value in (line.rpartition(" ") for line in lines[1:-1])}
 
 
-async def test_figures_tell_each_end(field: Field) -> None:
+async def test_metrics_count_each_result(field: Field) -> None:
     field.operators = True
     client = await field.start()
     assert await call(field, "HEALTH\n") == "+OK\n"
@@ -49,16 +49,16 @@
     assert await field.platform.next_notice() == {"ref": "dies", "result": "dead"}
     assert (await client.enqueue("held", "keyed")) == b"OK"
     held = await field.host.next_call()
-    figures = read(await call(field, "DU", "MP\n"))
-    assert figures['relay_served{class="safe"}'] == 2
-    assert figures['relay_failed{class="unsafe"}'] == 1
-    assert figures['relay_served{class="keyed"}'] == figures['relay_refused{class="keyed"}'] == 0
-    assert figures["relay_attempts"] == 4 and figures["relay_in_flight"] == 1
-    assert figures["relay_hosts_known"] == 1 and figures["relay_hosts_excluded"] == 0
+    metrics = read(await call(field, "DU", "MP\n"))
+    assert metrics['relay_served{class="safe"}'] == 2
+    assert metrics['relay_failed{class="unsafe"}'] == 1
+    assert metrics['relay_served{class="keyed"}'] == metrics['relay_refused{class="keyed"}'] == 0
+    assert metrics["relay_attempts"] == 4 and metrics["relay_in_flight"] == 1
+    assert metrics["relay_hosts_known"] == 1 and metrics["relay_hosts_excluded"] == 0
     held.answer(200)
 
 
-async def test_figures_tell_whether_the_list_is_watched(field: Field) -> None:
+async def test_metrics_report_whether_the_list_is_watched(field: Field) -> None:
     field.operators = True
     await field.start()
     (await field.platform.next_call()).answer(503)
@@ -66,33 +66,33 @@
     assert read(await call(field, "DUMP\n"))["relay_list_watched"] == 0
     watch.line(listing(42, endpoint(field.host)))
     await until(lambda: field.relays[0].discovery.index == 42)
-    figures = read(await call(field, "DUMP\n"))
-    assert figures["relay_discovery_calls"] == 2 and figures["relay_discovery_failures"] == 1
-    assert figures["relay_list_version"] == 42 and figures["relay_list_watched"] == 1
+    metrics = read(await call(field, "DUMP\n"))
+    assert metrics["relay_discovery_calls"] == 2 and metrics["relay_discovery_failures"] == 1
+    assert metrics["relay_list_version"] == 42 and metrics["relay_list_watched"] == 1
 
 
-async def test_what_is_not_understood_is_told(field: Field) -> None:
+async def test_invalid_commands_get_an_error(field: Field) -> None:
     field.operators = True
     await field.start()
     for text in ("nonsense\n", "\n", "OFFLINE\n", "OFFLINE a b\n", "OFFLINE s-none\n", "ONLINE s-none\n", "x" * 600):
         assert (await call(field, text)).startswith("-ERR ")
 
 
-async def test_silent_callers_give_way(field: Field) -> None:
+async def test_connections_without_a_command_are_closed_for_new_ones(field: Field) -> None:
     field.operators = True
     await field.start()
     operators = field.relays[-1].operators
     assert operators is not None
-    silent = [await asyncio.open_connection("127.0.0.1", operators.port) for _ in range(MAX_CONNECTIONS)]
+    idle = [await asyncio.open_connection("127.0.0.1", operators.port) for _ in range(MAX_CONNECTIONS)]
     await until(lambda: len(operators.listener.connections) == MAX_CONNECTIONS)
     assert await call(field, "HEALTH\n") == "+OK\n"
-    assert (await silent[0][0].readline()).startswith(b"-ERR")
-    for _, writer in silent:
+    assert (await idle[0][0].readline()).startswith(b"-ERR")
+    for _, writer in idle:
         writer.close()
 
 
-async def test_host_out_by_hand_gets_nothing_until_it_is_back(field: Field) -> None:
-    """Whatever the list says meanwhile, and across a restart."""
+async def test_excluded_host_gets_no_messages_until_it_is_included(field: Field) -> None:
+    """Independent of changes of the list, and also after a restart."""
     field.operators = True
     client = await field.start()
     await field.warm(client)
@@ -110,29 +110,29 @@
     (await field.host.next_call()).answer(200)
 
 
-def test_file_is_whole_or_left_out(tmp_path: Path) -> None:
+def test_damaged_file_of_excluded_hosts_is_ignored(tmp_path: Path) -> None:
     kept = Exclusions(tmp_path, False)
     kept.set_excluded("s-1", True)
     path = tmp_path / exclusions.FILE
     whole = path.read_bytes()
-    for spoilt in [whole[:n] for n in range(len(whole))] + [whole.replace(b" 1 ", b" 2 "), whole[:-3] + b'9"]']:
-        path.write_bytes(spoilt)
-        again = Exclusions(tmp_path, False)
-        again.read()
-        assert again.names == {}, spoilt
+    for damaged in [whole[:n] for n in range(len(whole))] + [whole.replace(b" 1 ", b" 2 "), whole[:-3] + b'9"]']:
+        path.write_bytes(damaged)
+        reopened = Exclusions(tmp_path, False)
+        reopened.read()
+        assert reopened.names == {}, damaged
     path.write_bytes(whole)
-    (tmp_path / "excluded.new").write_bytes(b"half")  # a stop came in the middle of a call
-    again = Exclusions(tmp_path, False)
-    again.read()
-    assert list(again.names) == ["s-1"] and again.set_excluded("s-2", True)
+    (tmp_path / "excluded.new").write_bytes(b"half")  # left by a process that stopped while it wrote
+    reopened = Exclusions(tmp_path, False)
+    reopened.read()
+    assert list(reopened.names) == ["s-1"] and reopened.set_excluded("s-2", True)
     with pytest.raises(CommandRefusedError):
         for n in range(1000):
-            again.set_excluded(f"{n:0200}", True)
+            reopened.set_excluded(f"{n:0200}", True)
     assert path.stat().st_size <= exclusions.MAX_FILE_BYTES
 
 
-def test_host_comes_back_cold() -> None:
-    """Alone at its destination it starts a ramp; beside another that served on it does not."""
+def test_included_host_is_cold() -> None:
+    """Alone at its destination it starts a ramp; with another host that continued to serve it does not."""
     for others in ((), (io.HostEntry("b", 0, 0, 1, io.Availability.RUNNING, 0.0),)):
         pacer = Pacer(settings(), 1)
         first = io.HostEntry("a", 0, 0, 1, io.Availability.RUNNING, 0.0)
--- a/tests/scale/test_files_scale.py
+++ b/tests/scale/test_files_scale.py
@@ -1,4 +1,4 @@
-"""Lists, configuration files and journals over more entries: all are read, and what is too long is refused whole."""
+"""Lists, configuration files and journals with many entries: all are read, and a list that is too long is refused."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
 @pytest.mark.parametrize("destinations", [26, 260])
 def test_a_configuration_file_is_read_with_all_its_hosts(tmp_path: Path, destinations: int) -> None:
     config = load({"RELAY_NAME": "n", **configuration(tmp_path, destinations)})
-    news = ListReader(config).read(config.known_hosts)
-    assert len(news.entries) == 2 * destinations
-    assert len(news.addresses) == 2 * destinations
-    assert len({entry.dest for entry in news.entries}) == destinations
+    update = ListReader(config).read(config.known_hosts)
+    assert len(update.entries) == 2 * destinations
+    assert len(update.addresses) == 2 * destinations
+    assert len({entry.dest for entry in update.entries}) == destinations
 
 
-def test_a_watch_takes_a_list_of_up_to_its_bound_and_refuses_a_longer_one() -> None:
-    """4 MB are some 13,000 destinations: a figure of the capacity page, so that it is noticed where it changes."""
-    each = len(json.dumps(listing(100, "Ready"))) / 100
-    fits, too_many = int(MAX_VERSION_BYTES / each * 0.95), int(MAX_VERSION_BYTES / each * 1.05)
+def test_a_watch_reads_a_list_up_to_its_limit_and_refuses_a_longer_one() -> None:
+    """The capacity page names this limit: 4 MB, some 13,000 destinations."""
+    entry_bytes = len(json.dumps(listing(100, "Ready"))) / 100
+    fits, too_many = int(MAX_VERSION_BYTES / entry_bytes * 0.95), int(MAX_VERSION_BYTES / entry_bytes * 1.05)
     assert not lists.refuses(json.dumps(listing(fits, "Ready")).encode() + b"\n")
     assert lists.refuses(json.dumps(listing(too_many, "Ready")).encode() + b"\n")
 
 
-def test_a_journal_of_ten_times_the_messages_has_ten_times_the_records_and_all_come_back(tmp_path: Path) -> None:
+def test_a_journal_of_ten_times_the_messages_takes_at_most_ten_times_the_disk_and_all_are_recovered(
+    tmp_path: Path,
+) -> None:
     used = []
     for messages in (300, 3_000):
         folder = tmp_path / str(messages)
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -1,10 +1,10 @@
-"""Stops a store at every operation of a workload, and holds what is recovered against a model.
+"""Stops a store at each operation of a workload, and compares what is recovered with a model.
 
     python -m tests.store.explore --stops 100000
 
-The model keeps, for each message, its states after each record that was noted, and which of them was on record for
-sure. After a stop each message must be in one of the states from that one on: none is lost, no attempt is forgotten,
-and nothing comes back that was over.
+For each message the model has its state after each buffered record, and the latest of these states that was surely
+recorded. After a stop each message must be in that state or a later one: no message is lost, no attempt is forgotten,
+and no message that had ended is restored.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 REFS = 400
 
 
-class WrongError(AssertionError):
-    """A recovered store is not what the model allows."""
+class ModelMismatchError(AssertionError):
+    """The recovered store is in a state that the model does not allow."""
 
 
-State = tuple[object, ...] | None  # of a message; None: over
+State = tuple[object, ...] | None  # of a message; None: ended
 
 
 def state_of(entry: Entry) -> State:
@@ -54,61 +54,64 @@
 
 @dataclass
 class Model:
-    """What was noted of each message, and how much of it is on record for sure."""
+    """The states of each message, and which of them were surely recorded."""
 
     states: dict[str, list[State]] = field(default_factory=dict)
-    sure: dict[str, int] = field(default_factory=dict)
+    recorded: dict[str, int] = field(default_factory=dict)  # the index of the latest state that was recorded
 
-    def noted(self, store: Store, ref: str) -> None:
+    def add_state(self, store: Store, ref: str) -> None:
         entry = store.entries.get(ref)
         self.states.setdefault(ref, []).append(None if entry is None else copy.deepcopy(state_of(entry)))
 
     def mark(self) -> dict[str, int]:
         return {ref: len(states) - 1 for ref, states in self.states.items()}
 
-    def on_record(self, mark: dict[str, int]) -> None:
-        for ref, place in mark.items():
-            self.sure[ref] = max(self.sure.get(ref, -1), place)
+    def mark_recorded(self, mark: dict[str, int]) -> None:
+        for ref, position in mark.items():
+            self.recorded[ref] = max(self.recorded.get(ref, -1), position)
 
-    def check(self, store: Store, machine: bool, faults: bool) -> None:
-        """Hold a recovered store against what is allowed. A process that ends leaves one of the states, and none of
-        them uncertain, unless writes failed; without power single records behind the last sync may be missing."""
+    def check(self, store: Store, power_loss: bool, faults: bool) -> None:
+        """Checks a recovered store.
+
+        The end of a process leaves one of the allowed states, and no message uncertain unless writes failed. After a
+        power loss, single records written after the last sync may be missing.
+        """
         for ref, states in self.states.items():
-            sure = self.sure.get(ref, -1)
-            allowed = states[sure:] if sure >= 0 else [None, *states]
+            latest = self.recorded.get(ref, -1)
+            allowed = states[latest:] if latest >= 0 else [None, *states]
             entry = store.entries.get(ref)
             if entry is None:
                 if None not in allowed:
-                    raise WrongError(f"{ref} is lost: {states[sure]} was on record")
+                    raise ModelMismatchError(f"{ref} is lost: {states[latest]} was recorded")
                 continue
             if allowed == [None]:
-                raise WrongError(f"{ref} was over, and is back")
-            if not machine:
+                raise ModelMismatchError(f"{ref} had ended, and was restored")
+            if not power_loss:
                 if entry.uncertain and not faults or not entry.uncertain and state_of(entry) not in allowed:
-                    raise WrongError(f"{ref} came back as {state_of(entry)}, allowed {allowed}")
+                    raise ModelMismatchError(f"{ref} was recovered as {state_of(entry)}, allowed {allowed}")
             elif not entry.uncertain:
-                self._safe(ref, entry, [state for state in allowed if state is not None])
+                self._check_conservative(ref, entry, [state for state in allowed if state is not None])
         for ref in store.entries:
             if ref not in self.states:
-                raise WrongError(f"{ref} was never noted")
+                raise ModelMismatchError(f"{ref} was never accepted")
 
-    def _safe(self, ref: str, entry: Entry, allowed: list[tuple[object, ...]]) -> None:
-        """Where single records may be missing, what came back may not promise more than any allowed state."""
-        # A message that was over may have been handed in again under its name: that is another one.
+    def _check_conservative(self, ref: str, entry: Entry, allowed: list[tuple[object, ...]]) -> None:
+        """Where single records may be missing, the recovered state must not rule out an attempt that may have run."""
+        # After a message has ended, a client may send another one with the same ref.
         same = [state for state in allowed if state[3] == entry.deadline]
         if not same:
-            raise WrongError(f"{ref} came back as one that was over")
+            raise ModelMismatchError(f"{ref} was recovered as an earlier message that had ended")
         first = same[0]
         if entry.attempts < int(str(first[5])):
-            raise WrongError(f"{ref}: an attempt is forgotten")
+            raise ModelMismatchError(f"{ref}: an attempt is forgotten")
         if first[8] is not None and entry.ran_at != first[8]:
-            raise WrongError(f"{ref}: that it may have run at {first[8]} is forgotten")
+            raise ModelMismatchError(f"{ref}: that it may have run at {first[8]} is forgotten")
         if first[6] is not None and len(same) == 1 and entry.trying_at is None and entry.ran_at is None:
-            raise WrongError(f"{ref}: an attempt without an outcome is forgotten")
+            raise ModelMismatchError(f"{ref}: an attempt without an outcome is forgotten")
 
 
 class Workload:
-    """Lives of messages, drawn from a seed; the same seed is the same workload."""
+    """Messages with all their records, drawn from a seed; the same seed gives the same workload."""
 
     def __init__(self, seed: int, disk: Disk, model: Model, steps: int) -> None:
         self.draw = random.Random(f"work/{seed}")
@@ -119,14 +122,14 @@
         self.new: list[str] = []
         self.big = self.draw.random() < 0.4
 
-    def run(self, machine: bool) -> Store:
-        """Until all is done, or the disk stops."""
-        store = Store(self.disk, DISK, machine)
+    def run(self, power_loss: bool) -> Store:
+        """Runs until all steps are done, or the disk stops."""
+        store = Store(self.disk, DISK, power_loss)
         for _ in range(self.steps):
             self._step(store)
             if self.draw.random() < 0.5:
-                self._turn_ends(store)
-        self._turn_ends(store)
+                self._end_batch(store)
+        self._end_batch(store)
         return store
 
     def _step(self, store: Store) -> None:
@@ -135,7 +138,7 @@
         what = draw.random()
         if what < 0.3 or not live:
             self.number += 1
-            # A message that is over may be handed in again under its old name.
+            # After a message has ended, its ref may be used again.
             ref = f"m{self.number}" if draw.random() < 0.95 or self.number < 3 else f"m{draw.randrange(1, self.number)}"
             body = draw.randbytes(draw.choice((0, 30, 300, 1500 if self.big else 60)))
             if ref in store.entries or not store.has_room(ref, "k", len(body)):
@@ -150,7 +153,7 @@
                     body,
                 )
             )
-            model.noted(store, ref)
+            model.add_state(store, ref)
             self.new.append(ref)
             return
         ref = draw.choice(live)
@@ -165,22 +168,22 @@
             store.record_end(ref, draw.choice(("dead", "bounced")), draw.randrange(500))
         else:
             store.record_end(ref, None)
-        model.noted(store, ref)
+        model.add_state(store, ref)
 
-    def _turn_ends(self, store: Store) -> None:
+    def _end_batch(self, store: Store) -> None:
         mark, new = self.model.mark(), self.new
         self.new = []
 
-        def told(recorded: bool) -> None:
+        def on_recorded(recorded: bool) -> None:
             if recorded:
-                self.model.on_record(mark)
+                self.model.mark_recorded(mark)
                 return
-            for ref in new:  # its client is told that it was not taken on
+            for ref in new:  # its client gets an error: it was not accepted
                 if ref in store.entries:
                     store.record_end(ref, None)
-                    self.model.noted(store, ref)
+                    self.model.add_state(store, ref)
 
-        store.when_recorded(told)
+        store.when_recorded(on_recorded)
         if store.machine_durable and self.draw.random() < 0.7:
             sync = store.begin_sync()
             if sync is not None:
@@ -193,9 +196,11 @@
         store.maintain()
 
 
-def explore(seed: int, machine: bool, steps: int, stops: int, faults: bool) -> int:
-    """Run a workload once to its end, then again and again with a stop at each of its operations; how many there
-    were. WrongError if anything recovered is not allowed."""
+def explore(seed: int, power_loss: bool, steps: int, stops: int, faults: bool) -> int:
+    """Runs a workload once to its end, then once with a stop at each of its operations; returns the number of stops.
+
+    ModelMismatchError if a recovered state is not allowed.
+    """
     draw = random.Random(f"stops/{seed}")
     fails: dict[int, int] = {}
     if faults:
@@ -204,52 +209,54 @@
             fails.update({begin + n: kind for n in range(draw.randrange(1, 12))})
 
     def disk(stop: int) -> Disk:
-        return Disk(machine, stop, random.Random(f"{seed}/{stop}"), fails, DISK)
+        return Disk(power_loss, stop, random.Random(f"{seed}/{stop}"), fails, DISK)
 
     whole = disk(0)
     model = Model()
-    Workload(seed, whole, model, steps).run(machine)
+    Workload(seed, whole, model, steps).run(power_loss)
     count = 0
     for stop in range(1, whole.operations + 1):
         if count >= stops:
             break
         stopped, model = disk(stop), Model()
         with contextlib.suppress(Stopped):
-            Workload(seed, stopped, model, steps).run(machine)
+            Workload(seed, stopped, model, steps).run(power_loss)
         after = stopped.stopped()
-        # The start itself may be stopped, and the one after it.
+        # Up to two starts after it may be stopped too.
         for _ in range(draw.randrange(3)):
             after.stop_at = after.operations + draw.randrange(1, 6)
             with contextlib.suppress(Stopped):
-                Store(after, DISK, machine)
+                Store(after, DISK, power_loss)
             after = after.stopped()
             count += 1
         after.stop_at = 0
         try:
-            store = Store(after, DISK, machine)
-            model.check(store, machine, faults)
-            # And it goes on from there: a second life, and a start after it.
+            store = Store(after, DISK, power_loss)
+            model.check(store, power_loss, faults)
+            # The workload continues with a second process, and a start after it.
             second = Workload(seed + 1, after, model, 6)
             for ref in list(model.states):
                 model.states[ref] = [state_of(store.entries[ref]) if ref in store.entries else None]
-                model.sure[ref] = 0
+                model.recorded[ref] = 0
             uncertain = {(ref, entry.deadline) for ref, entry in store.entries.items() if entry.uncertain}
             for _ in range(6):
                 second._step(store)
-                second._turn_ends(store)
+                second._end_batch(store)
             store.close()
-            third = Store(after.stopped() if not machine else after, DISK, machine)
+            third = Store(after.stopped() if not power_loss else after, DISK, power_loss)
             if any(not entry.uncertain for ref, entry in third.entries.items() if (ref, entry.deadline) in uncertain):
-                raise WrongError("what was uncertain is sure after a restart")
-            model.check(third, machine, faults)
-        except WrongError as error:
-            raise WrongError(f"seed {seed}, {'machine' if machine else 'process'}, stop {stop}: {error}") from None
+                raise ModelMismatchError("an uncertain message is certain after a restart")
+            model.check(third, power_loss, faults)
+        except ModelMismatchError as error:
+            raise ModelMismatchError(
+                f"seed {seed}, {'machine' if power_loss else 'process'}, stop {stop}: {error}"
+            ) from None
         count += 1
     return count
 
 
-def rot(seed: int, steps: int = 60) -> None:
-    """Damage one byte of a record that was on record for long: all others are read, and what was held is in doubt."""
+def bit_rot(seed: int, steps: int = 60) -> None:
+    """Damages one byte of a recorded record: all others are read, and the messages before it become uncertain."""
     draw = random.Random(f"rot/{seed}")
     disk, model = Disk(draw=draw, most=DISK), Model()
     store = Workload(seed, disk, model, steps).run(False)
@@ -258,19 +265,19 @@
     name = draw.choice([name for name, file in disk.files.items() if len(file.data) > fmt.HEADER.size + 40])
     data = bytearray(disk.files[name].data)
     records = [r for r in fmt.scan(bytes(data)) if isinstance(r, fmt.Record) and r.kind is not fmt.Kind.SEAL]
-    hit = draw.choice(records)
-    data[hit.offset + draw.randrange(hit.size)] ^= 1 << draw.randrange(8)
+    damaged = draw.choice(records)
+    data[damaged.offset + draw.randrange(damaged.size)] ^= 1 << draw.randrange(8)
     disk.files[name].data = bytes(data)
     after = Store(disk, DISK)
-    hurt = fmt.ref_of(hit)
+    damaged_ref = fmt.ref_of(damaged)
     for ref, state in before.items():
-        if ref != hurt and (ref not in after.entries or state_of(after.entries[ref]) != state):
-            raise WrongError(f"rot, seed {seed}: {ref} is not what it was, and its records are sound")
+        if ref != damaged_ref and (ref not in after.entries or state_of(after.entries[ref]) != state):
+            raise ModelMismatchError(f"bit rot, seed {seed}: {ref} has changed, and its records are not damaged")
     for ref, entry in after.entries.items():
-        if ref == hurt and not entry.uncertain and (ref not in before or state_of(entry) != before[ref]):
-            raise WrongError(f"rot, seed {seed}: {ref} has lost a record and is not in doubt")
-    # Once all that was written then has been cleaned away, what was in doubt still is.
-    doubted = {ref for ref, entry in after.entries.items() if entry.uncertain}
+        if ref == damaged_ref and not entry.uncertain and (ref not in before or state_of(entry) != before[ref]):
+            raise ModelMismatchError(f"bit rot, seed {seed}: {ref} has lost a record and is not uncertain")
+    # Uncertain messages stay uncertain after all segments of that time are compacted.
+    uncertain = {ref for ref, entry in after.entries.items() if entry.uncertain}
     for n in range(400):
         after.record_accepted(Entry(f"later{n}", "keyed", 1, None, n, bytes(300)))
         after.record_end(f"later{n}", None)
@@ -278,8 +285,8 @@
         after.maintain()
     after.close()
     last = Store(disk, DISK)
-    if {ref for ref, entry in last.entries.items() if entry.uncertain} != doubted:
-        raise WrongError(f"rot, seed {seed}: what was in doubt is not any more")
+    if {ref for ref, entry in last.entries.items() if entry.uncertain} != uncertain:
+        raise ModelMismatchError(f"bit rot, seed {seed}: an uncertain message is certain after compaction")
 
 
 def main() -> None:
@@ -290,14 +297,14 @@
     logging.disable(logging.CRITICAL)
     began, counts, seed = time.monotonic(), dict[str, int](), options.seed
     while sum(counts.values()) < options.stops:
-        rot(seed)
-        for machine in (False, True):
+        bit_rot(seed)
+        for power_loss in (False, True):
             for faults in (False, True):
-                name = f"{'machine' if machine else 'process'}{', failing' if faults else ''}"
-                counts[name] = counts.get(name, 0) + explore(seed, machine, 120, 10**9, faults)
+                name = f"{'machine' if power_loss else 'process'}{', failing' if faults else ''}"
+                counts[name] = counts.get(name, 0) + explore(seed, power_loss, 120, 10**9, faults)
         seed += 1
     for name, count in counts.items():
-        print(f"{name:20} {count:>8} stops, nothing wrong")
+        print(f"{name:20} {count:>8} stops, no mismatch")
     print(f"{sum(counts.values())} stops of {seed - options.seed} workloads in {time.monotonic() - began:.0f} s")
     sys.exit(0)
 
--- a/tests/store/mutations.py
+++ b/tests/store/mutations.py
@@ -1,4 +1,4 @@
-"""Hand-made faults of the store, each in one place: ``python -m tests.store.mutations``. The tests must catch each."""
+"""Mutations of the store, each in one place: ``python -m tests.store.mutations``. The tests must catch each."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from garnetrelay.store import reading, segment_log, store
 from tests.store import explore
 
-Plant = Callable[[], tuple[Any, str, Any]]
+Mutation = Callable[[], tuple[Any, str, Any]]
 
 
-def in_place(owner: Any, name: str, make: Callable[[Any], Any]) -> tuple[Any, str, Any]:
+def replaced(owner: Any, name: str, make: Callable[[Any], Any]) -> tuple[Any, str, Any]:
     return owner, name, make(getattr(owner, name))
 
 
@@ -44,7 +44,7 @@
     return wrong
 
 
-def removed_before_written(clean: Any) -> Any:
+def removed_before_copied(clean: Any) -> Any:
     def wrong(self: Any, number: int, *more: Any) -> None:
         segment = self.index.segments[number]
         self.storage.remove(reading.segment_name(number))
@@ -56,7 +56,7 @@
 
 
 def without(kind: fmt.Kind) -> Callable[[Any], Any]:
-    """Recovery passes over one kind of record."""
+    """Recovery skips one kind of record."""
 
     def make(replay: Any) -> Any:
         return lambda self, record, number: None if record.kind is kind else replay(self, record, number)
@@ -64,8 +64,8 @@
     return make
 
 
-def without_flag(name: str, value: Any) -> Callable[[Any], Any]:
-    """A state is written without one of its values."""
+def without_field(name: str, value: Any) -> Callable[[Any], Any]:
+    """STATE records are written without one field."""
 
     def make(state: Any) -> Any:
         def wrong(entry: Any) -> bytes:
@@ -85,8 +85,8 @@
     return None
 
 
-def flushed(flush: Any) -> Any:
-    """It says that all is on record, whatever the disk said."""
+def always_flushed(flush: Any) -> Any:
+    """``flush`` reports success whatever the disk returned."""
 
     def wrong(self: Any) -> bool:
         flush(self)
@@ -95,7 +95,7 @@
     return wrong
 
 
-def synced_at_once(on_record: Any) -> Any:
+def recorded_before_sync(on_record: Any) -> Any:
     def wrong(self: Any, callback: Any) -> None:
         callback(self.flush())
 
@@ -119,16 +119,16 @@
     return wrong
 
 
-def failed_sync_taken_for_good(end: Any) -> Any:
+def failed_sync_treated_as_success(end: Any) -> Any:
     return lambda self, sync, error: end(self, sync, None)
 
 
-def tombstones_forgotten(add_tombstone: Any) -> Any:
+def tombstones_dropped(add_tombstone: Any) -> Any:
     return nothing
 
 
-def goes_on_in_the_torn_segment(seal: Any) -> Any:
-    """What a stop left half written is sealed as if it were whole."""
+def torn_tail_not_truncated(seal: Any) -> Any:
+    """A torn tail is sealed without being truncated."""
 
     def wrong(self: Any, number: int, end: int, records: int) -> None:
         seal(self, number, self.index.segments[number].size, records)
@@ -136,41 +136,43 @@
     return wrong
 
 
-MUTATIONS: dict[str, Plant] = {
-    "checksum skipped": lambda: in_place(fmt, "record_at", checksum_skipped),
-    "reading stops at damage": lambda: in_place(fmt, "scan", scan_stops_at_damage),
-    "segment removed before its messages are written": lambda: in_place(
-        store.Store, "_compact_segment", removed_before_written
+MUTATIONS: dict[str, Mutation] = {
+    "checksum skipped": lambda: replaced(fmt, "record_at", checksum_skipped),
+    "reading stops at damage": lambda: replaced(fmt, "scan", scan_stops_at_damage),
+    "segment removed before its messages are copied": lambda: replaced(
+        store.Store, "_compact_segment", removed_before_copied
     ),
-    "attempts passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.TRY)),
-    "outcomes passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.OUTCOME)),
-    "results passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.ENDED)),
-    "ends passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.GONE)),
-    "states passed over at the start": lambda: in_place(ix.Index, "replay", without(fmt.Kind.STATE)),
-    "state without its attempt": lambda: in_place(fmt, "encode_state", without_flag("trying_at", None)),
-    "state without what may have run": lambda: in_place(fmt, "encode_state", without_flag("ran_at", None)),
-    "state without its result": lambda: in_place(fmt, "encode_state", without_flag("ended", None)),
-    "state without its number of attempts": lambda: in_place(fmt, "encode_state", without_flag("attempts", 0)),
-    "state without its doubt": lambda: in_place(fmt, "encode_state", without_flag("uncertain", False)),
-    "doubt not written anew": lambda: in_place(
-        store.Store, "_record_uncertain", lambda _: lambda self, most: self._unrecorded_uncertain.clear()
+    "TRY records skipped at the start": lambda: replaced(ix.Index, "replay", without(fmt.Kind.TRY)),
+    "OUTCOME records skipped at the start": lambda: replaced(ix.Index, "replay", without(fmt.Kind.OUTCOME)),
+    "ENDED records skipped at the start": lambda: replaced(ix.Index, "replay", without(fmt.Kind.ENDED)),
+    "GONE records skipped at the start": lambda: replaced(ix.Index, "replay", without(fmt.Kind.GONE)),
+    "STATE records skipped at the start": lambda: replaced(ix.Index, "replay", without(fmt.Kind.STATE)),
+    "state without its attempt": lambda: replaced(fmt, "encode_state", without_field("trying_at", None)),
+    "state without what may have run": lambda: replaced(fmt, "encode_state", without_field("ran_at", None)),
+    "state without its result": lambda: replaced(fmt, "encode_state", without_field("ended", None)),
+    "state without its number of attempts": lambda: replaced(fmt, "encode_state", without_field("attempts", 0)),
+    "state without its uncertainty": lambda: replaced(fmt, "encode_state", without_field("uncertain", False)),
+    "uncertainty not written again": lambda: replaced(
+        store.Store, "_record_uncertain", lambda _: lambda self, max_messages: self._unrecorded_uncertain.clear()
     ),
-    "end not kept for older records": lambda: in_place(ix.Index, "add_tombstone", tombstones_forgotten),
-    "damage not held against what was held": lambda: in_place(ix.Index, "mark_all_uncertain", lambda _: nothing),
-    "flush says yes whatever came": lambda: in_place(store.Store, "flush", flushed),
-    "failed records not written anew": lambda: in_place(
-        store.Store, "_give_up_pending", lambda _: lambda self: (self._pending.clear(), self._pending_refs.clear())
+    "no tombstones": lambda: replaced(ix.Index, "add_tombstone", tombstones_dropped),
+    "damage does not make messages uncertain": lambda: replaced(ix.Index, "mark_all_uncertain", lambda _: nothing),
+    "flush always reports success": lambda: replaced(store.Store, "flush", always_flushed),
+    "failed records not written again": lambda: replaced(
+        store.Store,
+        "_mark_pending_unrecorded",
+        lambda _: lambda self: (self._pending.clear(), self._pending_refs.clear()),
     ),
-    "torn tail sealed as whole": lambda: in_place(store.Store, "_seal_torn", goes_on_in_the_torn_segment),
-    "machine: promised before the sync": lambda: in_place(store.Store, "when_recorded", synced_at_once),
-    "machine: names not synced": lambda: in_place(segment_log.Sync, "run", names_not_synced),
-    "machine: active segment not synced": lambda: in_place(segment_log.Sync, "run", active_not_synced),
-    "machine: failed sync taken for good": lambda: in_place(store.Store, "end_sync", failed_sync_taken_for_good),
+    "torn tail not truncated": lambda: replaced(store.Store, "_seal_torn", torn_tail_not_truncated),
+    "machine: reported as recorded before the sync": lambda: replaced(store.Store, "when_recorded", recorded_before_sync),
+    "machine: names not synced": lambda: replaced(segment_log.Sync, "run", names_not_synced),
+    "machine: active segment not synced": lambda: replaced(segment_log.Sync, "run", active_not_synced),
+    "machine: failed sync treated as success": lambda: replaced(store.Store, "end_sync", failed_sync_treated_as_success),
 }
 
 
 @contextmanager
-def planted(name: str) -> Iterator[None]:
+def applied(name: str) -> Iterator[None]:
     owner, attribute, wrong = MUTATIONS[name]()
     right = getattr(owner, attribute)
     setattr(owner, attribute, wrong)
@@ -181,19 +183,19 @@
 
 
 def caught(name: str, seeds: int = 40) -> str:
-    """How the exploration notices a fault; empty if it does not."""
-    machine = name.startswith("machine")
-    with planted(name):
+    """The first error of the exploration under a mutation; empty if it is not caught."""
+    power_loss = name.startswith("machine")
+    with applied(name):
         for seed in range(1, seeds + 1):
             try:
-                explore.rot(seed)
+                explore.bit_rot(seed)
             except Exception as error:
                 return f"{type(error).__name__}: {error}"
             for faults in (False, True):
-                for power in (machine, True):
+                for power in (power_loss, True):
                     try:
                         explore.explore(seed, power, 70, 10**9, faults)
-                    except explore.WrongError as error:
+                    except explore.ModelMismatchError as error:
                         return str(error)
                     except Exception as error:
                         return f"seed {seed}: {type(error).__name__}: {error}"
@@ -203,11 +205,11 @@
 def main() -> None:
     logging.disable(logging.CRITICAL)
     missed = 0
-    print("| fault | first noticed |\n| --- | --- |")
+    print("| mutation | first error |\n| --- | --- |")
     for name in MUTATIONS:
-        told = caught(name)
-        missed += not told
-        print(f"| {name} | {' '.join(told.split())[:110] or 'NOT CAUGHT'} |", flush=True)
+        first_error = caught(name)
+        missed += not first_error
+        print(f"| {name} | {' '.join(first_error.split())[:110] or 'NOT CAUGHT'} |", flush=True)
     sys.exit(1 if missed else 0)
 
 
--- a/tests/store/simulated.py
+++ b/tests/store/simulated.py
@@ -1,4 +1,4 @@
-"""A disk that stops where it is told to: torn writes, writes and names that no sync has covered, full, failing."""
+"""A simulated disk with injected faults: stops, torn writes, lost unsynced writes and names, a full or failing disk."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class Stopped(BaseException):
-    """The machine, or the process, ends here."""
+    """The process or the machine stops at this operation."""
 
 
 @dataclass
 class File:
-    """A file: what a sync has covered, and all of it."""
+    """A file: all of its data, and the data covered by a sync."""
 
     data: bytes = b""
     synced: bytes = b""
@@ -21,22 +21,22 @@
 
 @dataclass
 class Disk:
-    """A folder in memory. ``stop_at`` counts operations that change something; ``fails`` gives an errno by number."""
+    """A folder in memory. ``stop_at``: the number of the modifying operation that stops; ``fails``: errno by number."""
 
     power_loss: bool = False
     stop_at: int = 0
     draw: random.Random = field(default_factory=lambda: random.Random(0))
     fails: dict[int, int] = field(default_factory=dict)
-    most: int = 1 << 60  # bytes of all files in whole blocks: never more
+    most: int = 1 << 60  # limit in bytes of all files in whole blocks
     files: dict[str, File] = field(default_factory=dict)
-    named: dict[str, File] = field(default_factory=dict)  # the names that a sync has covered
+    named: dict[str, File] = field(default_factory=dict)  # the names covered by a sync
     open: dict[int, File] = field(default_factory=dict)
     operations: int = 0
     handles: int = 0
     peak: int = 0
 
     def _step(self) -> bool:
-        """Count an operation; whether it is the last, which may come about in part. OSError where it is to fail."""
+        """Counts an operation; whether the disk stops at it, after a part of it. OSError if it is to fail."""
         self.operations += 1
         number = self.fails.get(self.operations)
         if number is not None:
@@ -44,12 +44,12 @@
         return self.operations == self.stop_at
 
     def stopped(self) -> Disk:
-        """What is there after the stop: all that was written, or, without power, what was synced and some more."""
+        """The disk after the stop: all that was written, or after a power loss what was synced and a part of the rest."""
         after = Disk(self.power_loss, draw=self.draw, most=self.most)
         names = dict(self.files)
         if self.power_loss:
             names = dict(self.named)
-            for name in self.files.keys() ^ self.named.keys():  # each name for itself: their order is not kept
+            for name in self.files.keys() ^ self.named.keys():  # each one independently: their order is not preserved
                 if self.draw.random() < 0.5:
                     names.pop(name, None)
                     if name in self.files:
@@ -68,7 +68,7 @@
         if how == 1:
             return kept
         if how == 2:
-            return kept + bytes(len(unsynced) - len(kept))  # its length came to the disk before its data
+            return kept + bytes(len(unsynced) - len(kept))  # its length was written to the disk before its data
         hole = self.draw.randrange(len(unsynced))
         end = min(len(unsynced), hole + 512)
         return unsynced[:hole] + bytes(end - hole) + unsynced[end:]
--- a/tests/store/test_epochs.py
+++ b/tests/store/test_epochs.py
@@ -1,4 +1,4 @@
-"""Epochs of attempts in the journal: as they were where there are none, and read by whoever passes them over."""
+"""Epochs of attempts in the journal: records without an epoch are unchanged, and earlier programs ignore epochs."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from garnetrelay.store.format import Entry
 from garnetrelay.store.store import Store
 
-# As a relay of before the epochs wrote it: a TRY of "m-1" in "north".
+# A TRY of "m-1" in "north", as versions before epochs wrote it.
 BEFORE = bytes.fromhex("a70300000012e9ec227403000001a3185c5000056d2d316e6f727468")
 
 
-def test_without_an_epoch_a_record_is_as_it_was() -> None:
+def test_a_record_without_an_epoch_is_unchanged() -> None:
     assert fmt.encode_try("m-1", "north", 1_800_000_000_000) == BEFORE
 
 
-def test_an_epoch_is_read_and_passed_over_by_those_that_know_none() -> None:
+def test_an_epoch_is_read_and_ignored_by_readers_without_epochs() -> None:
     stamped = fmt.record_at(fmt.encode_try("m-1", "north", 7, 1 << 47), 0)
     plain = fmt.record_at(fmt.encode_try("m-1", "north", 7), 0)
     assert stamped is not None and plain is not None
@@ -30,7 +30,7 @@
     assert stamped.size == plain.size + 8
 
 
-def test_half_an_epoch_is_no_record() -> None:
+def test_a_truncated_epoch_is_a_format_error() -> None:
     whole = fmt.encode_try("m-1", "north", 7, 9)
     half = fmt.record_at(fmt.pack(fmt.Kind.TRY, whole[fmt.RECORD.size : -3]), 0)
     assert half is not None
@@ -38,7 +38,7 @@
         fmt.read_epoch(half)
 
 
-def test_a_store_takes_up_attempts_with_epochs(tmp_path: Path) -> None:
+def test_a_store_recovers_attempts_with_epochs(tmp_path: Path) -> None:
     store = Store.open(tmp_path, 1_000_000, epochs=True)
     store.record_accepted(Entry("m-1", "safe", 4, None, 10**13, b"body"))
     store.record_attempt("m-1", "north", 1000, 17)
@@ -51,7 +51,7 @@
     assert "TRY m-1 at 1000 in north epoch 17" in said
 
 
-def test_room_for_epochs_is_kept_only_where_they_are_on(tmp_path: Path) -> None:
+def test_space_for_epochs_is_reserved_only_if_they_are_recorded(tmp_path: Path) -> None:
     for epochs, more in ((False, 0), (True, 8 * 6)):
         (tmp_path / str(epochs)).mkdir()
         store = Store.open(tmp_path / str(epochs), 1_000_000, max_attempts=6, epochs=epochs)
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -1,4 +1,4 @@
-"""A folder read ahead of the claim, then caught up with, means what a start that reads all of it finds."""
+"""A preloaded folder that is then caught up gives the same index as a start that reads all of it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from garnetrelay.store.storage import Folder
 from garnetrelay.store.store import Store
 
-DISK = 60_000  # small: segments are cleaned all the time
+DISK = 60_000  # small: segments are compacted all the time
 
 
 def step(store: Store, draw: random.Random, count: int) -> None:
-    """Something that happens to a message."""
+    """Records a random change of a message."""
     refs = [ref for ref, entry in store.entries.items() if entry.ended is None]
     what = draw.random()
     if what < 0.45 or not refs:
@@ -38,7 +38,7 @@
         store.maintain()
 
 
-def meant(store: Store) -> tuple[object, ...]:
+def state_of(store: Store) -> tuple[object, ...]:
     index = store.index
     return (
         index.entries,
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_reading_ahead_changes_nothing(seed: int, tmp_path: Path) -> None:
+def test_preloading_gives_the_same_index(seed: int, tmp_path: Path) -> None:
     draw = random.Random(seed)
     live, copy = tmp_path / "live", tmp_path / "copy"
     live.mkdir()
@@ -67,20 +67,20 @@
     store.flush()
     if draw.random() < 0.5:
         store.close()
-    else:  # killed, perhaps in the middle of a record
+    else:  # killed, perhaps while it wrote a record
         store.storage.unlock()  # type: ignore[attr-defined]
         newest = max(live.glob("*.seg"))
         newest.write_bytes(newest.read_bytes() + draw.randbytes(draw.randrange(9)))
     shutil.copytree(live, copy)
     assert Folder(live).is_locked() is False
     whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
-    assert meant(whole) == meant(caught_up)
+    assert state_of(whole) == state_of(caught_up)
     assert whole.used == caught_up.used
     whole.close()
     caught_up.close()
 
 
-def test_damage_is_left_to_the_start(tmp_path: Path) -> None:
+def test_a_damaged_folder_is_not_preloaded(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
     for count in range(300):
         step(store, random.Random(count), count)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a folder and on simulated disks: what is read back, what is taken over, and what is refused."""
+"""The store on a folder and on simulated disks: recovery, import of an earlier version's file, refusals."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
     return Entry(ref, "unsafe", 3, "k", 1_900_000_000_000, body)
 
 
-def again(folder: Path) -> Store:
+def reopen(folder: Path) -> Store:
     store = Store.open(folder, DISK)
     store.close()
     return store
 
 
-def test_whole_life_of_a_message_is_read_back(tmp_path: Path) -> None:
+def test_all_states_of_messages_are_recovered(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
-    body = bytes(range(256)) * 256 + b"\n\xa7\x01\n"  # 64 KiB of anything, also what marks a record
+    body = bytes(range(256)) * 256 + b"\n\xa7\x01\n"  # 64 KiB of all byte values, including a record's mark
     for ref in ("held", "tried", "ran", "dead", "told", "delivered"):
         store.record_accepted(entry(ref, body))
     for ref in ("tried", "ran", "delivered"):
@@ -51,17 +51,17 @@
     store.record_notice_acknowledged("told")
     store.record_end("delivered", None)
     store.close()
-    entries = again(tmp_path).entries
+    entries = reopen(tmp_path).entries
     assert sorted(entries) == ["dead", "held", "ran", "tried"]
     assert entries["held"].body == body and entries["held"].attempts == 0
     assert (entries["tried"].trying_at, entries["tried"].attempts) == (1000, 1)
-    # The window counts from the first attempt that may have run, whatever came later.
+    # The repeat window starts with the first attempt that may have run, whatever happened later.
     assert (entries["ran"].ran_at, entries["ran"].ran_zone, entries["ran"].attempts) == (1000, "north", 2)
     assert entries["dead"].ended == "dead" and entries["dead"].body == b""
 
 
-def test_attempt_that_a_kill_cut_off_is_not_forgotten_behind_the_next_ones_outcome(tmp_path: Path) -> None:
-    """Two kills: what went out before the first may have run, also if what went out after it surely did not."""
+def test_interrupted_attempt_is_remembered_after_the_next_attempts_outcome(tmp_path: Path) -> None:
+    """After a kill the attempt without an outcome may have run, even if the next attempt certainly did not."""
     store = Store.open(tmp_path, DISK)
     store.record_accepted(entry("a"))
     store.record_attempt("a", "north", 1000)
@@ -70,22 +70,22 @@
     store.record_attempt("a", "south", 2000)
     store.record_outcome("a", False)
     store.close()
-    found = again(tmp_path).entries["a"]
+    found = reopen(tmp_path).entries["a"]
     assert (found.ran_at, found.ran_zone, found.trying_at, found.attempts) == (1000, "north", None, 2)
 
 
-def test_second_process_on_a_folder_is_refused_and_the_first_goes_on(tmp_path: Path) -> None:
+def test_second_process_on_a_folder_is_refused_and_the_first_continues(tmp_path: Path) -> None:
     first = Store.open(tmp_path, DISK)
     with pytest.raises(FolderLockedError, match="another relay works on this folder"):
         Store.open(tmp_path, DISK)
     first.record_accepted(entry("a"))
     assert first.flush()
     first.close()
-    assert list(again(tmp_path).entries) == ["a"]
+    assert list(reopen(tmp_path).entries) == ["a"]
 
 
 def test_later_version_is_refused_and_left_untouched(tmp_path: Path) -> None:
-    again(tmp_path)
+    reopen(tmp_path)
     head = fmt.HEADER.pack(fmt.MAGIC, fmt.VERSION + 1, 9, 0)[:-4]
     import zlib
 
@@ -97,8 +97,8 @@
 
 
 @pytest.mark.parametrize("at", ["after", "half", "beside"])
-def test_file_of_earlier_versions_is_taken_over(tmp_path: Path, at: str) -> None:
-    """Written by hand as that version had it; also where an earlier take-over was cut off."""
+def test_file_of_earlier_versions_is_imported(tmp_path: Path, at: str) -> None:
+    """The file is written here in that version's format. Also covers an import that was interrupted."""
     import json
     import struct
     import zlib
@@ -120,19 +120,19 @@
     )
     (tmp_path / "journal").write_bytes(old)
     (tmp_path / "journal.new").write_bytes(old[:20])
-    if at != "after":  # a stop within a take-over: some of it stands already in a segment
+    if at != "after":  # an interrupted import: some messages are in a segment already
         store = Store(Disk(), DISK)
         store.record_accepted(entry("half" if at == "beside" else "held", b"x"))
         store.close()
         (tmp_path / segment_name(1)).write_bytes(next(iter(store.storage.files.values())).data)  # type: ignore[attr-defined]
-    entries = again(tmp_path).entries
+    entries = reopen(tmp_path).entries
     assert sorted(entries) == sorted(["held", "out", "dead", *(["half"] if at == "beside" else [])])
     assert entries["out"].trying_at == 1000 and entries["dead"].ended == "dead" and entries["held"].body == b"x"
     assert not (tmp_path / "journal").exists() and not (tmp_path / "journal.new").exists()
-    assert again(tmp_path).entries == entries
+    assert reopen(tmp_path).entries == entries
 
 
-def test_damage_in_the_middle_makes_what_was_held_uncertain_for_good(tmp_path: Path) -> None:
+def test_damage_makes_earlier_messages_uncertain_permanently(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
     store.record_accepted(entry("a"))
     store.record_accepted(entry("b"))
@@ -148,7 +148,7 @@
     assert {ref: e.uncertain for ref, e in store.entries.items()} == {"a": True, "b": True, "c": False}
     assert CliRunner().invoke(command, ["journal", "verify", str(tmp_path)]).exit_code == 1
     store.record_end("c", None)
-    for n in range(200):  # the damaged segment is cleaned away meanwhile
+    for n in range(200):  # meanwhile the damaged segment is compacted and removed
         for m in range(20):
             store.record_accepted(entry(f"x{n}-{m}", bytes(600)))
             store.record_end(f"x{n}-{m}", None)
@@ -156,11 +156,11 @@
         store.maintain()
     assert not path.exists()
     store.close()
-    assert {ref: e.uncertain for ref, e in again(tmp_path).entries.items()} == {"a": True, "b": True}
+    assert {ref: e.uncertain for ref, e in reopen(tmp_path).entries.items()} == {"a": True, "b": True}
 
 
-def test_disk_stays_within_its_bound_and_small_over_what_lives(tmp_path: Path) -> None:
-    """Messages that live for long among many that do not: the log is cleaned, and never grows over its limit."""
+def test_disk_usage_stays_within_its_limit_and_proportional_to_live_data(tmp_path: Path) -> None:
+    """Long-lived messages among many short-lived ones: the log is compacted, and never exceeds its limit."""
     disk = Disk(most=400_000)
     store = Store(disk, 400_000)
     live: list[str] = []
@@ -178,12 +178,12 @@
         store.maintain()
     assert store.index.live <= store.used <= max(1.5 * store.index.live + 3 * store.sizes.segment_bytes, 256 * 1024)
     assert len(store.entries) > 50 and set(store.entries) == set(live)
-    index, said = load(disk)
-    assert said == [] and index.entries == store.entries and index.live == store.index.live
+    index, problems = load(disk)
+    assert problems == [] and index.entries == store.entries and index.live == store.index.live
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS])
-def test_folder_that_takes_nothing_is_told_once_and_taken_up_again(caplog: pytest.LogCaptureFixture, number: int) -> None:
+def test_folder_that_accepts_no_writes_is_logged_once_and_retried(caplog: pytest.LogCaptureFixture, number: int) -> None:
     disk = Disk()
     store = Store(disk, DISK)
     store.record_accepted(entry("old"))
@@ -194,49 +194,49 @@
         for n in range(4):
             store.record_accepted(entry(f"new{n}"))
             assert not store.flush() and not store.has_room("m", None, 10)
-            store.record_end(f"new{n}", None)  # its client is told that it was not taken on
+            store.record_end(f"new{n}", None)  # its client gets an error: it was not accepted
             store.record_outcome("old", True) if not n else None
             store.maintain()
         disk.fails = {}
         store.maintain()
         assert store.has_room("m", None, 10) and store.flush()
-    told = [r.getMessage() for r in caplog.records]
-    assert len([t for t in told if "cannot write" in t]) == 1 and told[-1].endswith("takes records again")
-    after, said = load(disk.stopped())
-    assert list(after.entries) == ["old"] and after.entries["old"].ran_at == 5 and said == []
+    messages = [r.getMessage() for r in caplog.records]
+    assert len([t for t in messages if "cannot write" in t]) == 1 and messages[-1].endswith("takes records again")
+    after, problems = load(disk.stopped())
+    assert list(after.entries) == ["old"] and after.entries["old"].ran_at == 5 and problems == []
 
 
-def test_sync_that_failed_is_not_taken_for_one() -> None:
-    """What it was to cover is answered with no, and written anew in another segment."""
+def test_failed_sync_is_not_retried_on_the_same_file() -> None:
+    """Its callbacks get False, and the messages are written again to another segment."""
     disk = Disk(power_loss=True)
     store = Store(disk, DISK, machine_durable=True)
-    heard: list[bool] = []
+    results: list[bool] = []
     store.record_accepted(entry("a"))
-    store.when_recorded(heard.append)
+    store.when_recorded(results.append)
     sync = store.begin_sync()
-    assert sync is not None and not heard
+    assert sync is not None and not results
     sync.run()
     store.end_sync(sync, None)
-    assert heard == [True] and list(Store(disk.stopped(), DISK, True).entries) == ["a"]
+    assert results == [True] and list(Store(disk.stopped(), DISK, True).entries) == ["a"]
     store.record_attempt("a", "north", 7)
-    store.when_recorded(heard.append)
+    store.when_recorded(results.append)
     sync = store.begin_sync()
     assert sync is not None
     store.end_sync(sync, OSError(errno.EIO, "I/O error"))
-    assert heard == [True, False] and store.write_failed
+    assert results == [True, False] and store.write_failed
     segments = len(disk.files)
     store.maintain()
     assert not store.write_failed and len(disk.files) == segments + 1
-    store.when_recorded(heard.append)
+    store.when_recorded(results.append)
     sync = store.begin_sync()
     assert sync is not None
     sync.run()
     store.end_sync(sync, None)
     after = Store(disk.stopped(), DISK, True)
-    assert heard[-1] and after.entries["a"].trying_at == 7
+    assert results[-1] and after.entries["a"].trying_at == 7
 
 
-def test_command_shows_verifies_and_measures_beside_a_live_relay(tmp_path: Path) -> None:
+def test_journal_command_reads_a_live_relays_folder(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
     for n in range(500):
         store.record_accepted(entry(f"m{n}", bytes(900)))
@@ -262,51 +262,51 @@
 # ---- stops at every operation
 
 
-@pytest.mark.parametrize("machine", [False, True], ids=["process", "machine"])
-@pytest.mark.parametrize("faults", [False, True], ids=["sound", "failing"])
-def test_stop_at_every_operation_leaves_what_was_promised(machine: bool, faults: bool) -> None:
-    assert sum(explore.explore(seed, machine, 60, 10**9, faults) for seed in range(1, 9)) > 300
+@pytest.mark.parametrize("power_loss", [False, True], ids=["process", "machine"])
+@pytest.mark.parametrize("faults", [False, True], ids=["no-faults", "faults"])
+def test_stop_at_each_operation_keeps_what_was_recorded(power_loss: bool, faults: bool) -> None:
+    assert sum(explore.explore(seed, power_loss, 60, 10**9, faults) for seed in range(1, 9)) > 300
 
 
-def test_damage_anywhere_hurts_one_message_and_is_held_against_it() -> None:
+def test_damage_anywhere_changes_one_message_and_makes_it_uncertain() -> None:
     for seed in range(150):
-        explore.rot(seed, 40)
+        explore.bit_rot(seed, 40)
 
 
 @pytest.mark.parametrize(
     "name",
     [
         "checksum skipped",
-        "segment removed before its messages are written",
-        "ends passed over at the start",
-        "end not kept for older records",
-        "machine: promised before the sync",
-        "torn tail sealed as whole",
+        "segment removed before its messages are copied",
+        "GONE records skipped at the start",
+        "no tombstones",
+        "machine: reported as recorded before the sync",
+        "torn tail not truncated",
     ],
 )
-def test_hand_made_fault_of_the_store_is_noticed(name: str) -> None:
-    """All of them: python -m tests.store.mutations."""
+def test_mutation_of_the_store_is_caught(name: str) -> None:
+    """Some of the mutations; python -m tests.store.mutations runs all."""
     assert mutations.caught(name)
 
 
 class StoppedAnywhere(RuleBasedStateMachine):
-    """Any order of what a relay does, of stops within any operation, and of restarts."""
+    """Any order of a relay's operations, of stops during any of them, and of restarts."""
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
         self.disk = Disk(draw=random.Random(seed))
         self.model = explore.Model()
         self.seed = seed
-        self.lives = 0
+        self.processes = 0
         self._start()
 
     def _start(self) -> None:
-        self.work = explore.Workload(self.seed + self.lives, self.disk, self.model, 0)
+        self.work = explore.Workload(self.seed + self.processes, self.disk, self.model, 0)
         self.store = Store(self.disk, explore.DISK)
         for ref in list(self.model.states):
             found = self.store.entries.get(ref)
             self.model.states[ref] = [None if found is None else explore.state_of(found)]
-            self.model.sure[ref] = 0
+            self.model.recorded[ref] = 0
 
     @rule(times=st.integers(1, 20))
     def serve(self, times: int) -> None:
@@ -314,8 +314,8 @@
             self.work._step(self.store)
 
     @rule()
-    def turn_ends(self) -> None:
-        self.work._turn_ends(self.store)
+    def end_batch(self) -> None:
+        self.work._end_batch(self.store)
 
     @rule(after=st.integers(1, 12))
     def stop(self, after: int) -> None:
@@ -323,12 +323,12 @@
         try:
             for _ in range(200):
                 self.work._step(self.store)
-                self.work._turn_ends(self.store)
+                self.work._end_batch(self.store)
         except Stopped:
             pass
         self.disk = self.disk.stopped()
-        self.model.check(Store(self.disk.stopped(), explore.DISK), machine=False, faults=False)
-        self.lives += 1
+        self.model.check(Store(self.disk.stopped(), explore.DISK), power_loss=False, faults=False)
+        self.processes += 1
         self._start()
 
     @invariant()
--- a/tests/store/test_store_in_relay.py
+++ b/tests/store/test_store_in_relay.py
@@ -1,4 +1,4 @@
-"""The store under a relay: a folder that takes nothing, and promises that outlast the machine's power."""
+"""The store in a relay: a folder that accepts no writes, and records that must survive a power loss."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS])
-async def test_full_disk_refuses_newcomers_and_what_is_held_goes_on(
+async def test_full_disk_refuses_new_requests_and_pending_messages_are_delivered(
     field: Field, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, number: int
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -35,7 +35,7 @@
             patched.setattr(Folder, name, full)
         first.answer(200)
         second.answer(500)
-        assert (await field.platform.next_notice())["ref"] == "m2"  # its end is told all the same
+        assert (await field.platform.next_notice())["ref"] == "m2"  # its notice is sent anyway
         assert str(await client.enqueue("m3")).startswith("BUSY")
         assert str(await client.enqueue("m4")).startswith("BUSY")
         assert field.host.calls.empty()
@@ -45,11 +45,11 @@
     await until(lambda: not field.relays[0].held)
     assert len([r for r in caplog.records if "cannot write" in r.getMessage()]) == 1
     field.relays[0].journal.flush()
-    index, said = load_folder(Folder(field.state))
-    assert index.entries == {} and said == []
+    index, problems = load_folder(Folder(field.state))
+    assert index.entries == {} and problems == []
 
 
-async def test_answers_first_bytes_and_notices_wait_for_the_sync(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_answers_attempts_and_notices_wait_for_the_sync(field: Field, monkeypatch: pytest.MonkeyPatch) -> None:
     options = field.folder / "options.toml"
     options.write_text('[store]\ndurability = "machine"\n')
     field.options = str(options)
@@ -88,7 +88,7 @@
         (None, "No such file"),
     ],
 )
-def test_options_that_cannot_be_used_are_one_line(field: Field, text: str | None, says: str) -> None:
+def test_invalid_options_are_reported_in_one_line(field: Field, text: str | None, says: str) -> None:
     path = Path(field.folder, "options.toml")
     if text is not None:
         path.write_text(text)
