--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -11,7 +11,7 @@
 from garnetrelay.config.addresses import parse_ip_port
 from garnetrelay.fleet.leases.messages import MAX_CONTROLLERS
 from garnetrelay.fleet.leases.settings import MIN_CONTROLLERS, MS, Settings
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.partitions.hashing import check_partitions
 
 MIN_LEASE_MS = 500  # shorter leases run out while a busy process answers
@@ -38,7 +38,7 @@
 class Leases(msgspec.Struct, frozen=True):
     """The checked lease options of a relay."""
 
-    addresses: tuple[Place, ...]  # the controllers, by number
+    addresses: tuple[SocketAddress, ...]  # the controllers, by number
     settings: Settings
 
 
@@ -56,7 +56,7 @@
         raise ValueError(f"fleet.leases.{error}") from None
 
 
-def check_controllers(table: TermsTable) -> tuple[Place, ...]:
+def check_controllers(table: TermsTable) -> tuple[SocketAddress, ...]:
     """Parses the controllers' addresses; ValueError with a message of one line that begins with the option's name."""
     count = len(table.controllers)
     if not (MIN_CONTROLLERS <= count <= MAX_CONTROLLERS and count % 2):
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from garnetrelay.config.fleet import Fleet as FleetConfig
-from garnetrelay.fleet import words
-from garnetrelay.fleet.life import MOST_PLACES, LifeFile
+from garnetrelay.fleet import status
+from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_INCARNATION, Claim, Place, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.claims import MAX_INCARNATION, Claim, SocketAddress, Status
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
 
@@ -41,13 +41,13 @@
     claims: list[Claim]
 
 
-def _as_configured(own: Claim, place: Place, config: FleetConfig) -> Claim:
+def _as_configured(own: Claim, place: SocketAddress, config: FleetConfig) -> Claim:
     """A member's claim in the process that goes on as it. What the new options change takes the next incarnation, so that
     it holds everywhere over the claim of before."""
     now = msgspec.structs.replace(
         own, host=place.host, port=place.port, speaks=config.settings.versions, zone=config.zone
     )
-    if now == own or own.incarnation >= MOST_INCARNATION:
+    if now == own or own.incarnation >= MAX_INCARNATION:
         return now
     return msgspec.structs.replace(now, incarnation=own.incarnation + 1)
 
@@ -63,21 +63,21 @@
         self.file = LifeFile(state, sync)
         self.closed = False
         self.transport = Transport(fr.Codec(config.secrets()), self._heard)
-        self.members: Members | None = None
+        self.members: Membership | None = None
         self.leases: LeaseService | None = None  # None: not switched on
         self._passed = None if passed is None else msgspec.convert(passed, Passing)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self) -> Place:
+    async def start(self) -> SocketAddress:
         """Take the address, keep the life number, and begin. OSError where either can't be."""
         found = await self.transport.start(self.config.listen, self._answer)
         place = self.config.advertise or found
         kept = self.file.read()
         seeds = list(self.config.seeds)
         if kept is not None:  # the seeds may all be down: others were there in an earlier life
-            seeds += [Place(*each) for each in kept.places if Place(*each) not in seeds]
+            seeds += [SocketAddress(*each) for each in kept.places if SocketAddress(*each) not in seeds]
         now = time.monotonic_ns()
         if self._passed is None:
             life = 1 if kept is None else kept.life + 1
@@ -94,14 +94,14 @@
                 self.config.settings.versions,
                 zone=self.config.zone,
             )
-            self.members = Members(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
+            self.members = Membership(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
         else:
             passed = self._passed
             own = _as_configured(passed.own, place, self.config)
-            self.members = Members(
+            self.members = Membership(
                 own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + AHEAD
             )
-            self._carry_out(self.members.go_on_from(now, passed.claims))
+            self._carry_out(self.members.resume_from(now, passed.claims))
         log.info("fleet: %s hears at %s, life %d", self.name, found, own.life)
         self._start_leases()
         self._tick()
@@ -141,9 +141,9 @@
     def passing(self) -> dict[str, Any] | None:
         """This member, for the process that goes on as it; None where it has no part in the fleet now."""
         members = self.members
-        if members is None or not members.own.named:
+        if members is None or not members.local.active:
             return None
-        found = Passing(members.own.claim, members.outgoing.sequence, list(members.table.claims()))
+        found = Passing(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
         return msgspec.to_builtins(found)  # type: ignore[no-any-return]
 
     def read_secrets(self) -> None:
@@ -158,10 +158,10 @@
         else:
             log.info("fleet: %d secrets read", len(self.transport.codec.good))
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """Who is there, in which zone, and what may be relied on: the read for other parts of the relay."""
         assert self.members is not None
-        return self.members.view_of_members()
+        return self.members.fleet_view()
 
     # ---- staff
 
@@ -169,38 +169,36 @@
         """This relay and all others, a JSON object a line."""
         assert self.members is not None
         now = time.monotonic_ns()
-        return _json_lines((words.state(self.members, now), *words.lines(self.members, now)))
+        return _json_lines((status.state(self.members, now), *status.lines(self.members, now)))
 
     def explain(self, name: str) -> list[str] | None:
         """Why a member is held for what it is."""
         assert self.members is not None
-        return words.explain(self.members, name, time.monotonic_ns())
+        return status.explain(self.members, name, time.monotonic_ns())
 
     def owners(self, destination: int | None) -> str | None:
         """What this relay owns, a JSON object a line, or one destination; None where leases are not switched on."""
         if self.leases is None:
             return None
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
         if destination is None:
-            return _json_lines(status.owners(self.leases, clock.now()))
-        return _json_lines([status.destination(self.leases, destination, clock.now())])
+            return _json_lines(lease_status.owners(self.leases, clock.now()))
+        return _json_lines([lease_status.destination(self.leases, destination, clock.now())])
 
     def controllers(self) -> str | None:
         """Each controller as this relay sees it, a JSON object a line; None where leases are not switched on."""
         if self.leases is None:
             return None
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
-        return _json_lines(status.controllers(self.leases, clock.now()))
+        return _json_lines(lease_status.controllers(self.leases, clock.now()))
 
     def metrics(self) -> str:
         """The fleet's part of the figures, a line each; with that of leases where they are on."""
         assert self.members is not None
         transport = self.transport
-        found = words.figures(
+        found = status.metrics(
             self.members,
             transport.refused,
             transport.frames_out,
@@ -210,14 +208,13 @@
         )
         if self.leases is None:
             return found
-        from garnetrelay.fleet import clock
-        from garnetrelay.fleet import lease_status as status
+        from garnetrelay.fleet import clock, lease_status
 
-        return found + status.metrics_text(self.leases, clock.now())
+        return found + lease_status.metrics_text(self.leases, clock.now())
 
     # ---- what happens
 
-    def _heard(self, frame: fr.AnyFrame, source: Place) -> None:
+    def _heard(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
         if self.members is not None and not self.closed:
             self._carry_out(self.members.receive(time.monotonic_ns(), frame, source))
 
@@ -229,13 +226,13 @@
         assert self.members is not None
         for effect in effects:
             match effect:
-                case Tell(place, frame, version):
+                case SendFrame(place, frame, version):
                     self.transport.send(place, frame, version)
-                case Exchange(place):
+                case StartExchange(place):
                     self._spawn(self._exchange(place))
-                case KeepLife(life):
+                case StoreLife(life):
                     self._spawn(self._keep(life))
-                case Note(text, level):
+                case LogLine(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
             self.leases.on_view_change()
@@ -255,17 +252,17 @@
     async def _keep(self, life: int) -> None:
         """On record first, then used."""
         assert self.members is not None
-        places = [member.claim.place for member in self.members.table.members.values()][:MOST_PLACES]
+        places = [member.claim.address for member in self.members.table.members.values()][:MOST_PLACES]
         try:
             await self._loop.run_in_executor(None, functools.partial(self.file.keep, life, places))
         except OSError as error:
             if not self.closed:
-                self._carry_out(self.members.life_not_kept(time.monotonic_ns(), error.strerror or str(error)))
+                self._carry_out(self.members.life_not_stored(time.monotonic_ns(), error.strerror or str(error)))
             return
         if not self.closed:
-            self._carry_out(self.members.life_kept(time.monotonic_ns(), life))
+            self._carry_out(self.members.life_stored(time.monotonic_ns(), life))
 
-    async def _exchange(self, place: Place) -> None:
+    async def _exchange(self, place: SocketAddress) -> None:
         """Hello, Whole, Whole: this side begins."""
         assert self.members is not None
         stream: Stream | None = None
@@ -280,7 +277,7 @@
                 whole = await stream.receive()
                 if not isinstance(whole, fr.Whole):
                     raise ValueError(f"{type(whole).__name__} in place of all that it holds")
-                ours, effects = self.members.hear_whole(time.monotonic_ns(), whole, hello.number, began)
+                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
                 self._carry_out(effects)
                 await stream.send(ours, min(whole.sender.speaks, self.config.settings.versions))
         except (OSError, TimeoutError, EOFError, ValueError) as error:
@@ -301,7 +298,7 @@
         theirs = await stream.receive()
         if not isinstance(theirs, fr.Whole) or self.closed:
             raise ValueError("not all that it holds")
-        _, effects = self.members.hear_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
+        _, effects = self.members.receive_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
         self._carry_out(effects)
 
 
--- a/garnetrelay/fleet/mail.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -22,9 +22,9 @@
 import msgspec
 
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import Claim, Place, Status
-from garnetrelay.fleet.members.effects import Effect, Exchange, KeepLife, Note, Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
+from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
 MOST = 256  # bytes of a note
@@ -32,11 +32,11 @@
 PORT = 1
 # Notes cost: few words on them, and full exchanges only where views are seen to differ.
 SETTINGS = Settings(
-    most_frame=MOST,
-    most_words=4,
-    probe_every=2 * SECOND,
+    max_frame_bytes=MOST,
+    max_observations=4,
+    probe_interval=2 * SECOND,
     probe_timeout=200_000_000,
-    exchange_every=3600 * SECOND,
+    exchange_interval=3600 * SECOND,
     digests=False,
 )
 LEAST_TRIES = 0.2  # first tries of a relay a second: some 200 relays at limits of a few calls
@@ -70,12 +70,12 @@
 Reply = Post | Wake | Line
 
 
-def place(relay: int) -> Place:
+def place(relay: int) -> SocketAddress:
     """The address that stands for a relay's number."""
-    return Place(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
+    return SocketAddress(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
 
 
-def number(at: Place) -> int:
+def number(at: SocketAddress) -> int:
     """The relay that an address stands for."""
     _, high, middle, low = (int(part) for part in at.host.split("."))
     return high << 16 | middle << 8 | low
@@ -93,10 +93,10 @@
     """The time between two probes follows from what notes cost (``price``: points for 256 bytes a first try): a question
     and its answer in each may take ``WORTH`` off the result."""
     every = 2 * USUAL_NOTE / MOST * price / (WORTH * LEAST_TRIES)
-    return dataclasses.replace(SETTINGS, probe_every=max(SETTINGS.probe_every, int(every * SECOND)))
+    return dataclasses.replace(SETTINGS, probe_interval=max(SETTINGS.probe_interval, int(every * SECOND)))
 
 
-class Mail:
+class SimulatorMember:
     """One relay's part in the fleet of a simulated day."""
 
     def __init__(self, me: int, relays: int, seed: int, now: int, price: float = 0.0) -> None:
@@ -104,8 +104,8 @@
         self.presumed = presumed(relays)
         others = dict(self.presumed)
         own = others.pop(f"r{me}")
-        self.members = Members(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
-        self._first = self.members.presume(now, list(others.values()))
+        self.members = Membership(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
+        self._first = self.members.start_with(now, list(others.values()))
         self.refused = 0
         self._asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
         self._answered: deque[int] = deque(maxlen=MOST_ASKED)
@@ -135,7 +135,7 @@
             if asked_at is None:
                 self.refused += 1
                 return []
-            ours, effects = self.members.hear_whole(now, frame, frame.number, asked_at)
+            ours, effects = self.members.receive_whole(now, frame, frame.number, asked_at)
             if not frame.ask or frame.ask in self._answered:
                 return self._carry_out(now, effects)
             self._answered.append(frame.ask)  # many pieces ask for ours: it goes back once
@@ -158,7 +158,7 @@
 
     def _pieces(self, to: int, whole: fr.Whole) -> Iterator[Post]:
         """What a frame holds beyond what is presumed, in notes."""
-        room = MOST - fr.HEAD - 64 - whole.sender.size()
+        room = MOST - fr.HEADER_BYTES - 64 - whole.sender.size()
         claims = [claim for claim in whole.claims if claim != self.presumed.get(claim.name)]
         while True:
             piece: list[Claim] = []
@@ -179,15 +179,15 @@
         waiting = list(effects)
         while waiting:
             match waiting.pop(0):
-                case Tell(at, frame, version):
+                case SendFrame(at, frame, version):
                     made.append(Post(number(at), self.codec.encode(frame, version)))
-                case Exchange(at):
+                case StartExchange(at):
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
                     made.append(Post(number(at), self.codec.encode(hello, 1)))
-                case KeepLife(life):  # there is no folder: kept at once
-                    waiting += self.members.life_kept(now, life)
-                case Note(text, _):
+                case StoreLife(life):  # there is no folder: kept at once
+                    waiting += self.members.life_stored(now, life)
+                case LogLine(text, _):
                     made.append(Line(f"fleet: {text}"))
         self._token += 1
         made.append(Wake(max(1, self.members.next_at - now), self._token))
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/laboratory/schedules.py
@@ -14,9 +14,9 @@
 from msgspec import Meta
 
 from garnetrelay.fleet.members.claims import Identity, Status
-from garnetrelay.fleet.members.condition import Condition
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
+from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.world import Node, Starved, World
 
@@ -100,7 +100,7 @@
         if members is None:
             return
         key = node.name, node.process
-        rank = members.own.claim.rank
+        rank = members.local.claim.rank
         if rank < self._own.get(key, ()):
             self._say(node, "its word on itself went back")
         self._own[key] = rank
@@ -114,13 +114,13 @@
                 if held is not None and held.claim.identity <= identity:
                     self._say(node, f"{name} life {identity.life} is back in its view")
         if members.condition is Condition.SETTLED and (
-            members.holding.suspects or not members.joined or not members.own.named
+            members.local_view.suspects or not members.joined or not members.local.active
         ):
             self._say(node, "it is settled, and has reason to doubt")
 
         if members.condition is not Condition.ALONE:
             self._alone.pop(key, None)
-        elif members.holding.figures.failed > self._alone.setdefault(key, members.holding.figures.failed):
+        elif members.local_view.counters.failed > self._alone.setdefault(key, members.local_view.counters.failed):
             self._say(node, "it is alone, and judges others")
 
     def _say(self, node: Node, text: str) -> None:
@@ -173,9 +173,9 @@
 
 def all_know(world: World) -> bool:
     """Whether nobody that lives holds a life that is over for one that is there."""
-    there = {node.name: node.members.own.claim.identity for node in world.live() if node.members is not None}
+    there = {node.name: node.members.local.claim.identity for node in world.live() if node.members is not None}
 
-    def knows(members: Members) -> bool:
+    def knows(members: Membership) -> bool:
         return all(
             there.get(name) == member.claim.identity and member.claim.status is not Status.SUSPECT
             for name, member in members.table.members.items()
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet.members import digests
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import Settings
 from tests.fleet.test_frames import cause
 
@@ -24,14 +24,14 @@
     return Claim(name, 1, 1, 1, incarnation, status, "10.0.0.1", 1, 2, by, zone)
 
 
-def relay(name: str, others: list[Claim], settings: Settings | None = None) -> Members:
-    members = Members(claim(name), settings or Settings(), random.Random(name), 0)
-    members.go_on_from(0, others)
+def relay(name: str, others: list[Claim], settings: Settings | None = None) -> Membership:
+    members = Membership(claim(name), settings or Settings(), random.Random(name), 0)
+    members.resume_from(0, others)
     return members
 
 
-def held(members: Members) -> dict[str, tuple[object, ...]]:
-    return {each.name: (each.rank, each.zone) for each in [members.own.claim, *members.table.claims()]}
+def held(members: Membership) -> dict[str, tuple[object, ...]]:
+    return {each.name: (each.rank, each.zone) for each in [members.local.claim, *members.table.claims()]}
 
 
 class HelloOfBefore(msgspec.Struct, array_like=True, tag=6, frozen=True):
@@ -59,20 +59,20 @@
     """Over a connection; read and written again on the way as a relay of before does it."""
     data = CODEC.encode(frame, 1 if isinstance(frame, fr.Hello) else 2)
     if before is not None:
-        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEAD :], type=before)), data[2])
+        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEADER_BYTES :], type=before)), data[2])
     return CODEC.decode(data, exchange=True)
 
 
-def exchange(one: Members, other: Members, old_one: bool = False, old_other: bool = False) -> tuple[int, int]:
+def exchange(one: Membership, other: Membership, old_one: bool = False, old_other: bool = False) -> tuple[int, int]:
     """Hello, Whole, Whole; how many claims each side sent."""
     hello = over(one.hello(1), HelloOfBefore if old_one or old_other else None)
     assert isinstance(hello, fr.Hello)
     told = over(other.answer_hello(1, hello), WholeOfBefore if old_one or old_other else None)
     assert isinstance(told, fr.Whole)
-    ours, _ = one.hear_whole(2, told, hello.number, 1)
+    ours, _ = one.receive_whole(2, told, hello.number, 1)
     answer = over(ours)
     assert isinstance(answer, fr.Whole)
-    other.hear_whole(3, answer, told.ask, 1)
+    other.receive_whole(3, answer, told.ask, 1)
     return len(told.claims), len(ours.claims)
 
 
@@ -99,7 +99,7 @@
     one, other = relay("one", [*names, claim("other")]), relay("other", [*names, claim("one")])
     assert exchange(one, other) == (0, 0)
     judged = names[77].judged(Status.FAILED, "n1")
-    one.holding.hear(4, judged)
+    one.local_view.hear(4, judged)
     told, back = exchange(one, other)
     # Of some sixteen names; what the answering side has told is not told back.
     assert 1 <= told <= 3 * digests.BUCKET and back == 1
