--- a/garnetrelay/cli/fleet.py
+++ b/garnetrelay/cli/fleet.py
@@ -29,7 +29,7 @@
 
 @command.command()
 @ADDRESS
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay says it.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay sends it.")
 def members(address: Address, as_json: bool) -> None:
     """All members in this relay's view, and its own condition."""
     lines = answer_lines(run_command(address, "FLEET MEMBERS"))
@@ -81,7 +81,7 @@
 @command.command()
 @ADDRESS
 @click.argument("destination", required=False, type=click.IntRange(min=0))
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay says it.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay sends it.")
 def owners(address: Address, destination: int | None, as_json: bool) -> None:
     """The partitions that this relay owns, with epochs; or whether it owns DESTINATION, and which relay should."""
     lines = answer_lines(run_command(address, "FLEET OWNERS" if destination is None else f"FLEET OWNERS {destination}"))
@@ -116,13 +116,13 @@
     owned = "does not own it" if row.epoch is None else f"owns it in epoch {row.epoch}, {_seconds(row.left)} s remaining"
     click.echo(
         f"destination {row.destination}, partition {row.partition}: this relay {owned}; "
-        f"in its view the owner should be {row.should_own or 'unknown'}"
+        f"in its view {row.should_own or 'nobody'} should own it"
     )
 
 
 @command.command()
 @ADDRESS
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay says it.")
+@click.option("--json", "as_json", is_flag=True, help="One JSON object a line, as the relay sends it.")
 def controllers(address: Address, as_json: bool) -> None:
     """Each controller as this relay sees it."""
     from garnetrelay.fleet.lease_status import ControllerLine
--- a/garnetrelay/operators/commands.py
+++ b/garnetrelay/operators/commands.py
@@ -8,7 +8,7 @@
 import re
 from typing import Protocol
 
-MAX_LINE_BYTES = 512  # the longest command is a word and a host's name of 200 bytes
+MAX_LINE_BYTES = 512  # the longest command is a keyword and a host's name of 200 bytes
 NAME = re.compile("[!-~]{1,200}")
 DESTINATION = re.compile("[0-9]{1,18}")
 
@@ -28,8 +28,8 @@
         """All metrics, a line each."""
         ...
 
-    def fleet(self, words: list[str]) -> str:
-        """Carries out ``FLEET`` with its arguments ``words``; the answer's lines."""
+    def fleet(self, arguments: list[str]) -> str:
+        """Carries out ``FLEET`` with its arguments; the answer's lines."""
         ...
 
     def exclude(self, host: str, out: bool) -> None:
@@ -69,8 +69,8 @@
     raise CommandRefusedError(f"unknown command '{words[0][:40]}'; there are HEALTH, DUMP, OFFLINE ID, ONLINE ID, FLEET")
 
 
-def _is_fleet_command(words: list[str]) -> bool:
-    match words:
+def _is_fleet_command(arguments: list[str]) -> bool:
+    match arguments:
         case ["MEMBERS"] | ["LEAVE"] | ["OWNERS"] | ["CONTROLLERS"]:
             return True
         case ["EXPLAIN", name]:
--- a/garnetrelay/operators/listener.py
+++ b/garnetrelay/operators/listener.py
@@ -17,7 +17,7 @@
 MAX_CONNECTIONS = 6
 # In an iteration of the event loop: a connection uses a descriptor for three iterations before this module is called.
 ACCEPTS_PER_ITERATION = 1
-LINE_TIMEOUT_S = 3.0  # for the whole line
+LINE_TIMEOUT_S = 3.0  # for the complete line
 ANSWER_READ_TIMEOUT_S = 2.0
 
 
@@ -32,10 +32,10 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the connection; the whole line must arrive within ``LINE_TIMEOUT_S``."""
+        """Registers the connection; the complete line must arrive within ``LINE_TIMEOUT_S``."""
         self.transport = cast(asyncio.Transport, transport)
         self.listener.add(self)
-        self.timer = asyncio.get_running_loop().call_later(LINE_TIMEOUT_S, self.end, b"-ERR no whole line in time\n")
+        self.timer = asyncio.get_running_loop().call_later(LINE_TIMEOUT_S, self.end, b"-ERR no complete line in time\n")
 
     def data_received(self, data: bytes) -> None:
         """Buffers the line, at most ``MAX_LINE_BYTES``, and answers once it is complete."""
--- a/garnetrelay/operators/service.py
+++ b/garnetrelay/operators/service.py
@@ -122,18 +122,18 @@
         text = metrics.render(relay.counts, relay.gauges())
         return text if relay.fleet is None or relay.fleet.closed else text + relay.fleet.metrics()
 
-    def fleet(self, words: list[str]) -> str:
-        """Carries out ``FLEET`` with its arguments ``words``; CommandRefusedError without a fleet."""
+    def fleet(self, arguments: list[str]) -> str:
+        """Carries out ``FLEET`` with its arguments; CommandRefusedError without a fleet."""
         fleet = self.relay.fleet
         if fleet is None:
             raise CommandRefusedError("this relay is in no fleet: [fleet] is not switched on")
         if fleet.closed:
             raise CommandRefusedError("this process is not a member of the fleet any more")
-        match words:
+        match arguments:
             case ["EXPLAIN", name]:
                 lines = fleet.explain(name)
                 if lines is None:
-                    raise CommandRefusedError(f"unknown relay {name}")
+                    raise CommandRefusedError(f"no relay {name} is known")
                 return "\n".join(lines) + "\n"
             case ["LEAVE"]:
                 fleet.leave()
--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -153,7 +153,7 @@
         self._used -= round_to_blocks(segment.size)
         segment.size = 0
         if self.machine_durable:
-            # Until a sync covers the removal, the file may reappear after a power loss: its tombstones must stay.
+            # Until a sync covers the removal, the file may reappear after a power loss: tombstones for it must stay.
             self._unlinked.append(number)
         else:
             self.index.remove_segment(number)
--- a/garnetrelay/store/index.py
+++ b/garnetrelay/store/index.py
@@ -18,7 +18,7 @@
 ATTEMPT_RECORD_BYTES = 64  # the same for one attempt and its outcome, with the zone's name
 
 
-def reserve(
+def reserved_bytes(
     ref: str,
     key: str | None,
     body_length: int,
@@ -73,11 +73,11 @@
         """Sets how many attempts a message may have, and whether each records an epoch; applies to all entries."""
         self.max_attempts = max_attempts
         self.attempt_bytes = ATTEMPT_RECORD_BYTES + fmt.EPOCH.size * epochs
-        self.reserved = sum(self.reserve(e.ref, e.key, len(e.body)) for e in self.entries.values())
+        self.reserved = sum(self.reserved_bytes(e.ref, e.key, len(e.body)) for e in self.entries.values())
 
-    def reserve(self, ref: str, key: str | None, body_length: int) -> int:
+    def reserved_bytes(self, ref: str, key: str | None, body_length: int) -> int:
         """Upper bound in bytes of all records of a message."""
-        return reserve(ref, key, body_length, self.max_attempts, self.attempt_bytes)
+        return reserved_bytes(ref, key, body_length, self.max_attempts, self.attempt_bytes)
 
     # ---- records that were written or read
 
@@ -88,13 +88,13 @@
             self._supersede(entry, old, tombstone, number)
         entry.base, entry.spread = number, {}
         self.entries[entry.ref] = entry
-        self.reserved += self.reserve(entry.ref, entry.key, len(entry.body))
+        self.reserved += self.reserved_bytes(entry.ref, entry.key, len(entry.body))
         self.add_record(entry, number, size)
 
     def _supersede(self, entry: Entry, old: Entry | None, tombstone: Tombstone | None, number: int) -> None:
         stale: set[int] = set()
         if old is not None:
-            self.reserved -= self.reserve(old.ref, old.key, len(old.body))
+            self.reserved -= self.reserved_bytes(old.ref, old.key, len(old.body))
             self._subtract_records(old)
             stale = {*old.stale, old.base}
         if tombstone is not None:
@@ -118,12 +118,12 @@
         entry = self.entries.pop(ref, None)
         if entry is not None and entry.base == number and not entry.stale and ref not in self.tombstones:
             # Its only base record is in the same segment and is removed with it: no tombstone is needed.
-            self.reserved -= self.reserve(ref, entry.key, len(entry.body))
+            self.reserved -= self.reserved_bytes(ref, entry.key, len(entry.body))
             self._subtract_records(entry)
             return
         bases: set[int] = set()
         if entry is not None:
-            self.reserved -= self.reserve(entry.ref, entry.key, len(entry.body))
+            self.reserved -= self.reserved_bytes(entry.ref, entry.key, len(entry.body))
             self._subtract_records(entry)
             bases = {*entry.stale, entry.base}
         tombstone = self.tombstones.get(ref)
@@ -177,7 +177,7 @@
             entry = self.entries[ref]
             if entry.base == number:
                 del self.entries[ref]
-                self.reserved -= self.reserve(ref, entry.key, len(entry.body))
+                self.reserved -= self.reserved_bytes(ref, entry.key, len(entry.body))
                 self._subtract_records(entry)
         for ref in list(segment.tombstones):
             self._drop_tombstone(ref, self.tombstones[ref])
--- a/garnetrelay/store/segment_log.py
+++ b/garnetrelay/store/segment_log.py
@@ -122,12 +122,12 @@
         if not self._pending:
             return True
         data, self._pending = bytes(self._pending), bytearray()
-        touched, self._pending_refs = self._pending_refs, []
+        refs, self._pending_refs = self._pending_refs, []
         if self._append(data):
             if self.machine_durable:
-                self._unsynced.update(touched)
+                self._unsynced.update(refs)
             return True
-        self.unrecorded.update(touched)
+        self.unrecorded.update(refs)
         return False
 
     def when_recorded(self, callback: RecordedCallback) -> None:
--- a/garnetrelay/store/store.py
+++ b/garnetrelay/store/store.py
@@ -87,13 +87,13 @@
 
     def has_room(self, ref: str, key: str | None, body_length: int) -> bool:
         """Whether the disk has room for one more message and all its later records."""
-        needed = self.index.reserve(ref, key, body_length)
+        needed = self.index.reserved_bytes(ref, key, body_length)
         return not self.write_failed and self.sizes.admits(self.index.reserved, needed)
 
     def record_accepted(self, entry: Entry) -> None:
         """Records a message; it must not be acknowledged to its client before ``when_recorded`` reports success."""
-        fresh = not (entry.attempts or entry.ended or entry.uncertain)
-        size = self._buffer_record(fmt.encode_taken(entry) if fresh else fmt.encode_state(entry), entry.ref)
+        is_new = not (entry.attempts or entry.ended or entry.uncertain)
+        size = self._buffer_record(fmt.encode_taken(entry) if is_new else fmt.encode_state(entry), entry.ref)
         self.index.set_base(entry, self._active.number, size)
 
     def record_attempt(self, ref: str, zone: str, now_ms: int, epoch: int | None = None) -> bool:
--- a/tests/store/explore.py
+++ b/tests/store/explore.py
@@ -2,7 +2,7 @@
 
     python -m tests.store.explore --stops 100000
 
-For each message the model has its state after each buffered record, and the latest of these states that was surely
+For each message the model has its state after each buffered record, and the latest of these states that was certainly
 recorded. After a stop each message must be in that state or a later one: no message is lost, no attempt is forgotten,
 and no message that had ended is restored.
 """
@@ -54,7 +54,7 @@
 
 @dataclass
 class Model:
-    """The states of each message, and which of them were surely recorded."""
+    """The states of each message, and which of them were certainly recorded."""
 
     states: dict[str, list[State]] = field(default_factory=dict)
     recorded: dict[str, int] = field(default_factory=dict)  # the index of the latest state that was recorded
@@ -258,7 +258,7 @@
 def bit_rot(seed: int, steps: int = 60) -> None:
     """Damages one byte of a recorded record: all others are read, and the messages before it become uncertain."""
     draw = random.Random(f"rot/{seed}")
-    disk, model = Disk(draw=draw, most=DISK), Model()
+    disk, model = Disk(draw=draw, max_bytes=DISK), Model()
     store = Workload(seed, disk, model, steps).run(False)
     store.close()
     before = {ref: state_of(entry) for ref, entry in store.entries.items()}
--- a/tests/store/mutations.py
+++ b/tests/store/mutations.py
@@ -81,7 +81,7 @@
     return make
 
 
-def nothing(*_: Any) -> None:
+def do_nothing(*_: Any) -> None:
     return None
 
 
@@ -124,7 +124,7 @@
 
 
 def tombstones_dropped(add_tombstone: Any) -> Any:
-    return nothing
+    return do_nothing
 
 
 def torn_tail_not_truncated(seal: Any) -> Any:
@@ -156,7 +156,7 @@
         store.Store, "_record_uncertain", lambda _: lambda self, max_messages: self._unrecorded_uncertain.clear()
     ),
     "no tombstones": lambda: replaced(ix.Index, "add_tombstone", tombstones_dropped),
-    "damage does not make messages uncertain": lambda: replaced(ix.Index, "mark_all_uncertain", lambda _: nothing),
+    "damage does not make messages uncertain": lambda: replaced(ix.Index, "mark_all_uncertain", lambda _: do_nothing),
     "flush always reports success": lambda: replaced(store.Store, "flush", always_flushed),
     "failed records not written again": lambda: replaced(
         store.Store,
--- a/tests/store/simulated.py
+++ b/tests/store/simulated.py
@@ -27,7 +27,7 @@
     stop_at: int = 0
     draw: random.Random = field(default_factory=lambda: random.Random(0))
     fails: dict[int, int] = field(default_factory=dict)
-    most: int = 1 << 60  # limit in bytes of all files in whole blocks
+    max_bytes: int = 1 << 60  # limit in bytes of all files in whole blocks
     files: dict[str, File] = field(default_factory=dict)
     named: dict[str, File] = field(default_factory=dict)  # the names covered by a sync
     open: dict[int, File] = field(default_factory=dict)
@@ -45,7 +45,7 @@
 
     def stopped(self) -> Disk:
         """The disk after the stop: all that was written, or after a power loss what was synced and a part of the rest."""
-        after = Disk(self.power_loss, draw=self.draw, most=self.most)
+        after = Disk(self.power_loss, draw=self.draw, max_bytes=self.max_bytes)
         names = dict(self.files)
         if self.power_loss:
             names = dict(self.named)
@@ -108,7 +108,7 @@
     def _measure(self) -> None:
         used = sum(-(-len(file.data) // 512) * 512 for file in self.files.values())
         self.peak = max(self.peak, used)
-        assert used <= self.most, f"{used} bytes on a disk of {self.most}"
+        assert used <= self.max_bytes, f"{used} bytes on a disk of {self.max_bytes}"
 
     def truncate(self, handle: int, size: int) -> None:
         last = self._step()
--- a/tests/store/test_epochs.py
+++ b/tests/store/test_epochs.py
@@ -31,11 +31,11 @@
 
 
 def test_a_truncated_epoch_is_a_format_error() -> None:
-    whole = fmt.encode_try("m-1", "north", 7, 9)
-    half = fmt.record_at(fmt.pack(fmt.Kind.TRY, whole[fmt.RECORD.size : -3]), 0)
-    assert half is not None
+    complete = fmt.encode_try("m-1", "north", 7, 9)
+    truncated = fmt.record_at(fmt.pack(fmt.Kind.TRY, complete[fmt.RECORD.size : -3]), 0)
+    assert truncated is not None
     with pytest.raises(fmt.FormatError):
-        fmt.read_epoch(half)
+        fmt.read_epoch(truncated)
 
 
 def test_a_store_recovers_attempts_with_epochs(tmp_path: Path) -> None:
@@ -47,8 +47,8 @@
     again = Store.open(tmp_path, 1_000_000)
     assert again.entries["m-1"].attempts == 1 and again.entries["m-1"].trying_at == 1000
     again.close()
-    said = CliRunner().invoke(command, ["show", str(tmp_path), "--records", "--ref", "m-1"]).output
-    assert "TRY m-1 at 1000 in north epoch 17" in said
+    output = CliRunner().invoke(command, ["show", str(tmp_path), "--records", "--ref", "m-1"]).output
+    assert "TRY m-1 at 1000 in north epoch 17" in output
 
 
 def test_space_for_epochs_is_reserved_only_if_they_are_recorded(tmp_path: Path) -> None:
@@ -56,5 +56,5 @@
         (tmp_path / str(epochs)).mkdir()
         store = Store.open(tmp_path / str(epochs), 1_000_000, max_attempts=6, epochs=epochs)
         store.record_accepted(Entry("m-1", "safe", 4, None, 10**13, b"body"))
-        assert store.index.reserved == index.reserve("m-1", None, 4, 6) + more
+        assert store.index.reserved == index.reserved_bytes("m-1", None, 4, 6) + more
         store.close()
--- a/tests/store/test_preload.py
+++ b/tests/store/test_preload.py
@@ -73,10 +73,10 @@
         newest.write_bytes(newest.read_bytes() + draw.randbytes(draw.randrange(9)))
     shutil.copytree(live, copy)
     assert Folder(live).is_locked() is False
-    whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
-    assert state_of(whole) == state_of(caught_up)
-    assert whole.used == caught_up.used
-    whole.close()
+    full, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
+    assert state_of(full) == state_of(caught_up)
+    assert full.used == caught_up.used
+    full.close()
     caught_up.close()
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -39,7 +39,7 @@
 def test_all_states_of_messages_are_recovered(tmp_path: Path) -> None:
     store = Store.open(tmp_path, DISK)
     body = bytes(range(256)) * 256 + b"\n\xa7\x01\n"  # 64 KiB of all byte values, including a record's mark
-    for ref in ("held", "tried", "ran", "dead", "told", "delivered"):
+    for ref in ("pending", "tried", "ran", "dead", "acknowledged", "delivered"):
         store.record_accepted(entry(ref, body))
     for ref in ("tried", "ran", "delivered"):
         assert store.record_attempt(ref, "north", 1000)
@@ -47,13 +47,13 @@
     store.record_attempt("ran", "south", 2000)
     store.record_outcome("ran", False)
     store.record_end("dead", "dead")
-    store.record_end("told", "bounced", 500)
-    store.record_notice_acknowledged("told")
+    store.record_end("acknowledged", "bounced", 500)
+    store.record_notice_acknowledged("acknowledged")
     store.record_end("delivered", None)
     store.close()
     entries = reopen(tmp_path).entries
-    assert sorted(entries) == ["dead", "held", "ran", "tried"]
-    assert entries["held"].body == body and entries["held"].attempts == 0
+    assert sorted(entries) == ["dead", "pending", "ran", "tried"]
+    assert entries["pending"].body == body and entries["pending"].attempts == 0
     assert (entries["tried"].trying_at, entries["tried"].attempts) == (1000, 1)
     # The repeat window starts with the first attempt that may have run, whatever happened later.
     assert (entries["ran"].ran_at, entries["ran"].ran_zone, entries["ran"].attempts) == (1000, "north", 2)
@@ -96,8 +96,8 @@
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
 
 
-@pytest.mark.parametrize("at", ["after", "half", "beside"])
-def test_file_of_earlier_versions_is_imported(tmp_path: Path, at: str) -> None:
+@pytest.mark.parametrize("imported", ["nothing", "same-message", "other-message"])
+def test_file_of_earlier_versions_is_imported(tmp_path: Path, imported: str) -> None:
     """The file is written here in that version's format. Also covers an import that was interrupted."""
     import json
     import struct
@@ -120,13 +120,13 @@
     )
     (tmp_path / "journal").write_bytes(old)
     (tmp_path / "journal.new").write_bytes(old[:20])
-    if at != "after":  # an interrupted import: some messages are in a segment already
+    if imported != "nothing":  # an interrupted import: some messages are in a segment already
         store = Store(Disk(), DISK)
-        store.record_accepted(entry("half" if at == "beside" else "held", b"x"))
+        store.record_accepted(entry("other" if imported == "other-message" else "held", b"x"))
         store.close()
         (tmp_path / segment_name(1)).write_bytes(next(iter(store.storage.files.values())).data)  # type: ignore[attr-defined]
     entries = reopen(tmp_path).entries
-    assert sorted(entries) == sorted(["held", "out", "dead", *(["half"] if at == "beside" else [])])
+    assert sorted(entries) == sorted(["held", "out", "dead", *(["other"] if imported == "other-message" else [])])
     assert entries["out"].trying_at == 1000 and entries["dead"].ended == "dead" and entries["held"].body == b"x"
     assert not (tmp_path / "journal").exists() and not (tmp_path / "journal.new").exists()
     assert reopen(tmp_path).entries == entries
@@ -161,7 +161,7 @@
 
 def test_disk_usage_stays_within_its_limit_and_proportional_to_live_data(tmp_path: Path) -> None:
     """Long-lived messages among many short-lived ones: the log is compacted, and never exceeds its limit."""
-    disk = Disk(most=400_000)
+    disk = Disk(max_bytes=400_000)
     store = Store(disk, 400_000)
     live: list[str] = []
     draw = random.Random(1)
--- a/tests/store/test_store_in_relay.py
+++ b/tests/store/test_store_in_relay.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("[store]\ndurability = 'always'\n", "Invalid enum value 'always'"),
         ("[stor]\n", "unknown field `stor`"),
@@ -88,10 +88,10 @@
         (None, "No such file"),
     ],
 )
-def test_invalid_options_are_reported_in_one_line(field: Field, text: str | None, says: str) -> None:
+def test_invalid_options_are_reported_in_one_line(field: Field, text: str | None, message: str) -> None:
     path = Path(field.folder, "options.toml")
     if text is not None:
         path.write_text(text)
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as caught:
         load({**field.environment(), "RELAY_OPTIONS": str(path)})
-    assert says in str(told.value) and "\n" not in str(told.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
