--- a/garnetrelay/cli/upgrade.py
+++ b/garnetrelay/cli/upgrade.py
@@ -104,9 +104,9 @@
             new.kill()
             status = new.wait()
         if status is not None:
-            carries_on = "serves on" if alive(old) else "is gone too"
+            old_state = "serves on" if alive(old) else "is gone too"
             click.echo(
-                f"garnetrelay: the new process ended with status {status}, see {log}; the old one " f"{carries_on}",
+                f"garnetrelay: the new process ended with status {status}, see {log}; the old one " f"{old_state}",
                 err=True,
             )
             sys.exit(EXIT_FAILED)
