--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -111,7 +111,7 @@
 def test_the_store_has_room_for_as_many_attempts_as_the_settings_allow(tmp_path: Path) -> None:
     """A message is accepted only if there is room for all records it may need; that was calculated for six attempts."""
     tries = 200
-    store = Store.open(tmp_path, 200_000, tries=tries)
+    store = Store.open(tmp_path, 200_000, max_attempts=tries)
     ref = "m" * 16
     before = store.used
     entry_ = Entry(ref, "fee", 1, "k", 9000, b"x" * 10)
