--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -242,7 +242,7 @@
     fleet = Fleet(settings, relays)
     world = fleet.world
     print(f"{relays} relays, {partitions} partitions, lease {lease} s, renewed every {renew} s, holder's time "
-          f"{settings.holder_time / SECOND:.2f} s")  # fmt: skip
+          f"{settings.holder_lease / SECOND:.2f} s")  # fmt: skip
     print(f"owned: {len(fleet.owners())}; at most {max(fleet.owners().values())} owner of one")
     loads = [len(fleet.owned_by(process)) for process in world.relays]
     print(f"load: most {max(loads)}, least {min(loads)}, mean {statistics.mean(loads):.1f}, "
--- a/garnetrelay/config/leases.py
+++ b/garnetrelay/config/leases.py
@@ -88,7 +88,7 @@
         first_retry=renew_every * DEFAULT.first_retry // DEFAULT.renew_every,
         max_retry=renew_every * DEFAULT.max_retry // DEFAULT.renew_every,
     )
-    room = found.holder_time - renew_every - answer_timeout
+    room = found.holder_lease - renew_every - answer_timeout
     if write_margin > room:
         raise ValueError(f"write_margin_ms: {write_margin // MS}, and lease and renewals leave {max(0, room) // MS}")
     return dataclasses.replace(found, write_margin=write_margin)
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -62,7 +62,7 @@
         self.settings = settings
         self.event_counts: Counter[str] = Counter()
         self._random = random
-        self._holder_time = settings.holder_time
+        self._holder_time = settings.holder_lease
         self._quorum = settings.quorum
         self._links = [Link(number, session, settings.fingerprint) for number in range(settings.controllers)]
         self._claims: dict[int, _Claim] = {}
--- a/garnetrelay/fleet/leases/settings.py
+++ b/garnetrelay/fleet/leases/settings.py
@@ -42,7 +42,7 @@
             raise ValueError("lease times are above 0")
         if self.first_retry > self.max_retry:
             raise ValueError("first_retry is above max_retry")
-        if self.renew_every + self.answer_timeout + self.write_margin > self.holder_time:
+        if self.renew_every + self.answer_timeout + self.write_margin > self.holder_lease:
             raise ValueError(
                 f"lease: {self.lease} ns is too short to renew every {self.renew_every} ns with a timeout and the margin"
             )
@@ -58,11 +58,11 @@
         return self.controllers - self.quorum + 1
 
     @property
-    def holder_time(self) -> int:
+    def holder_lease(self) -> int:
         """For so long from its sending, by the relay's clock, a request that was accepted counts.
 
         A lease lasts ``lease / (1 + error)`` at least where the controller's clock is fast, and the relay's time lasts
-        ``holder_time / (1 - error)`` at most where its clock is slow.
+        ``holder_lease / (1 - error)`` at most where its clock is slow.
         """
         return int(self.lease * (1 - self.rate_error) / (1 + self.rate_error))
 
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -156,7 +156,7 @@
     """Votes that no longer count are alike."""
     for link in relay._links:
         for partition, vote in link.votes.items():
-            if vote.sent_at + relay.settings.holder_time <= now:
+            if vote.sent_at + relay.settings.holder_lease <= now:
                 link.votes[partition] = Vote(vote.epoch, PAST)
     for claim in relay._claims.values():
         if claim.ends <= now:
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -34,7 +34,7 @@
     assert relay.ownership(0, ownership.until - 1) is not None
     assert relay.ownership(0, ownership.until) is None
     sent_at = max(link.votes[0].sent_at for link in relay._links)
-    assert ownership.until <= sent_at + SETTINGS.holder_time - SETTINGS.write_margin
+    assert ownership.until <= sent_at + SETTINGS.holder_lease - SETTINGS.write_margin
 
 
 def test_hand_over_in_a_higher_epoch() -> None:
