--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -22,7 +22,7 @@
 from garnetrelay.config.controller import Controller as ControllerConfig
 from garnetrelay.fleet import clock
 from garnetrelay.fleet.controller.records_file import RecordsFile
-from garnetrelay.fleet.lease_datagrams import Datagrams
+from garnetrelay.fleet.lease_datagrams import DatagramEndpoint
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, Message, SendToController, Session
@@ -217,7 +217,7 @@
         self.holder = Holder(Session(name, draw.getrandbits(62)), settings, draw)
         self._places = places
         self._fleet = fleet
-        self._datagrams = Datagrams(Codec([SECRET]), self._hear)
+        self._datagrams = DatagramEndpoint(Codec([SECRET]), self._hear)
         self._datagrams.start(Place(LOOPBACK, 0))
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
--- a/garnetrelay/fleet/controller/metrics.py
+++ b/garnetrelay/fleet/controller/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.fleet.controller.records_file import RecordsFile
-from garnetrelay.fleet.lease_datagrams import Datagrams
+from garnetrelay.fleet.lease_datagrams import DatagramEndpoint
 from garnetrelay.fleet.leases.controller import Controller
 from garnetrelay.fleet.leases.messages import Answer, Message
 from garnetrelay.operators.figures import escaped
@@ -50,7 +50,7 @@
 
 
 def metrics_text(
-    metrics: ControllerMetrics, controller: Controller | None, datagrams: Datagrams, records: RecordsFile
+    metrics: ControllerMetrics, controller: Controller | None, datagrams: DatagramEndpoint, records: RecordsFile
 ) -> str:
     """All figures, a line each."""
     rows: list[tuple[str, int | float]] = [
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -12,7 +12,7 @@
 from garnetrelay.fleet import clock
 from garnetrelay.fleet.controller.metrics import ControllerMetrics, metrics_text
 from garnetrelay.fleet.controller.records_file import RecordsFile
-from garnetrelay.fleet.lease_datagrams import Datagrams
+from garnetrelay.fleet.lease_datagrams import DatagramEndpoint
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.controller import Controller
 from garnetrelay.fleet.leases.messages import (
@@ -44,7 +44,7 @@
     def __init__(self, config: ControllerConfig) -> None:
         self.config = config
         self.records = RecordsFile(config.folder, config.number, config.settings.partitions, config.settings.lease)
-        self.datagrams = Datagrams(Codec(config.secrets()), self._heard)
+        self.datagrams = DatagramEndpoint(Codec(config.secrets()), self._heard)
         self.metrics = ControllerMetrics()
         self.controller: Controller | None = None
         self._loop = asyncio.get_running_loop()
--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -22,7 +22,7 @@
 Hears = Callable[[Message, Place], None]
 
 
-class Datagrams:
+class DatagramEndpoint:
     """Messages in and out of one process."""
 
     def __init__(self, codec: Codec, hears: Hears) -> None:
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -16,7 +16,7 @@
 from garnetrelay.config import controller as options
 from garnetrelay.fleet.controller.process import ControllerProcess, OperatorCommands
 from garnetrelay.fleet.controller.records_file import RecordsFile, RecordsStateUnknownError
-from garnetrelay.fleet.lease_datagrams import Datagrams
+from garnetrelay.fleet.lease_datagrams import DatagramEndpoint
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
 from garnetrelay.fleet.members.claims import Place
@@ -63,7 +63,7 @@
 
     def __init__(self) -> None:
         self.answers: asyncio.Queue[Message] = asyncio.Queue()
-        self.datagrams = Datagrams(Codec([SECRET]), lambda message, source: self.answers.put_nowait(message))
+        self.datagrams = DatagramEndpoint(Codec([SECRET]), lambda message, source: self.answers.put_nowait(message))
         self.datagrams.start(Place("127.0.0.1", 0))
         self.number = 0
 
