--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -297,7 +297,7 @@
     def view(self, spread: float) -> None:
         """All that are there learn of each other, within so many seconds."""
         should: dict[str, set[int]] = {name: set() for name in self.relays}
-        for partition, name in enumerate(self._assignment.change(frozenset(self.relays))):
+        for partition, name in enumerate(self._assignment.update(frozenset(self.relays))):
             should[name].add(partition)
         self._should = {name: frozenset(partitions) for name, partitions in should.items()}
         self._lacking = {name for name, relay in self.relays.items() if not relay.owned().keys() >= self._should[name]}
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -135,21 +135,21 @@
     for size in sizes:
         began = time.process_time()
         assignment = Assignment(size)
-        whole = assignment.change(names)
+        whole = assignment.update(names)
         start = time.process_time() - began
         goes = comes = 0.0
         moved = least = 0
         for name in names[:goings]:
             began = time.process_time()
-            after = assignment.change([other for other in names if other != name])
+            after = assignment.update([other for other in names if other != name])
             goes += time.process_time() - began
             moved += sum(one != other for one, other in zip(whole, after, strict=True))
             least += whole.count(name)
             began = time.process_time()
-            assignment.change(names)
+            assignment.update(names)
             comes += time.process_time() - began
         zone = set(names[::ZONES])
-        after = assignment.change([name for name in names if name not in zone])
+        after = assignment.update([name for name in names if name not in zone])
         zone_moved = sum(one != other for one, other in zip(whole, after, strict=True))
         loads = Counter(whole)
         destinations = Counter(whole[partition_of(number, size)] for number in range(DESTINATIONS))
@@ -184,7 +184,7 @@
         """Those that are there, as all of ``of`` learn within ``spread``; how many partitions move."""
         world, before = self.world, self.assignment.owners
         self.there = set(there)
-        after = self.assignment.change([f"r{number}" for number in there])
+        after = self.assignment.update([f"r{number}" for number in there])
         wishes: dict[str, set[int]] = {}
         for partition, name in enumerate(after):
             wishes.setdefault(name, set()).add(partition)
@@ -295,7 +295,7 @@
     world.run(at + DETECTION)
     both = fleet.assignment.owners
     fleet.view(majority, VIEW_SPREAD)
-    own = Assignment(world.settings.partitions).change([f"r{number}" for number in minority])
+    own = Assignment(world.settings.partitions).update([f"r{number}" for number in minority])
     for number in minority:
         mine = {partition for partition, name in enumerate(own) if name == f"r{number}"}
         world.at(world.now + fleet.draw.randrange(VIEW_SPREAD), lambda number=number, mine=mine: world.wish(number, mine))  # type: ignore[misc]
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -162,7 +162,7 @@
 
     async def _assign(self, view: FleetView) -> None:
         """Off the loop: with hundreds of members it takes longer than a client's answer may wait."""
-        self.assigned_relays = await self._loop.run_in_executor(None, self._assignment.change, frozenset(view.zones))
+        self.assigned_relays = await self._loop.run_in_executor(None, self._assignment.update, frozenset(view.zones))
         self._assigned_view, self._assigning = view.view, None
         wished = [partition for partition, name in enumerate(self.assigned_relays) if name == self.name]
         log.info("leases: %d of %d partitions should be this relay's", len(wished), len(self.assigned_relays))
--- a/garnetrelay/fleet/partitions/assignment.py
+++ b/garnetrelay/fleet/partitions/assignment.py
@@ -35,13 +35,13 @@
 
 def assign(members: Collection[str], partitions: int) -> tuple[str, ...]:
     """The owner of each partition; ``NO_OWNER`` for all where there are no members."""
-    return Assignment(partitions).change(members)
+    return Assignment(partitions).update(members)
 
 
 class Assignment:
     """Owners by partition, worked out anew as members come and go.
 
-    ``change`` gives what ``assign`` would give, from the ring of the last time; relays that go while the limit stays cost
+    ``update`` gives what ``assign`` would give, from the ring of the last time; relays that go while the limit stays cost
     their own partitions only.
     """
 
@@ -61,7 +61,7 @@
         """The result of the last change."""
         return tuple(self._owners)
 
-    def change(self, members: Collection[str]) -> tuple[str, ...]:
+    def update(self, members: Collection[str]) -> tuple[str, ...]:
         """The owner of each partition among these."""
         wanted = frozenset(members)
         come, gone = wanted - self._members, self._members - wanted
--- a/tests/fleet/partitions/test_assignment.py
+++ b/tests/fleet/partitions/test_assignment.py
@@ -61,7 +61,7 @@
             there -= set(draw.sample(sorted(there), draw.choice((1, 1, 2))))
         else:
             there.add(draw.choice(list(MEMBERS)))
-        assert assignment.change(there) == assign(there, 512)
+        assert assignment.update(there) == assign(there, 512)
 
 
 def test_one_relay_that_goes_moves_few_partitions_of_others() -> None:
