--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -144,7 +144,7 @@
         if ticket == self._recovery_ticket and self._recovery is not None:
             self._recovery_ticket = None
             for reading in self._recovery.sources.values():
-                reading.following, reading.number = max(0, reading.following), None
+                reading.next_partition, reading.number = max(0, reading.next_partition), None
                 reading.retry_at = now + self.settings.max_retry
             return [line]
         write = self._writes.pop(ticket, None)
@@ -269,14 +269,16 @@
         ):
             return []
         records: list[Record] = []
-        size, following = 0, -1
+        size, next_partition = 0, -1
         for record in self.grant_table.known(request.first):
             size += record.size()
             if len(records) == MAX_RECORDS or size > MAX_RECORDS_BYTES:
-                following = record.partition
+                next_partition = record.partition
                 break
             records.append(record)
-        return [SendToController(request.controller, Records(self.number, self.boot, request.number, records, following))]
+        return [
+            SendToController(request.controller, Records(self.number, self.boot, request.number, records, next_partition))
+        ]
 
     def _hear_records(self, now: int, records: Records) -> list[ControllerEffect]:
         recovery = self._recovery
--- a/garnetrelay/fleet/leases/digest.py
+++ b/garnetrelay/fleet/leases/digest.py
@@ -1,6 +1,7 @@
-"""The digest by which a relay and a controller compare a session's grants: XOR of a 64-bit hash of each.
+"""The digest by which a relay and a controller compare a session's grants: the XOR of a 64-bit hash of each grant.
 
-XOR, so that one grant more or less costs one hash; the count goes beside it. A difference is overlooked once in 2**64.
+With XOR, adding or removing a grant costs one hash. The number of grants is sent with the digest. A difference goes
+undetected with a probability of 1 in 2**64.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 
 
 def grant_hash(partition: int, epoch: int) -> int:
-    """XXH3 of a partition (4 bytes) and its epoch (8 bytes), little end first."""
+    """Returns the XXH3 hash of a partition (4 bytes) and its epoch (8 bytes), both little-endian."""
     return xxhash.xxh3_64_intdigest(_PAIR.pack(partition, epoch))
 
 
 def digest(grants: Iterable[tuple[int, int]]) -> int:
-    """Of (partition, epoch) pairs, each at most once; 0 for none."""
+    """Returns the digest of (partition, epoch) pairs without duplicates; 0 if there are none."""
     value = 0
     for partition, epoch in grants:
         value ^= grant_hash(partition, epoch)
--- a/garnetrelay/fleet/leases/recovery.py
+++ b/garnetrelay/fleet/leases/recovery.py
@@ -22,7 +22,7 @@
 class Source:
     """Reading from one other controller."""
 
-    following: int = 0  # -1: all read
+    next_partition: int = 0  # -1: all read
     number: int | None = None  # of the read that is under way
     retry_at: int = 0
 
@@ -51,16 +51,16 @@
     @property
     def complete(self) -> bool:
         """Whether enough others were read to the end."""
-        return sum(source.following < 0 for source in self.sources.values()) >= self.settings.min_recovery_sources
+        return sum(source.next_partition < 0 for source in self.sources.values()) >= self.settings.min_recovery_sources
 
     @property
     def next_at(self) -> int:
         """When a read is to be sent, for the first time or again."""
-        return min(source.retry_at for source in self.sources.values() if source.following >= 0)
+        return min(source.retry_at for source in self.sources.values() if source.next_partition >= 0)
 
     def tick(self, now: int) -> list[SendToController]:
         """Reads that are due."""
-        due = [number for number, source in self.sources.items() if source.following >= 0 and now >= source.retry_at]
+        due = [number for number, source in self.sources.items() if source.next_partition >= 0 and now >= source.retry_at]
         return [self._read(now, number) for number in due]
 
     def _read(self, now: int, number: int) -> SendToController:
@@ -68,19 +68,19 @@
         self.reads += 1
         source.number = (self.boot + self.reads) % NUMBERS  # differs from those of earlier processes: boots are random
         source.retry_at = now + self.settings.answer_timeout
-        return SendToController(number, ReadRecords(self.controller, self.boot, source.number, source.following))
+        return SendToController(number, ReadRecords(self.controller, self.boot, source.number, source.next_partition))
 
     def receive(self, now: int, records: Records) -> list[SendToController]:
         """A part of another's records; the next read. What was not asked changes nothing."""
         source = self.sources.get(records.controller)
         if source is None or source.number is None or source.number != records.number:
             return []
-        if 0 <= records.following <= source.following:
+        if 0 <= records.next_partition <= source.next_partition:
             return []
-        source.number, source.following = None, records.following
+        source.number, source.next_partition = None, records.next_partition
         for record in records.records:
             self._merge(record)
-        return [] if records.following < 0 or self.complete else [self._read(now, records.controller)]
+        return [] if records.next_partition < 0 or self.complete else [self._read(now, records.controller)]
 
     def _merge(self, record: Record) -> None:
         if record.partition >= self.settings.partitions:
--- a/garnetrelay/fleet/leases/settings.py
+++ b/garnetrelay/fleet/leases/settings.py
@@ -1,4 +1,4 @@
-"""The figures of leases, and what follows from them. Times in nanoseconds."""
+"""The settings of leases and the values derived from them. All times are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -13,22 +13,27 @@
 SECOND = 1_000_000_000
 MIN_CONTROLLERS = 3
 MAX_RATE_ERROR = Fraction(1, 2)
-PROTOCOL = 1  # in the terms: raised when rules change on which safety rests
+PROTOCOL = 1  # part of the fingerprint: raised when a rule on which safety depends changes
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Relays and controllers of one fleet must agree on ``terms``; the other figures are each process's own."""
+    """Settings of one process.
+
+    The relays and controllers of a fleet must agree on those that ``fingerprint`` covers; the others may differ.
+    """
 
     controllers: int = 5
     partitions: int = 8192
-    lease: int = 15 * SECOND  # by the controller's clock, from the receipt of a request
-    rate_error: Fraction = Fraction(2, 100)  # of each clock, fast or slow, at most
+    lease: int = 15 * SECOND  # by the controller's clock, from when it receives a request
+    rate_error: Fraction = Fraction(2, 100)  # how much any clock may run fast or slow at most
     renew_every: int = 4 * SECOND
-    write_margin: int = 200 * MS  # an owner stops so long before its end: from the look to the first byte
+    write_margin: int = (
+        200 * MS
+    )  # an owner stops this long before its lease ends, to cover the time from the check to the first byte
     answer_timeout: int = SECOND
-    request_gap: int = 50 * MS  # between two requests to one controller, at least
-    first_retry: int = 500 * MS  # doubles up to ``max_retry``; each with a random part
+    request_gap: int = 50 * MS  # minimum between two requests to one controller
+    first_retry: int = 500 * MS  # doubles up to ``max_retry``, with jitter
     max_retry: int = 8 * SECOND
 
     def __post_init__(self) -> None:
@@ -49,25 +54,28 @@
 
     @property
     def quorum(self) -> int:
-        """Controllers that have to grant."""
+        """Number of controllers that must grant a partition."""
         return self.controllers // 2 + 1
 
     @property
     def min_recovery_sources(self) -> int:
-        """Other controllers whose records a starting one reads: any such set meets the rest of every quorum."""
+        """Number of other controllers whose records a starting one must read.
+
+        Any set of this size overlaps with every quorum, even with the starting controller taken out of the quorum.
+        """
         return self.controllers - self.quorum + 1
 
     @property
     def holder_lease(self) -> int:
-        """For so long from its sending, by the relay's clock, a request that was accepted counts.
+        """How long an accepted request counts, by the relay's clock, from when the relay sent it.
 
-        A lease lasts ``lease / (1 + error)`` at least where the controller's clock is fast, and the relay's time lasts
-        ``holder_lease / (1 - error)`` at most where its clock is slow.
+        A lease lasts at least ``lease / (1 + error)`` if the controller's clock is fast, and the relay's part of it lasts
+        at most ``holder_lease / (1 - error)`` if the relay's clock is slow.
         """
         return int(self.lease * (1 - self.rate_error) / (1 + self.rate_error))
 
     @property
     def fingerprint(self) -> int:
-        """32 bits that stand for what all must agree on: controllers, partitions, lease, rate error."""
+        """CRC-32 of the settings that all processes must agree on: controllers, partitions, lease, rate error."""
         text = f"{PROTOCOL} {self.controllers} {self.partitions} {self.lease} {self.rate_error}"
         return zlib.crc32(text.encode())
