--- a/garnetrelay/fleet/leases/controller.py
+++ b/garnetrelay/fleet/leases/controller.py
@@ -1,8 +1,8 @@
-"""One controller: grants partitions to sessions, each grant on record before it is said. No I/O, clock or randomness.
+"""The decisions of one controller: it grants partitions to sessions. No I/O, clock or randomness.
 
-The caller reads its clock *after* a message came (a lease that runs from an earlier reading is too short), one that goes
-on while the machine sleeps (CLOCK_BOOTTIME on Linux). It carries out the effects in order, and answers each
-``WriteRecords`` with ``written`` or ``not_written``.
+Each grant is on record before it is announced. The caller reads its clock *after* a message has arrived, since a lease
+that runs from an earlier reading would be too short; the clock must go on while the machine sleeps (CLOCK_BOOTTIME on
+Linux). The caller carries out the effects in order, and calls ``written`` or ``not_written`` for each ``WriteRecords``.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class _Write:
-    """Grants that wait for the disk."""
+class _PendingWrite:
+    """An answer that is withheld until its records are durable."""
 
     session: Session
     answer: Answer
@@ -50,7 +50,7 @@
 
 
 class Controller:
-    """The decisions of one controller process.
+    """Decides for one controller process.
 
     ``boot``: the random number of this process. ``records``: the records read from its folder. ``folder_was_empty``:
     the folder had no valid file, not even the empty one that ``initialize`` writes. ``previous_lease``: the lease
@@ -74,96 +74,96 @@
         own = {record.partition: record for record in records if record.partition < settings.partitions}
         self.grant_table = GrantTable(settings.partitions)
         self.grant_table.load(own.values())
-        wait = now + max(settings.lease, previous_lease)
-        self._recovery: Recovery | None = Recovery(number, boot, settings, wait, own)
+        wait_until = now + max(settings.lease, previous_lease)
+        self._recovery: Recovery | None = Recovery(number, boot, settings, wait_until, own)
         self._recovery_ticket: int | None = None
-        self._tells_records = not folder_was_empty
-        self._writes: dict[int, _Write] = {}
-        self._unwritten: dict[int, int] = {}  # ticket by partition: what is on record here and not yet durable
-        self._ticket = 0
-        self._forget_at = wait + settings.lease
-        self._foreign: set[str] = set()  # relays with other terms, for one line each
+        self._serves_records = not folder_was_empty
+        self._pending_writes: dict[int, _PendingWrite] = {}
+        self._unwritten_tickets: dict[int, int] = {}  # ticket by partition, for records that are not durable yet
+        self._last_ticket = 0
+        self._next_cleanup_at = wait_until + settings.lease
+        self._mismatched_relays: set[str] = set()  # relays with other settings that have been logged already
 
-    # ---- what others may ask
+    # ---- state
 
     @property
     def ready(self) -> bool:
-        """Whether it grants."""
+        """Whether the controller grants partitions."""
         return self._recovery is None
 
     @property
     def next_at(self) -> int:
-        """When ``tick`` is to be called."""
+        """When ``tick`` must be called next."""
         recovery = self._recovery
         if recovery is None:
-            return self._forget_at
+            return self._next_cleanup_at
         if self._recovery_ticket is not None:
-            return self._forget_at
+            return self._next_cleanup_at
         return recovery.next_at
 
-    # ---- what happens
+    # ---- events
 
     def tick(self, now: int) -> list[ControllerEffect]:
-        """Time has passed."""
+        """Handles what is due at this time."""
         effects: list[ControllerEffect] = []
         if self._recovery is not None and self._recovery_ticket is None:
             effects += self._recovery.tick(now)
-        if now >= self._forget_at:
-            self._forget_at = now + self.settings.lease
-            self.grant_table.forget(now - self.settings.lease)
+        if now >= self._next_cleanup_at:
+            self._next_cleanup_at = now + self.settings.lease
+            self.grant_table.drop_expired_sessions(now - self.settings.lease)
         return effects
 
     def receive(
         self, now: int, message: RelayMessage | ReadRecords | Records, source: str = ""
     ) -> list[ControllerEffect]:
-        """A message has come; its signature and form were good. ``source``: its address, for the log."""
+        """Handles a message that was verified and decoded. ``source`` is its address, for the log."""
         match message:
             case ReadRecords():
-                return self._tell_records(message)
+                return self._send_records(message)
             case Records():
-                return self._hear_records(now, message)
+                return self._receive_records(now, message)
             case _:
-                return self._request(now, message, source)
+                return self._handle_request(now, message, source)
 
     def written(self, now: int, ticket: int) -> list[ControllerEffect]:
-        """The records of a ``WriteRecords`` are durable."""
+        """Returns the answer that waited for a ``WriteRecords``, or ends the recovery: its records are now durable."""
         if ticket == self._recovery_ticket:
-            return self._recovered()
-        write = self._writes.pop(ticket, None)
+            return self._finish_recovery()
+        write = self._pending_writes.pop(ticket, None)
         if write is None:
             return []
         for record in write.records:
-            if self._unwritten.get(record.partition) == ticket:
-                del self._unwritten[record.partition]
+            if self._unwritten_tickets.get(record.partition) == ticket:
+                del self._unwritten_tickets[record.partition]
         return [SendToRelay(write.session, write.answer)]
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
-        """They are not, or not for sure: nothing of them is said, and their epochs are used up."""
+        """Refuses the grants of a failed ``WriteRecords``: they may be on disk or not, so their epochs are used up."""
         self.event_counts["not written"] += 1
         line = LogLine(f"records not written: {reason}", logging.ERROR)
         if ticket == self._recovery_ticket and self._recovery is not None:
             self._recovery_ticket = None
-            for reading in self._recovery.sources.values():
-                reading.next_partition, reading.number = max(0, reading.next_partition), None
-                reading.retry_at = now + self.settings.max_retry
+            for source in self._recovery.sources.values():
+                source.next_partition, source.number = max(0, source.next_partition), None
+                source.retry_at = now + self.settings.max_retry
             return [line]
-        write = self._writes.pop(ticket, None)
+        write = self._pending_writes.pop(ticket, None)
         if write is None:
             return [line]
         refused = list(write.answer.refused)
         for record in write.records:
-            if self._unwritten.get(record.partition) == ticket:
-                del self._unwritten[record.partition]
+            if self._unwritten_tickets.get(record.partition) == ticket:
+                del self._unwritten_tickets[record.partition]
                 if self.grant_table.record(record.partition) == record:
                     self.grant_table.put(record.partition, record.epoch, None)
             refused.append(Refusal(record.partition, record.epoch, self.settings.max_retry))
-        lost = {record.partition for record in write.records}
-        granted = [grant for grant in write.answer.granted if grant.partition not in lost]
+        unwritten = {record.partition for record in write.records}
+        granted = [grant for grant in write.answer.granted if grant.partition not in unwritten]
         return [line, SendToRelay(write.session, self._answer(write.answer.number, granted=granted, refused=refused))]
 
-    # ---- requests of relays
+    # ---- requests from relays
 
-    def _request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
+    def _handle_request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
         session = request.session
         known = self.grant_table.sessions.get(session)
         if known is not None and request.number <= known.number:
@@ -173,32 +173,32 @@
             self.event_counts["other boot"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
         if not isinstance(request, Release) and request.fingerprint != self.settings.fingerprint:
-            return self._other_terms(request, source)
+            return self._refuse_other_settings(request, source)
         if not self.ready or (known is None and len(self.grant_table.sessions) >= MAX_SESSIONS):
             self.event_counts["not ready" if not self.ready else "too many sessions"] += 1
             return [SendToRelay(session, self._answer(request.number, accepted=False))]
-        held = self.grant_table.sessions.setdefault(session, SessionGrants())
-        held.number = request.number
+        session_grants = self.grant_table.sessions.setdefault(session, SessionGrants())
+        session_grants.number = request.number
         match request:
             case Acquire():
-                return self._acquire(now, request, held)
+                return self._acquire(now, request, session_grants)
             case Renew():
-                return [SendToRelay(session, self._renew(now, request, held))]
+                return [SendToRelay(session, self._renew(now, request, session_grants))]
             case Release():
-                return [SendToRelay(session, self._release(request, held))]
+                return [SendToRelay(session, self._release(request, session_grants))]
 
-    def _other_terms(self, request: Acquire | Renew, source: str) -> list[ControllerEffect]:
+    def _refuse_other_settings(self, request: Acquire | Renew, source: str) -> list[ControllerEffect]:
         self.event_counts["other terms"] += 1
         effects: list[ControllerEffect] = [SendToRelay(request.session, self._answer(request.number, accepted=False))]
         relay = request.session.relay
-        if relay not in self._foreign and len(self._foreign) < MAX_SESSIONS:
-            self._foreign.add(relay)
+        if relay not in self._mismatched_relays and len(self._mismatched_relays) < MAX_SESSIONS:
+            self._mismatched_relays.add(relay)
             text = f"{relay} {source} has other controllers, partitions, lease or rate error in its options: refused"
             effects.append(LogLine(text, logging.ERROR))
         return effects
 
-    def _acquire(self, now: int, request: Acquire, held: SessionGrants) -> list[ControllerEffect]:
-        held.lease_until = now + self.settings.lease
+    def _acquire(self, now: int, request: Acquire, session_grants: SessionGrants) -> list[ControllerEffect]:
+        session_grants.lease_until = now + self.settings.lease
         granted: list[Grant] = []
         refused: list[Refusal] = []
         to_write: list[Record] = []
@@ -213,7 +213,7 @@
                     continue
                 self.grant_table.put(partition, grant.epoch, request.session)
                 to_write.append(self.grant_table.record(partition))
-            elif partition in self._unwritten:
+            elif partition in self._unwritten_tickets:
                 to_write.append(self.grant_table.record(partition))
             granted.append(grant)
         self.event_counts["granted"] += len(granted)
@@ -221,29 +221,34 @@
         answer = self._answer(request.number, granted=granted, refused=refused)
         if not to_write:
             return [SendToRelay(request.session, answer)]
-        self._ticket += 1
-        self._writes[self._ticket] = _Write(request.session, answer, to_write)
+        self._last_ticket += 1
+        self._pending_writes[self._last_ticket] = _PendingWrite(request.session, answer, to_write)
         for record in to_write:
-            self._unwritten[record.partition] = self._ticket
-        return [WriteRecords(self._ticket, to_write)]
+            self._unwritten_tickets[record.partition] = self._last_ticket
+        return [WriteRecords(self._last_ticket, to_write)]
 
-    def _renew(self, now: int, request: Renew, held: SessionGrants) -> Answer:
-        if (request.count, request.digest) != (len(held.grants), held.digest):
+    def _renew(self, now: int, request: Renew, session_grants: SessionGrants) -> Answer:
+        if (request.count, request.digest) != (len(session_grants.grants), session_grants.digest):
             self.event_counts["mismatch"] += 1
-            return self._answer(request.number, accepted=False, matches=False, granted=self._some(request.number, held))
+            return self._answer(
+                request.number,
+                accepted=False,
+                matches=False,
+                granted=self._grants_on_record(request.number, session_grants),
+            )
         self.event_counts["renewed"] += 1
-        held.lease_until = now + self.settings.lease
+        session_grants.lease_until = now + self.settings.lease
         return self._answer(request.number)
 
-    def _release(self, request: Release, held: SessionGrants) -> Answer:
-        # Not written: after a restart the record stands again, and its epoch is used up either way.
-        grants = request.grants or [Grant(partition, epoch) for partition, epoch in held.grants.items()]
+    def _release(self, request: Release, session_grants: SessionGrants) -> Answer:
+        # A release is not written to disk: after a restart the old record is valid again, and its epoch stays used.
+        grants = request.grants or [Grant(partition, epoch) for partition, epoch in session_grants.grants.items()]
         self.event_counts["released"] += self.grant_table.release(request.session, grants)
         return self._answer(request.number)
 
-    def _some(self, number: int, held: SessionGrants) -> list[Grant]:
-        """What is on record of a session; where it does not fit, others with each request."""
-        on_record = sorted(held.grants.items())
+    def _grants_on_record(self, number: int, session_grants: SessionGrants) -> list[Grant]:
+        """Returns grants on record of a session; if they do not all fit, each request number gets a different part."""
+        on_record = sorted(session_grants.grants.items())
         if len(on_record) > MAX_GRANTS:
             first = number * MAX_GRANTS % len(on_record)
             on_record = (on_record[first:] + on_record[:first])[:MAX_GRANTS]
@@ -259,18 +264,18 @@
     ) -> Answer:
         return Answer(self.number, self.boot, number, accepted, matches, list(granted), list(refused))
 
-    # ---- other controllers
+    # ---- messages from other controllers
 
-    def _tell_records(self, request: ReadRecords) -> list[ControllerEffect]:
+    def _send_records(self, request: ReadRecords) -> list[ControllerEffect]:
         if (
-            not self._tells_records
+            not self._serves_records
             or request.controller == self.number
             or request.controller >= self.settings.controllers
         ):
             return []
         records: list[Record] = []
         size, next_partition = 0, -1
-        for record in self.grant_table.known(request.first):
+        for record in self.grant_table.known_records(request.first):
             size += record.size()
             if len(records) == MAX_RECORDS or size > MAX_RECORDS_BYTES:
                 next_partition = record.partition
@@ -280,7 +285,7 @@
             SendToController(request.controller, Records(self.number, self.boot, request.number, records, next_partition))
         ]
 
-    def _hear_records(self, now: int, records: Records) -> list[ControllerEffect]:
+    def _receive_records(self, now: int, records: Records) -> list[ControllerEffect]:
         recovery = self._recovery
         if recovery is None or self._recovery_ticket is not None:
             return []
@@ -289,17 +294,17 @@
             return effects
         changed = recovery.changed()
         if not changed:
-            return self._recovered()
-        self._ticket += 1
-        self._recovery_ticket = self._ticket
-        return [WriteRecords(self._ticket, changed)]
+            return self._finish_recovery()
+        self._last_ticket += 1
+        self._recovery_ticket = self._last_ticket
+        return [WriteRecords(self._last_ticket, changed)]
 
-    def _recovered(self) -> list[ControllerEffect]:
+    def _finish_recovery(self) -> list[ControllerEffect]:
         recovery = self._recovery
         assert recovery is not None
         self.grant_table = GrantTable(self.settings.partitions)
-        self.grant_table.load(recovery.found.values())
+        self.grant_table.load(recovery.merged.values())
         self._recovery, self._recovery_ticket = None, None
-        self._tells_records = True
-        text = f"ready: {len(recovery.found)} partitions on record, {len(recovery.changed())} of them from others"
+        self._serves_records = True
+        text = f"ready: {len(recovery.merged)} partitions on record, {len(recovery.changed())} from other controllers"
         return [LogLine(text, logging.INFO)]
--- a/garnetrelay/fleet/leases/messages.py
+++ b/garnetrelay/fleet/leases/messages.py
@@ -110,7 +110,8 @@
     # False: it was not; for instance the controller is not ready, or it is another process than ``boot`` of the request.
     accepted: bool
     matches: bool  # False: the count and digest of a renewal differ from the record, and no lease was extended
-    granted: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]  # after such a renewal: some of the grants on record
+    # The grants that an acquire obtained, or after a renewal that did not match some of the grants on record.
+    granted: Annotated[list[Grant], Meta(max_length=MAX_GRANTS)]
     refused: Annotated[list[Refusal], Meta(max_length=MAX_GRANTS)]
 
 
--- a/garnetrelay/fleet/leases/recovery.py
+++ b/garnetrelay/fleet/leases/recovery.py
@@ -1,11 +1,11 @@
-"""What a starting controller does before it grants anything: it waits one lease, then reads others' records.
+"""Recovery of a starting controller: before it grants anything, it waits one lease and then reads others' records.
 
-The wait comes first. A vote of an earlier process of this controller counts for one lease at most, and until then a relay
-may still complete a majority with it; what others had on record before that moment does not show such an owner. What
-they have on record after it does: any ``sources`` others meet the rest of every majority.
+The wait comes first. A vote of an earlier process of this controller counts for at most one lease, and until then a relay
+may still complete a majority with it. Records that other controllers held before that time may not show such an owner;
+those that they hold after it do, since any ``min_recovery_sources`` others overlap with the rest of every majority.
 
-A record is taken over with its holder only where all that know the highest epoch name the same one. Otherwise the epoch
-is used up and nobody holds it: the next grant is higher.
+The holder in a record is adopted only if all controllers that know the highest epoch name the same one. Otherwise the
+epoch counts as used and nobody holds the partition, so that the next grant has a higher epoch.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from garnetrelay.fleet.leases.messages import ReadRecords, Record, Records, SendToController
 from garnetrelay.fleet.leases.settings import Settings
 
-NUMBERS = 1 << 62
+REQUEST_NUMBERS = 1 << 62  # the range of ``Number62``
 
 
 @dataclass(slots=True)
 class Source:
-    """Reading from one other controller."""
+    """The progress of reading the records of one other controller."""
 
-    next_partition: int = 0  # -1: all read
-    number: int | None = None  # of the read that is under way
+    next_partition: int = 0  # from where to read on; -1: all records are read
+    number: int | None = None  # of the read in progress
     retry_at: int = 0
 
 
 @dataclass(slots=True)
 class Recovery:
-    """One recovery. ``own``: the folder's records, by partition."""
+    """One recovery. ``own``: the records of this controller's folder, ``merged``: the result; both by partition."""
 
     controller: int
     boot: int
     settings: Settings
     wait_until: int
     own: dict[int, Record]
-    found: dict[int, Record] = field(default_factory=dict)
+    merged: dict[int, Record] = field(default_factory=dict)
     sources: dict[int, Source] = field(default_factory=dict)
-    reads: int = 0
+    read_count: int = 0
 
     def __post_init__(self) -> None:
-        self.found = dict(self.own)
+        self.merged = dict(self.own)
         self.sources = {
             number: Source(retry_at=self.wait_until)
             for number in range(self.settings.controllers)
@@ -50,28 +50,30 @@
 
     @property
     def complete(self) -> bool:
-        """Whether enough others were read to the end."""
+        """Whether the records of enough other controllers have been read completely."""
         return sum(source.next_partition < 0 for source in self.sources.values()) >= self.settings.min_recovery_sources
 
     @property
     def next_at(self) -> int:
-        """When a read is to be sent, for the first time or again."""
+        """When the next read is to be sent, for the first time or again."""
         return min(source.retry_at for source in self.sources.values() if source.next_partition >= 0)
 
     def tick(self, now: int) -> list[SendToController]:
-        """Reads that are due."""
+        """Returns the reads that are due."""
         due = [number for number, source in self.sources.items() if source.next_partition >= 0 and now >= source.retry_at]
         return [self._read(now, number) for number in due]
 
     def _read(self, now: int, number: int) -> SendToController:
         source = self.sources[number]
-        self.reads += 1
-        source.number = (self.boot + self.reads) % NUMBERS  # differs from those of earlier processes: boots are random
+        self.read_count += 1
+        source.number = (
+            self.boot + self.read_count
+        ) % REQUEST_NUMBERS  # distinct from those of earlier processes, since boot is random
         source.retry_at = now + self.settings.answer_timeout
         return SendToController(number, ReadRecords(self.controller, self.boot, source.number, source.next_partition))
 
     def receive(self, now: int, records: Records) -> list[SendToController]:
-        """A part of another's records; the next read. What was not asked changes nothing."""
+        """Handles a part of another controller's records and returns the next read. Unrequested parts are ignored."""
         source = self.sources.get(records.controller)
         if source is None or source.number is None or source.number != records.number:
             return []
@@ -85,12 +87,12 @@
     def _merge(self, record: Record) -> None:
         if record.partition >= self.settings.partitions:
             return
-        held = self.found.get(record.partition)
-        if held is None or held.epoch < record.epoch:
-            self.found[record.partition] = record
-        elif held.epoch == record.epoch and (held.relay, held.session) != (record.relay, record.session):
-            self.found[record.partition] = Record(record.partition, record.epoch, "", 0)
+        known = self.merged.get(record.partition)
+        if known is None or known.epoch < record.epoch:
+            self.merged[record.partition] = record
+        elif known.epoch == record.epoch and (known.relay, known.session) != (record.relay, record.session):
+            self.merged[record.partition] = Record(record.partition, record.epoch, "", 0)
 
     def changed(self) -> list[Record]:
-        """What the folder does not have yet."""
-        return [record for partition, record in self.found.items() if self.own.get(partition) != record]
+        """Returns the merged records that are not in the folder yet."""
+        return [record for partition, record in self.merged.items() if self.own.get(partition) != record]
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -53,9 +53,9 @@
     "_drawn",
     "_drawn_at",
     "_started",
-    "_foreign",
-    "_ticket",
-    "_forget_at",
+    "_mismatched_relays",
+    "_last_ticket",
+    "_next_cleanup_at",
 }
 
 
--- a/tests/fleet/leases/planted.py
+++ b/tests/fleet/leases/planted.py
@@ -41,8 +41,8 @@
     def receive(self, now: int, message: Any, source: str = "") -> list[ControllerEffect]:
         effects = super().receive(now, message, source)
         for effect in effects:
-            if isinstance(effect, WriteRecords) and effect.ticket in self._writes:
-                write = self._writes[effect.ticket]
+            if isinstance(effect, WriteRecords) and effect.ticket in self._pending_writes:
+                write = self._pending_writes[effect.ticket]
                 return [SendToRelay(write.session, write.answer), *effects]
         return effects
 
@@ -51,7 +51,7 @@
     """Takes what was not written for being on record."""
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
-        kept = [(record, self.grant_table.holders[record.partition]) for record in self._writes[ticket].records]
+        kept = [(record, self.grant_table.holders[record.partition]) for record in self._pending_writes[ticket].records]
         effects = super().not_written(now, ticket, reason)
         for record, holder in kept:
             self.grant_table.put(record.partition, record.epoch, holder)
@@ -76,7 +76,7 @@
 
     def tick(self, now: int) -> list[ControllerEffect]:
         if self._recovery is not None and self.boot > 1000 and now >= self._recovery.wait_until:
-            return self._recovered()
+            return self._finish_recovery()
         return super().tick(now)
 
 
@@ -87,17 +87,17 @@
         super().__init__(number, boot, settings, records, now - settings.lease, empty)
         self.grants_from = now + settings.lease
 
-    def _request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
+    def _handle_request(self, now: int, request: RelayMessage, source: str) -> list[ControllerEffect]:
         if self.boot > 1000 and now < self.grants_from:
             return [SendToRelay(request.session, self._answer(request.number, accepted=False))]
-        return super()._request(now, request, source)
+        return super()._handle_request(now, request, source)
 
 
 @dataclasses.dataclass(slots=True)
 class _TakesTheFirst(Recovery):
     def _merge(self, record: Record) -> None:
-        held = self.found.get(record.partition)
-        if held is None or held.epoch != record.epoch:
+        known = self.merged.get(record.partition)
+        if known is None or known.epoch != record.epoch:
             Recovery._merge(self, record)
 
 
