--- a/garnetrelay/fleet/leases/link.py
+++ b/garnetrelay/fleet/leases/link.py
@@ -1,7 +1,8 @@
-"""What a relay knows of one controller: the request under way, the votes, and what may be on record there.
+"""A relay's state for one controller: the request in progress, the votes, and the grants that may be on record there.
 
-One request at a time, each with a higher number; an answer counts only for the request that is under way. What was asked
-and not answered may be on record or not (``unsure``), until a grant, a refusal or a release is answered.
+There is at most one request at a time, each with a higher number than the one before, and only an answer to the request
+in progress counts. A grant whose request was not answered may or may not be on record at the controller: it stays in
+``unconfirmed`` until a grant, a refusal or a release is answered.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Vote(NamedTuple):
-    """A grant of a controller, and when the latest request was sent that it accepted for it."""
+    """A controller's grant, and when the latest request that the controller accepted for it was sent."""
 
     epoch: int
     sent_at: int
@@ -22,17 +23,17 @@
 
 @dataclass(slots=True)
 class Request:
-    """The request under way."""
+    """The request in progress."""
 
     message: RelayMessage
     sent_at: int
-    ends_at: int  # with no answer by then, another may be sent
-    snapshot: dict[int, int]  # epochs by partition that a renewal stands for
+    deadline: int  # from then on another request may be sent
+    renewed_epochs: dict[int, int]  # by partition: the grants that a renewal covers
 
 
 @dataclass(slots=True)
 class Link:
-    """One controller, as one session sees it. Times in nanoseconds by the relay's clock."""
+    """One controller, as one session sees it. Times are in nanoseconds of the relay's clock."""
 
     controller: int
     session: Session
@@ -40,47 +41,53 @@
     boot: int = 0
     number: int = 0
     request: Request | None = None
-    send_at: int = 0  # nothing is sent before
+    send_at: int = 0  # earliest time of the next request
     renew_at: int = 0
     failures: int = 0  # requests in a row that were not accepted
     accepted_at: int | None = None  # when the latest accepted request was sent
     votes: dict[int, Vote] = field(default_factory=dict)
-    unsure: dict[int, int] = field(default_factory=dict)  # epoch by partition
-    ask_at: dict[int, int] = field(default_factory=dict)  # refused partitions: not to be asked for before
-
-    def renew(self, now: int, ends_at: int) -> RelayMessage:
-        """A renewal of all votes."""
-        snapshot = {partition: vote.epoch for partition, vote in self.votes.items()}
-        number = self._next()
-        message = Renew(self.session, number, self.boot, self.fingerprint, len(snapshot), digest(snapshot.items()))
-        return self._begin(message, now, ends_at, snapshot)
-
-    def acquire(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
-        """Asks for grants."""
+    unconfirmed: dict[int, int] = field(default_factory=dict)  # epoch by partition
+    acquire_at: dict[int, int] = field(default_factory=dict)  # by refused partition: earliest time of the next acquire
+
+    def renew(self, now: int, deadline: int) -> RelayMessage:
+        """Starts a renewal of all votes."""
+        renewed_epochs = {partition: vote.epoch for partition, vote in self.votes.items()}
+        number = self._next_number()
+        message = Renew(
+            self.session, number, self.boot, self.fingerprint, len(renewed_epochs), digest(renewed_epochs.items())
+        )
+        return self._start_request(message, now, deadline, renewed_epochs)
+
+    def acquire(self, now: int, deadline: int, grants: list[Grant]) -> RelayMessage:
+        """Starts a request for grants."""
         for grant in grants:
-            self.unsure[grant.partition] = grant.epoch
-        return self._begin(Acquire(self.session, self._next(), self.boot, self.fingerprint, grants), now, ends_at, {})
+            self.unconfirmed[grant.partition] = grant.epoch
+        return self._start_request(
+            Acquire(self.session, self._next_number(), self.boot, self.fingerprint, grants), now, deadline, {}
+        )
 
-    def release(self, now: int, ends_at: int, grants: list[Grant]) -> RelayMessage:
-        """Gives grants up; none named: all."""
-        return self._begin(Release(self.session, self._next(), self.boot, grants), now, ends_at, {})
+    def release(self, now: int, deadline: int, grants: list[Grant]) -> RelayMessage:
+        """Starts the release of grants; an empty list releases all of them."""
+        return self._start_request(Release(self.session, self._next_number(), self.boot, grants), now, deadline, {})
 
-    def _next(self) -> int:
+    def _next_number(self) -> int:
         self.number += 1
         return self.number
 
-    def _begin(self, message: RelayMessage, now: int, ends_at: int, snapshot: dict[int, int]) -> RelayMessage:
-        self.request = Request(message, now, ends_at, snapshot)
+    def _start_request(
+        self, message: RelayMessage, now: int, deadline: int, renewed_epochs: dict[int, int]
+    ) -> RelayMessage:
+        self.request = Request(message, now, deadline, renewed_epochs)
         return message
 
-    def drop(self, partition: int) -> None:
-        """A vote is no longer wanted: it has to be released."""
+    def drop_vote(self, partition: int) -> None:
+        """Removes a vote that is no longer needed, and marks the grant for release."""
         vote = self.votes.pop(partition, None)
         if vote is not None:
-            self.unsure[partition] = vote.epoch
+            self.unconfirmed[partition] = vote.epoch
 
-    def answered(self, answer: Answer) -> Request | None:
-        """The request that an answer belongs to; None: none that is under way."""
+    def finish_request(self, answer: Answer) -> Request | None:
+        """Ends the request in progress and returns it if the answer belongs to it; otherwise returns None."""
         request = self.request
         if request is None or request.message.number != answer.number:
             return None
@@ -90,23 +97,26 @@
         self.boot = answer.boot
         return request
 
-    def renewed(self, request: Request) -> None:
-        """A renewal was accepted: votes that it stood for count from its sending."""
-        for partition, epoch in request.snapshot.items():
+    def apply_renewal(self, request: Request) -> None:
+        """Handles an accepted renewal: the votes that it covers count from the time it was sent."""
+        for partition, epoch in request.renewed_epochs.items():
             vote = self.votes.get(partition)
             if vote is not None and vote.epoch == epoch:
                 self.votes[partition] = Vote(epoch, request.sent_at)
 
-    def differs(self, answer: Answer) -> None:
-        """A renewal did not match: what is on record and what is not becomes unsure."""
+    def apply_mismatch(self, answer: Answer) -> None:
+        """Handles a renewal that did not match the record: grants that only one side knows become unconfirmed.
+
+        If the answer lists all grants on record, a vote that is not listed is dropped, since it needs no release.
+        """
         listed = dict(answer.granted)
-        whole = len(answer.granted) < MAX_GRANTS
+        complete = len(answer.granted) < MAX_GRANTS
         for partition, epoch in listed.items():
             vote = self.votes.get(partition)
             if vote is None or vote.epoch != epoch:
                 self.votes.pop(partition, None)
-                self.unsure[partition] = epoch
+                self.unconfirmed[partition] = epoch
         for partition in [partition for partition in self.votes if partition not in listed]:
             vote = self.votes.pop(partition)
-            if not whole:
-                self.unsure[partition] = vote.epoch
+            if not complete:
+                self.unconfirmed[partition] = vote.epoch
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/asked.py
@@ -39,19 +39,19 @@
     "event_counts",
     "session",
     "fingerprint",
-    "tries",
+    "failed_rounds",
     "retry_at",
-    "round_ends",
-    "owned",
+    "round_deadline",
+    "reported_owned",
     "send_at",
     "renew_at",
     "failures",
     "accepted_at",
-    "ask_at",
-    "ends_at",
+    "acquire_at",
+    "deadline",
     "_random",
-    "_drawn",
-    "_drawn_at",
+    "_fraction",
+    "_fraction_at",
     "_started",
     "_mismatched_relays",
     "_last_ticket",
@@ -79,17 +79,17 @@
 class Asked(Holder):
     """A holder that sends nothing of its own accord."""
 
-    def _go_on(self, now: int) -> list[HolderEffect]:
+    def _advance(self, now: int) -> list[HolderEffect]:
         return []
 
     def begin(self, now: int, above: int) -> None:
         """A round, in an epoch above those that it knows; the round before is given up."""
-        if not self._claims:
+        if not self._partitions:
             self.set_assigned(now, [0])
         if self.epoch:
-            self._give_up_round(now, 0, self._claims[0])
-        self._known[0] = self._known.get(0, 0) + above - 1
-        self._begin_round(now, 0, self._claims[0])
+            self._abandon_round(now, 0, self._partitions[0])
+        self._highest_epochs[0] = self._highest_epochs.get(0, 0) + above - 1
+        self._start_round(now, 0, self._partitions[0])
 
     def ask(self, now: int, controller: int, kind: str) -> Message:
         """A request that it could send."""
@@ -99,26 +99,26 @@
                 self.begin(now, 1 + ("higher" in kind))
                 return link.acquire(now, now + 1, [Grant(0, self.epoch)])
             case "asks":
-                return link.acquire(now, now + 1, [Grant(0, self._claims[0].epoch)])
+                return link.acquire(now, now + 1, [Grant(0, self._partitions[0].epoch)])
             case "renews at":
                 return link.renew(now, now + 1)
             case _:
-                return link.release(now, now + 1, [Grant(*grant) for grant in link.unsure.items()])
+                return link.release(now, now + 1, [Grant(*grant) for grant in link.unconfirmed.items()])
 
     def kinds(self, controller: int) -> Iterator[str]:
         """Of the requests that it could send to a controller."""
-        link, claim = self._links[controller], self._claims.get(0)
-        if claim is not None and claim.epoch and 0 not in link.votes:
+        link, state = self._links[controller], self._partitions.get(0)
+        if state is not None and state.epoch and 0 not in link.votes:
             yield "asks"
-        if link.votes and not link.unsure:
+        if link.votes and not link.unconfirmed:
             yield "renews at"
-        if any(claim is None or claim.epoch != epoch for epoch in link.unsure.values()):
+        if any(state is None or state.epoch != epoch for epoch in link.unconfirmed.values()):
             yield "releases at"
 
     @property
     def epoch(self) -> int:
         """Of the round, or of what it owns; 0: none."""
-        return self._claims[0].epoch if self._claims else 0
+        return self._partitions[0].epoch if self._partitions else 0
 
 
 class Kinds(NamedTuple):
@@ -158,9 +158,9 @@
         for partition, vote in link.votes.items():
             if vote.sent_at + relay.settings.holder_lease <= now:
                 link.votes[partition] = Vote(vote.epoch, PAST)
-    for claim in relay._claims.values():
-        if claim.ends <= now:
-            claim.ends = 0
-    for refused in relay._refused.values():
+    for state in relay._partitions.values():
+        if state.majority_until <= now:
+            state.majority_until = 0
+    for refused in relay._refused_until.values():
         for controller, until in refused.items():
             refused[controller] = until if until > now else PAST
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -352,7 +352,7 @@
     assert cluster.run(5 * SECOND, lambda: cluster.controllers[0].grant_table.holders[0] is None)
     cluster.from_holder(second.session, second.set_assigned(cluster.now, []))
     cluster.run(3 * SECOND)
-    assert all(not link.votes and not link.unsure for link in second._links)
+    assert all(not link.votes and not link.unconfirmed for link in second._links)
     assert _owns(cluster, first)
 
 
@@ -474,7 +474,7 @@
     owner = _owner(cluster)
     link = owner._links[0]
     vote = link.votes.pop(3)
-    link.ask_at[3] = 1 << 62
+    link.acquire_at[3] = 1 << 62
     assert vote.epoch == 1
     assert cluster.run(3 * SETTINGS.renew_every, lambda: 3 in link.votes)
-    assert not link.unsure and owner.next_at > cluster.now - SECOND
+    assert not link.unconfirmed and owner.next_at > cluster.now - SECOND
