--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -1,4 +1,4 @@
-"""The socket of leases, at a relay as at a controller: signed datagrams, bounded, each refusal counted."""
+"""The UDP endpoint of a controller: sends and receives signed lease datagrams, limits their rate and counts refusals."""
 
 from __future__ import annotations
 
@@ -15,49 +15,51 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_WAKEUP = 64  # datagrams read in a round of the loop
-MAX_DATAGRAMS_PER_SECOND = 10_000  # taken: 1,000 relays that ask five times for all that they hold, and some
-RECEIVE_BUFFER_BYTES = 1 << 20  # bytes of the kernel's: 1,000 relays that ask at once
+MAX_DATAGRAMS_PER_WAKEUP = 64  # read each time the socket becomes readable
+MAX_DATAGRAMS_PER_SECOND = (
+    10_000  # covers 1,000 relays that each request all of their partitions five times, with a margin
+)
+RECEIVE_BUFFER_BYTES = 1 << 20  # of the kernel's socket buffer: covers 1,000 relays that send at once
 
-Hears = Callable[[Message, Place], None]
+MessageHandler = Callable[[Message, Place], None]
 
 
 class DatagramEndpoint:
-    """Messages in and out of one process."""
+    """Sends and receives the lease messages of one process."""
 
-    def __init__(self, codec: Codec, hears: Hears) -> None:
+    def __init__(self, codec: Codec, on_message: MessageHandler) -> None:
         self.codec = codec
         self.refused: Counter[str] = Counter()
         self.bytes_in = self.bytes_out = self.sent = self.received = 0
-        self._hears = hears
+        self._on_message = on_message
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
-        self._second = 0
-        self._taken = 0
+        self._rate_second = 0
+        self._received_in_second = 0
 
     def start(self, listen: Place) -> Place:
-        """Take the address; the one that came of it. OSError where that can't be."""
-        found = socket.socket(socket.AF_INET6 if ":" in listen.host else socket.AF_INET, socket.SOCK_DGRAM)
+        """Binds the socket and returns its address; raises OSError if the address can't be bound."""
+        new_socket = socket.socket(socket.AF_INET6 if ":" in listen.host else socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            found.bind(listen)
+            new_socket.bind(listen)
         except OSError:
-            found.close()
+            new_socket.close()
             raise
-        found.setblocking(False)
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-        self._socket = found
-        self._loop.add_reader(found, self._readable)
-        return Place(*found.getsockname()[:2])
+        new_socket.setblocking(False)
+        new_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        self._socket = new_socket
+        self._loop.add_reader(new_socket, self._on_readable)
+        return Place(*new_socket.getsockname()[:2])
 
     def close(self) -> None:
-        """Let go of the address, at once."""
+        """Closes the socket; its address is free at once."""
         if self._socket is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
     def send(self, place: Place, message: Message) -> None:
-        """One that can't go now is lost, as others are on their way."""
+        """Sends a message. One that can't be sent now is lost, like any datagram that is lost in the network."""
         if self._socket is None:
             return
         data = self.codec.encode(message)
@@ -70,7 +72,7 @@
         self.sent += 1
         self.bytes_out += len(data)
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             if self._socket is None:
                 return
@@ -78,15 +80,15 @@
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # an earlier one did not arrive: that is told here
+            except OSError as error:  # an ICMP error for a datagram that was sent earlier is reported here
                 log.debug("leases: %s", error)
                 continue
-            self._take(data, Place(*source[:2]))
+            self._process(data, Place(*source[:2]))
 
-    def _take(self, data: bytes, source: Place) -> None:
+    def _process(self, data: bytes, source: Place) -> None:
         self.received += 1
         self.bytes_in += len(data)
-        if self._over_the_rate():
+        if self._rate_exceeded():
             self.refused["rate"] += 1
             return
         try:
@@ -94,11 +96,11 @@
         except FrameRefusedError as refused:
             self.refused[refused.cause] += 1
             return
-        self._hears(message, source)
+        self._on_message(message, source)
 
-    def _over_the_rate(self) -> bool:
+    def _rate_exceeded(self) -> bool:
         second = int(self._loop.time())
-        if second != self._second:
-            self._second, self._taken = second, 0
-        self._taken += 1
-        return self._taken > MAX_DATAGRAMS_PER_SECOND
+        if second != self._rate_second:
+            self._rate_second, self._received_in_second = second, 0
+        self._received_in_second += 1
+        return self._received_in_second > MAX_DATAGRAMS_PER_SECOND
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -1,6 +1,7 @@
-"""A relay's side of leases: carries out what ``holder.py`` decides, and wishes for what the members' view assigns to it.
+"""A relay's side of leases: carries out what ``leases/holder.py`` decides, for the partitions assigned to this relay.
 
-Imported only where `[fleet.leases]` is switched on. Its datagrams go by the fleet's socket.
+The assignment follows from the members' view. The module is imported only if `[fleet.leases]` is configured. Its
+datagrams are sent and received by the fleet's socket.
 """
 
 from __future__ import annotations
@@ -27,25 +28,25 @@
 
 log = logging.getLogger(__name__)
 
-MIN_DELAY_S = 0.001  # seconds until a timer: an instant that has just passed must not spin the loop
-FENCED_LOG_INTERVAL_NS = 1_000_000_000  # nanoseconds between two lines on fenced attempts
+MIN_DELAY_S = 0.001  # of a timer: a due time that has just passed must not make the event loop spin
+FENCED_LOG_INTERVAL_NS = 1_000_000_000  # between two log lines on fenced attempts
 
 
 class Membership(Protocol):
-    """What is asked of the members."""
+    """The part of the fleet's membership that leases use."""
 
     @property
     def view(self) -> int:
-        """Changes with who is there."""
+        """A number that changes whenever the set of members does."""
         ...
 
     def view_of_members(self) -> FleetView:
-        """Who is there, and what that is worth."""
+        """Returns the members, and how reliable that view is."""
         ...
 
 
 class LeaseService:
-    """One session of one relay."""
+    """The lease session of one relay process."""
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         members: Membership,
         send: Callable[[Place, bytes], bool],
     ) -> None:
-        """``send`` takes a datagram; whether it went."""
+        """``send`` sends a datagram and returns whether that succeeded."""
         self.config = config
         self.name = name
         self.codec = Codec(shared_secrets)
@@ -64,7 +65,7 @@
         self.refused: Counter[str] = Counter()
         self.datagrams_in = self.datagrams_out = self.bytes_in = self.bytes_out = 0
         self.fenced = 0
-        self.assigned_relays: tuple[str, ...] = ()  # who should own each partition, by the last view that was relied on
+        self.assigned_relays: tuple[str, ...] = ()  # by partition, from the last reliable view
         self._members = members
         self._send = send
         self._loop = asyncio.get_running_loop()
@@ -73,18 +74,21 @@
         self._assigning: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._closed = False
-        self._fenced_line_at = 0
-        self._fenced_told = 0
+        self._next_fenced_log_at = 0
+        self._fenced_logged = 0
 
     def start(self) -> None:
-        """Greet the controllers; partitions are asked for when there is a view to go by."""
+        """Contacts the controllers. Partitions are requested once there is a reliable view of the members."""
         log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
         self._carry_out(self.holder.set_assigned(clock.now(), ()))
         self.on_view_change()
 
     def on_view_change(self) -> None:
-        """The view may have changed. Where its numbers can't be relied on, the wishes stay as they are: relays on both
-        sides of a cut would take each other's partitions for free otherwise, and ask for what they can't get."""
+        """Recomputes the assignment if the view of the members has changed.
+
+        The assignment stays as it is while the number of members in the view is unreliable. Otherwise relays on both
+        sides of a network split would consider each other's partitions free and request them in vain.
+        """
         if self._closed or self._assigning is not None or self._members.view == self._assigned_view:
             return
         view = self._members.view_of_members()
@@ -92,11 +96,11 @@
             self._assigning = self._loop.create_task(self._assign(view))
 
     def release_all(self) -> None:
-        """Give all up: this session is over."""
+        """Releases all partitions and ends the session."""
         self._carry_out(self.holder.release_all(clock.now()))
 
     def close(self) -> None:
-        """The same, and do nothing any more."""
+        """Releases all partitions, and stops the timer and the computation of the assignment."""
         if self._closed:
             return
         self.release_all()
@@ -107,47 +111,47 @@
             self._assigning.cancel()
 
     def set_secrets(self, shared_secrets: list[bytes]) -> None:
-        """They have changed."""
+        """Replaces the shared secrets."""
         self.codec = Codec(shared_secrets)
 
-    # ---- what the relay asks
+    # ---- queries from the relay
 
     def ownership(self, destination: int) -> Ownership | None:
-        """In which epoch this relay owns a destination now, and until when."""
+        """Returns in which epoch this relay owns a destination now, and until when; None if it does not own it."""
         found = self.holder.ownership(self.partition(destination), clock.now())
         return None if found is None else Ownership(found.epoch, found.until)
 
     def still_owned(self, destination: int, epoch: int) -> bool:
-        """Whether it owns it in this epoch still; where not, the attempt counts as fenced."""
+        """Returns whether this relay still owns a destination in this epoch; if not, counts the attempt as fenced."""
         found = self.ownership(destination)
         if found is not None and found.epoch == epoch:
             return True
         self.fenced += 1
         now = clock.now()
-        if now >= self._fenced_line_at:
+        if now >= self._next_fenced_log_at:
             log.warning(
                 "leases: fenced: the lease on destination %d (partition %d, epoch %d) ended before a first byte; "
                 "%d since the last such line",
                 destination,
                 self.partition(destination),
                 epoch,
-                self.fenced - self._fenced_told,
+                self.fenced - self._fenced_logged,
             )
-            self._fenced_line_at, self._fenced_told = now + FENCED_LOG_INTERVAL_NS, self.fenced
+            self._next_fenced_log_at, self._fenced_logged = now + FENCED_LOG_INTERVAL_NS, self.fenced
         return False
 
     def partition(self, destination: int) -> int:
-        """The partition of a destination."""
+        """Returns the partition of a destination."""
         return partition_of(destination, self.config.settings.partitions)
 
     def assigned_relay(self, partition: int) -> str:
-        """Who should, by the last view that was relied on; empty: nobody is known."""
+        """Returns the relay that should own a partition, from the last reliable view; empty if there was none."""
         return self.assigned_relays[partition] if self.assigned_relays else NO_OWNER
 
-    # ---- what happens
+    # ---- events
 
     def receive(self, data: bytes, source: Place) -> None:
-        """A datagram of this protocol."""
+        """Handles a datagram of the lease protocol."""
         self.datagrams_in += 1
         self.bytes_in += len(data)
         try:
@@ -161,12 +165,12 @@
             self._carry_out(self.holder.receive(clock.now(), message))
 
     async def _assign(self, view: FleetView) -> None:
-        """Off the loop: with hundreds of members it takes longer than a client's answer may wait."""
+        """Computes the assignment in an executor: with hundreds of members it would delay answers to clients."""
         self.assigned_relays = await self._loop.run_in_executor(None, self._assignment.update, frozenset(view.zones))
         self._assigned_view, self._assigning = view.view, None
-        wished = [partition for partition, name in enumerate(self.assigned_relays) if name == self.name]
-        log.info("leases: %d of %d partitions should be this relay's", len(wished), len(self.assigned_relays))
-        self._carry_out(self.holder.set_assigned(clock.now(), wished))
+        assigned = [partition for partition, name in enumerate(self.assigned_relays) if name == self.name]
+        log.info("leases: %d of %d partitions should be this relay's", len(assigned), len(self.assigned_relays))
+        self._carry_out(self.holder.set_assigned(clock.now(), assigned))
         self.on_view_change()
 
     def _tick(self) -> None:
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -1,4 +1,4 @@
-"""What staff are told of leases by a relay: lines, and figures in the text form of Prometheus. No I/O."""
+"""What a relay reports to operators about leases: status lines, and metrics in the Prometheus text format. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SessionLine(msgspec.Struct, frozen=True):
-    """This relay's session."""
+    """The status of this relay's session."""
 
     name: str
     session: int
@@ -20,7 +20,7 @@
     owned: int
     controllers: int
     quorum: int
-    reached: list[int]  # controllers that accepted a request that still counts
+    reached: list[int]  # numbers of the controllers that accepted a request which still counts
 
 
 class OwnedLine(msgspec.Struct, frozen=True):
@@ -28,8 +28,8 @@
 
     partition: int
     epoch: int
-    until: int  # nanoseconds by ``garnetrelay.fleet.clock``
-    left: float  # seconds
+    until: int  # nanoseconds of ``garnetrelay.fleet.clock``
+    left: float  # seconds that remain
 
 
 class DestinationLine(msgspec.Struct, frozen=True):
@@ -37,25 +37,25 @@
 
     destination: int
     partition: int
-    should_own: str  # a relay's name; empty: not known
+    should_own: str  # name of the relay; empty: not known
     epoch: int | None = None  # None: this relay does not own it
     until: int | None = None
     left: float | None = None
 
 
 class ControllerLine(msgspec.Struct, frozen=True):
-    """A controller, as this relay sees it. Seconds; None: never."""
+    """A controller, as this relay sees it."""
 
     number: int
     place: str
-    accepted: float | None  # since the sending of the latest request that it accepted
-    counts: bool  # that request still counts towards majorities
-    failures: int  # requests in a row since, with no answer or not accepted
+    accepted: float | None  # seconds since the latest request that it accepted was sent; None: it accepted none
+    counts: bool  # whether that request still counts towards majorities
+    failures: int  # requests in a row since then that were unanswered or not accepted
     votes: int  # partitions that it has granted to this relay
 
 
 def owners(leases: LeaseService, now: int) -> Iterator[SessionLine | OwnedLine]:
-    """This session, then all that it owns."""
+    """Returns the line of this session, then a line for each partition that it owns."""
     settings, owned = leases.config.settings, leases.holder.owned(now)
     yield SessionLine(
         leases.name,
@@ -72,7 +72,7 @@
 
 
 def destination(leases: LeaseService, number: int, now: int) -> DestinationLine:
-    """One destination."""
+    """Returns the line of one destination."""
     partition = leases.partition(number)
     found = leases.holder.ownership(partition, now)
     should_own = leases.assigned_relay(partition)
@@ -82,7 +82,7 @@
 
 
 def controllers(leases: LeaseService, now: int) -> Iterator[ControllerLine]:
-    """All controllers, by number."""
+    """Returns a line for each controller, by number."""
     reached = leases.holder.reached_controllers(now)
     for link, place in zip(leases.holder.links, leases.config.places, strict=True):
         yield ControllerLine(
@@ -96,7 +96,7 @@
 
 
 def metrics_text(leases: LeaseService, now: int) -> str:
-    """The figures of leases, a line each."""
+    """Returns the metrics of leases, one line each."""
     holder = leases.holder
     rows: list[tuple[str, int]] = [
         ("partitions_wished", len(holder.assigned)),
