--- a/garnetrelay/fleet/controller/__init__.py
+++ b/garnetrelay/fleet/controller/__init__.py
@@ -1,1 +1,1 @@
-"""A controller of leases as a process: its records on disk, its sockets and timers. ``fleet/leases/`` decides."""
+"""The process of a lease controller: its records on disk, sockets and timers. ``fleet/leases/`` takes the decisions."""
--- a/garnetrelay/fleet/controller/metrics.py
+++ b/garnetrelay/fleet/controller/metrics.py
@@ -1,4 +1,4 @@
-"""A controller's figures in the text form of Prometheus. No I/O."""
+"""A controller's metrics in the Prometheus text format. No I/O."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 @dataclass(slots=True)
 class ControllerMetrics:
-    """What has happened since the process began."""
+    """Counters since the start of the process."""
 
-    received: Counter[str] = field(default_factory=Counter)  # messages, by kind
+    received: Counter[str] = field(default_factory=Counter)  # by kind of message
     granted: int = 0
     refused: int = 0
-    accepted: int = 0  # answers that let a lease run on
+    accepted: int = 0  # answers to accepted requests
     not_accepted: int = 0
     writes: int = 0
     failed_writes: int = 0
     records_written: int = 0
-    write_time: int = 0  # of all writes, nanoseconds
-    longest_write: int = 0
+    write_time_ns: int = 0  # of all writes
+    longest_write_ns: int = 0
 
-    def heard(self, message: Message) -> None:
-        """A message that was well formed."""
+    def count_message(self, message: Message) -> None:
+        """Counts a valid message."""
         self.received[type(message).__name__.lower()] += 1
 
-    def answered(self, answer: Answer) -> None:
-        """An answer goes out."""
+    def count_answer(self, answer: Answer) -> None:
+        """Counts an answer and its grants and refusals."""
         self.granted += len(answer.granted)
         self.refused += len(answer.refused)
         if answer.accepted:
@@ -40,19 +40,19 @@
         else:
             self.not_accepted += 1
 
-    def wrote(self, records: int, duration: int, whole: bool) -> None:
-        """A write ended (nanoseconds)."""
+    def count_write(self, records: int, duration_ns: int, succeeded: bool) -> None:
+        """Counts a completed write."""
         self.writes += 1
-        self.failed_writes += not whole
-        self.records_written += records if whole else 0
-        self.write_time += duration
-        self.longest_write = max(self.longest_write, duration)
+        self.failed_writes += not succeeded
+        self.records_written += records if succeeded else 0
+        self.write_time_ns += duration_ns
+        self.longest_write_ns = max(self.longest_write_ns, duration_ns)
 
 
 def metrics_text(
     metrics: ControllerMetrics, controller: Controller | None, datagrams: DatagramEndpoint, records: RecordsFile
 ) -> str:
-    """All figures, a line each."""
+    """Returns all metrics, one line each."""
     rows: list[tuple[str, int | float]] = [
         ("ready", int(controller is not None and controller.ready)),
         ("granted", metrics.granted),
@@ -62,8 +62,8 @@
         ("writes", metrics.writes),
         ("writes_failed", metrics.failed_writes),
         ("records_written", metrics.records_written),
-        ("write_seconds", metrics.write_time / 1e9),
-        ("longest_write_seconds", metrics.longest_write / 1e9),
+        ("write_seconds", metrics.write_time_ns / 1e9),
+        ("longest_write_seconds", metrics.longest_write_ns / 1e9),
         ("file_bytes", records.size),
         ("compactions", records.compactions),
         ("datagrams_in", datagrams.received),
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -1,4 +1,7 @@
-"""One controller as a process: carries out what ``controller.py`` decides. Its socket, its file, its clock, its end."""
+"""The process of one controller: carries out what ``leases/controller.py`` decides.
+
+It provides the socket, the file of records and the clock, and ends on a signal or on an error that it can't recover from.
+"""
 
 from __future__ import annotations
 
@@ -35,40 +38,40 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SESSIONS = 4096  # addresses kept for answers: far more than relays ask within the time of one write
+MAX_SESSIONS = 4096  # addresses kept for answers: far more than the relays that send requests during one write
 
 
 class ControllerProcess:
-    """A controller, from its start to its end."""
+    """The process of a controller, from start to end."""
 
     def __init__(self, config: ControllerConfig) -> None:
         self.config = config
         self.records = RecordsFile(config.folder, config.number, config.settings.partitions, config.settings.lease)
-        self.datagrams = DatagramEndpoint(Codec(config.secrets()), self._heard)
+        self.datagrams = DatagramEndpoint(Codec(config.secrets()), self._on_message)
         self.metrics = ControllerMetrics()
         self.controller: Controller | None = None
         self._loop = asyncio.get_running_loop()
         self._finished = asyncio.Event()
-        self._broken: Exception | None = None
+        self._fatal_error: Exception | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._sources: dict[Session, Place] = {}  # the latest last
-        self._writes: list[WriteRecords] = []  # that wait for the one that runs
-        self._writing: asyncio.Task[None] | None = None
+        self._sources: dict[Session, Place] = {}  # by age of the latest request, the newest last
+        self._pending_writes: list[WriteRecords] = []  # that wait for the write in progress
+        self._write_task: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
         self._front: Front | None = None
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT. RecordsError or OSError where it can't start or go on."""
-        found = self.records.open()
+        """Serves until SIGTERM or SIGINT; raises RecordsError or OSError if the controller can't start or continue."""
+        stored_records = self.records.open()
         try:
-            await self._start(found)
+            await self._start(stored_records)
             await self._finished.wait()
         finally:
             await self._end()
-        if self._broken is not None:
-            raise self._broken
+        if self._fatal_error is not None:
+            raise self._fatal_error
 
-    async def _start(self, found: list[Record] | None) -> None:
+    async def _start(self, stored_records: list[Record] | None) -> None:
         config = self.config
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._finished.set)
@@ -83,9 +86,9 @@
             config.number,
             secrets.randbits(62),
             config.settings,
-            found or [],
+            stored_records or [],
             clock.now(),
-            found is None,
+            stored_records is None,
             self.records.previous_lease,
         )
         log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
@@ -97,35 +100,35 @@
         self.datagrams.close()
         if self._front is not None:
             self._front.close()
-        if self._writing is not None:
-            await asyncio.wait([self._writing])  # what runs ends first: the folder is let go of behind it
+        if self._write_task is not None:
+            await asyncio.wait([self._write_task])  # the write in progress must end before the folder is released
         self._thread.shutdown()
         self.records.close()
         log.info("controller %d ended", self.config.number)
 
     def read_secrets(self) -> None:
-        """SIGHUP: the secrets as their file has them now; one that can't be used changes nothing."""
+        """Handles SIGHUP: reads the secrets again; keeps the old ones if the file can't be used."""
         try:
             self.datagrams.codec = Codec(self.config.secrets())
         except ValueError as error:
-            log.error("controller: the old secrets stay: %s", error)
+            log.error("controller: can't read the secrets again, keeping the old ones: %s", error)
         else:
             log.info("controller: %d secrets read", len(self.datagrams.codec.good))
 
-    # ---- what happens
+    # ---- events
 
-    def _heard(self, message: Message, source: Place) -> None:
+    def _on_message(self, message: Message, source: Place) -> None:
         if self.controller is None:
             return
-        if isinstance(message, Answer):  # from another controller, to a relay that had this address before
+        if isinstance(message, Answer):  # from another controller, to a relay that used this address earlier
             self.datagrams.refused["misdirected"] += 1
             return
-        self.metrics.heard(message)
+        self.metrics.count_message(message)
         if isinstance(message, Acquire | Renew | Release):
-            self._remember(message.session, source)
+            self._remember_source(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
 
-    def _remember(self, session: Session, source: Place) -> None:
+    def _remember_source(self, session: Session, source: Place) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
         if len(self._sources) > MAX_SESSIONS:
@@ -141,14 +144,14 @@
                 case SendToController(number, message):
                     self.datagrams.send(self.config.places[number], message)
                 case SendToRelay(session, answer):
-                    self.metrics.answered(answer)
+                    self.metrics.count_answer(answer)
                     if (place := self._sources.get(session)) is not None:
                         self.datagrams.send(place, answer)
                 case WriteRecords():
-                    self._writes.append(effect)
+                    self._pending_writes.append(effect)
                 case LogLine(text, level):
                     log.log(level, "controller: %s", text)
-        self._begin_write()
+        self._start_write()
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -156,38 +159,36 @@
             self._timer.cancel()
         if self.controller is None or self._finished.is_set():
             return
-        due = self.controller.next_at
-        if due is not None:
-            self._timer = self._loop.call_later(max(0, due - clock.now()) / 1e9, self._tick)
+        due_at = self.controller.next_at
+        if due_at is not None:
+            self._timer = self._loop.call_later(max(0, due_at - clock.now()) / 1e9, self._tick)
 
-    # ---- its records
+    # ---- writing records
 
-    def _begin_write(self) -> None:
-        """One write runs at a time; all that has come to wait meanwhile is the next one's."""
-        if self._writes and self._writing is None and not self._finished.is_set():
-            writes, self._writes = self._writes, []
-            self._writing = self._loop.create_task(self._write(writes))
+    def _start_write(self) -> None:
+        """Starts a write of all records that wait, unless a write is in progress."""
+        if self._pending_writes and self._write_task is None and not self._finished.is_set():
+            writes, self._pending_writes = self._pending_writes, []
+            self._write_task = self._loop.create_task(self._write(writes))
 
     async def _write(self, writes: list[WriteRecords]) -> None:
         records = [record for write in writes for record in write.records]
-        began = clock.now()
+        started_at = clock.now()
         failure: OSError | None = None
         try:
             await self._loop.run_in_executor(self._thread, self.records.append, records)
         except OSError as error:
             failure = error
-        except (
-            Exception
-        ) as broken:  # RecordsStateUnknownError, or a fault of ours: either way nothing is sure of the file
-            self._broken = broken
+        except Exception as error:  # RecordsStateUnknownError or a bug: either way the state of the file is unknown
+            self._fatal_error = error
             self._finished.set()
             return
-        self.metrics.wrote(len(records), clock.now() - began, failure is None)
-        self._writing = None
+        self.metrics.count_write(len(records), clock.now() - started_at, failure is None)
+        self._write_task = None
         for write in writes:
-            self._tell(write.ticket, failure)
+            self._report_write(write.ticket, failure)
 
-    def _tell(self, ticket: int, failure: OSError | None) -> None:
+    def _report_write(self, ticket: int, failure: OSError | None) -> None:
         if self.controller is None:
             return
         if failure is None:
@@ -197,27 +198,27 @@
 
 
 class OperatorCommands:
-    """The operator commands that a controller answers, with the interface that relays use."""
+    """Carries out operator commands for a controller, with the interface that a relay offers."""
 
     def __init__(self, process: ControllerProcess) -> None:
         self._process = process
 
     def health(self) -> None:
-        """Returns where it grants."""
+        """Raises CallRefusedError unless the controller grants partitions."""
         controller = self._process.controller
         if controller is None or not controller.ready:
-            raise CallRefusedError("it does not grant yet")
+            raise CallRefusedError("the controller does not grant partitions yet")
 
     def figures(self) -> str:
-        """Its figures, a line each."""
+        """Returns the controller's metrics, one line each."""
         return metrics_text(
             self._process.metrics, self._process.controller, self._process.datagrams, self._process.records
         )
 
     def fleet(self, words: list[str]) -> str:
-        """Nothing: it has no view of the members."""
+        """Always refused: a controller has no view of the members."""
         raise CallRefusedError("this is a controller: ask a relay")
 
     def exclude(self, host: str, out: bool) -> None:
-        """Nothing: it calls no hosts."""
+        """Always refused: a controller calls no hosts."""
         raise CallRefusedError("this is a controller: it calls no hosts")
