--- a/garnetrelay/fleet/controller/records_file.py
+++ b/garnetrelay/fleet/controller/records_file.py
@@ -125,7 +125,7 @@
             for record in batch:
                 if record.partition >= self._partitions:
                     raise RecordsError(
-                        f"{self.path}: contains partition {record.partition}, but there are {self._partitions} partitions"
+                        f"{self.path}: contains partition {record.partition}, but their number is {self._partitions}"
                     )
                 self._latest[record.partition] = record
         self.truncated_bytes = len(data) - end
--- a/tests/fleet/leases/planted.py
+++ b/tests/fleet/leases/injected_faults.py
@@ -1,6 +1,6 @@
-"""Faults planted in controllers and relays, each with bounds within which the exploration has to find it.
+"""Faults injected into controllers and relays, each with bounds within which the exploration must find it.
 
-Without its fault, the same bounds have to be explored to the end with every property holding.
+Without the fault, every property must hold when the same bounds are explored completely.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 )
 from garnetrelay.fleet.leases.recovery import Recovery
 from garnetrelay.fleet.leases.settings import Settings
-from tests.fleet.leases.asked import DRIFT, SETTINGS, Asked, Bounds, Kinds
+from tests.fleet.leases.scripted_relay import DRIFT, SETTINGS, Bounds, ScriptedHolder, Variant
 
 
 class NoWait(Controller):
-    """Reads others and grants at once after a start."""
+    """After a start, reads others' records and grants without a wait."""
 
     def __init__(self, number: int, boot: int, settings: Settings, records: Any, now: int, empty: bool) -> None:
         super().__init__(number, boot, settings, records, now - settings.lease, empty)
 
 
-class SaidFirst(Controller):
-    """Says a grant before it is durable."""
+class AnswersFirst(Controller):
+    """Answers with a grant before it is durable."""
 
     def receive(self, now: int, message: Any, source: str = "") -> list[ControllerEffect]:
         effects = super().receive(now, message, source)
@@ -48,7 +48,7 @@
 
 
 class KeepsUnwritten(Controller):
-    """Takes what was not written for being on record."""
+    """Treats records as valid although their write failed."""
 
     def not_written(self, now: int, ticket: int, reason: str) -> list[ControllerEffect]:
         kept = [(record, self.grant_table.holders[record.partition]) for record in self._pending_writes[ticket].records]
@@ -64,7 +64,7 @@
 
 
 class EqualEpoch(Controller):
-    """Grants an epoch that another had."""
+    """Grants an epoch that another session already had."""
 
     def receive(self, now: int, message: Any, source: str = "") -> list[ControllerEffect]:
         self.grant_table.__class__ = _EqualGrantTable
@@ -72,7 +72,7 @@
 
 
 class TrustsItsFolder(Controller):
-    """Reads nobody after a start."""
+    """After a start, reads no records of others."""
 
     def tick(self, now: int) -> list[ControllerEffect]:
         if self._recovery is not None and self.boot > 1000 and now >= self._recovery.wait_until:
@@ -81,7 +81,7 @@
 
 
 class ReadsFirst(Controller):
-    """Reads others at once after a start, and grants when it has waited: the protocol's first form."""
+    """After a start, reads others' records at once and grants after the wait: an earlier form of the protocol."""
 
     def __init__(self, number: int, boot: int, settings: Settings, records: Any, now: int, empty: bool) -> None:
         super().__init__(number, boot, settings, records, now - settings.lease, empty)
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _TakesTheFirst(Recovery):
+class _KeepsTheFirst(Recovery):
     def _merge(self, record: Record) -> None:
         known = self.merged.get(record.partition)
         if known is None or known.epoch != record.epoch:
@@ -102,16 +102,16 @@
 
 
 class BelievesTheFirst(Controller):
-    """Takes over a holder though another controller names another one in the same epoch."""
+    """Adopts a holder although another controller names a different one for the same epoch."""
 
     def __init__(self, number: int, boot: int, settings: Settings, records: Any, now: int, empty: bool) -> None:
         super().__init__(number, boot, settings, records, now, empty)
         assert self._recovery is not None
-        self._recovery = _TakesTheFirst(number, boot, settings, self._recovery.wait_until, self._recovery.own)
+        self._recovery = _KeepsTheFirst(number, boot, settings, self._recovery.wait_until, self._recovery.own)
 
 
-class CountsFromTheAnswer(Asked):
-    """Counts a vote from when the answer came."""
+class CountsFromTheAnswer(ScriptedHolder):
+    """Counts a vote from when the answer arrived."""
 
     def receive(self, now: int, answer: Answer) -> list[HolderEffect]:
         request = self._links[answer.controller].request
@@ -120,8 +120,8 @@
         return super().receive(now, answer)
 
 
-class CountsOldAnswers(Asked):
-    """Takes an answer to a request that was given up for one to the request under way."""
+class CountsOldAnswers(ScriptedHolder):
+    """Accepts the answer to an abandoned request as one to the request in progress."""
 
     def receive(self, now: int, answer: Answer) -> list[HolderEffect]:
         request = self._links[answer.controller].request
@@ -131,7 +131,7 @@
 
 
 class SmallQuorum(Settings):
-    """One controller of three is enough."""
+    """Needs one controller of three only."""
 
     @property
     def quorum(self) -> int:
@@ -142,43 +142,45 @@
         return 2
 
 
-class Planted(NamedTuple):
-    """A fault, and where it is looked for."""
+class InjectedFault(NamedTuple):
+    """A fault, and the bounds within which it must be found."""
 
     name: str
-    kinds: Kinds
+    variant: Variant
     bounds: Bounds
-    plain: Kinds = Kinds()  # without the fault
+    without_fault: Variant = Variant()
 
 
 _SMALL = SmallQuorum(**{field.name: getattr(SETTINGS, field.name) for field in dataclasses.fields(SETTINGS)})
 
-PLANTED = (
-    Planted("quorum one too small", Kinds(settings=_SMALL), Bounds(time=0, requests=2)),
-    Planted("said before it is durable", Kinds(SaidFirst), Bounds(time=0, requests=2)),
-    Planted("what was not written is kept", Kinds(KeepsUnwritten), Bounds(time=0, requests=2, failed_writes=1)),
-    Planted("an equal epoch for another", Kinds(EqualEpoch), Bounds(time=2, requests=4)),
-    Planted("no wait after a start", Kinds(NoWait), Bounds(time=1, requests=4, restarts=1)),
-    Planted("recovery trusts its own folder", Kinds(TrustsItsFolder), Bounds(time=2, requests=4, lost_folders=1)),
-    Planted("others are read before the wait", Kinds(ReadsFirst), Bounds(time=2, requests=4, lost_folders=1)),
-    Planted("a holder taken over that others deny", Kinds(BelievesTheFirst), Bounds(time=2, requests=4, lost_folders=1)),
-    Planted("counted from the answer", Kinds(holder=CountsFromTheAnswer), Bounds(time=2, requests=4, late=1)),
-    Planted("no margin for a slow clock", Kinds(), Bounds(time=3, requests=4, behind=1), Kinds(settings=DRIFT)),
-    Planted(
+INJECTED_FAULTS = (
+    InjectedFault("quorum one too small", Variant(settings=_SMALL), Bounds(time=0, requests=2)),
+    InjectedFault("answered before it is durable", Variant(AnswersFirst), Bounds(time=0, requests=2)),
+    InjectedFault("a failed write is kept", Variant(KeepsUnwritten), Bounds(time=0, requests=2, failed_writes=1)),
+    InjectedFault("an equal epoch for another session", Variant(EqualEpoch), Bounds(time=2, requests=4)),
+    InjectedFault("no wait after a start", Variant(NoWait), Bounds(time=1, requests=4, restarts=1)),
+    InjectedFault("recovery trusts its own folder", Variant(TrustsItsFolder), Bounds(time=2, requests=4, lost_folders=1)),
+    InjectedFault("records are read before the wait", Variant(ReadsFirst), Bounds(time=2, requests=4, lost_folders=1)),
+    InjectedFault(
+        "a holder adopted that others deny", Variant(BelievesTheFirst), Bounds(time=2, requests=4, lost_folders=1)
+    ),
+    InjectedFault("counted from the answer", Variant(holder=CountsFromTheAnswer), Bounds(time=2, requests=4, late=1)),
+    InjectedFault("no margin for a slow clock", Variant(), Bounds(time=3, requests=4, behind=1), Variant(settings=DRIFT)),
+    InjectedFault(
         "an answer to an old request counts",
-        Kinds(holder=CountsOldAnswers, numbers=False),
+        Variant(holder=CountsOldAnswers, drop_old_numbers=False),
         Bounds(time=2, requests=5, late=2),
     ),
 )
 
-# What no fault above needs: nothing is planted, and all has to hold.
+# Cases that no fault above covers: no fault is injected, and every property must hold.
 ALL_HOLDS = (
-    ("messages late twice", Kinds(), Bounds(time=1, requests=4, late=2)),
+    ("messages late twice", Variant(), Bounds(time=1, requests=4, late=2)),
     (
-        "doubles, relays that start again, full disks",
-        Kinds(),
-        Bounds(1, 3, late=1, doubles=1, relay_restarts=1, failed_writes=1),
+        "duplicates, relay restarts, full disks",
+        Variant(),
+        Bounds(1, 3, late=1, duplicates=1, relay_restarts=1, failed_writes=1),
     ),
-    ("an old folder", Kinds(), Bounds(time=2, requests=4, old_folders=1)),
-    ("a clock that is ahead", Kinds(settings=DRIFT), Bounds(time=4, requests=4, ahead=1)),
+    ("an old folder", Variant(), Bounds(time=2, requests=4, old_folders=1)),
+    ("a clock that is ahead", Variant(settings=DRIFT), Bounds(time=4, requests=4, ahead=1)),
 )
--- a/tests/fleet/leases/asked.py
+++ b/tests/fleet/leases/scripted_relay.py
@@ -1,4 +1,4 @@
-"""What the exploration drives: relays that send only what they are told to, and what tells two states apart."""
+"""Building blocks of the exploration: relays that send only on command, bounds, and the keys that identify states."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 )
 DRIFT = dataclasses.replace(SETTINGS, lease=4, rate_error=Fraction(1, 3))
 RELAYS = ("a", "b")
-BOOTS = 1000  # between the boots of a controller's processes
+BOOT_STEP = 1000  # between the boot numbers of a controller's processes
 PAST = -1000
-DRAW = random.Random(0)  # what it gives stands in no key
-UNHEARD = Record(0, 0, "", 0)
+RANDOM = random.Random(0)  # its results are not part of any key
+NO_RECORD = Record(0, 0, "", 0)
 _NOT_IN_KEYS = {
     "settings",
     "event_counts",
@@ -60,30 +60,30 @@
 
 
 class Bounds(NamedTuple):
-    """How much may happen in one order."""
+    """How often each kind of event may happen in one sequence."""
 
     time: int = 3  # steps
-    requests: int = 4  # of both relays
-    rounds: int = 2  # begun by both
-    restarts: int = 0  # of a controller, its folder as it is
-    lost_folders: int = 0  # restarts of a controller that find an empty folder
-    old_folders: int = 0  # restarts of a controller that find what stood there before
+    requests: int = 4  # of both relays together
+    rounds: int = 2  # started by both relays together
+    restarts: int = 0  # of a controller, with its folder unchanged
+    lost_folders: int = 0  # restarts of a controller with an empty folder
+    old_folders: int = 0  # restarts of a controller with an earlier content of its folder
     relay_restarts: int = 0
-    late: int = 0  # requests or answers that do not arrive in the step in which they were sent
-    doubles: int = 0
+    late: int = 0  # requests or answers that do not arrive in the step in which they are sent
+    duplicates: int = 0
     failed_writes: int = 0
-    ahead: int = 0  # steps that one clock makes besides
-    behind: int = 0  # steps that one clock leaves out
+    ahead: int = 0  # additional steps of one clock
+    behind: int = 0  # steps that one clock misses
 
 
-class Asked(Holder):
-    """A holder that sends nothing of its own accord."""
+class ScriptedHolder(Holder):
+    """A holder that sends nothing on its own."""
 
     def _advance(self, now: int) -> list[HolderEffect]:
         return []
 
-    def begin(self, now: int, above: int) -> None:
-        """A round, in an epoch above those that it knows; the round before is given up."""
+    def start_round(self, now: int, above: int) -> None:
+        """Abandons the current round, if any, and starts one in an epoch that is ``above`` the highest known one."""
         if not self._partitions:
             self.set_assigned(now, [0])
         if self.epoch:
@@ -91,25 +91,25 @@
         self._highest_epochs[0] = self._highest_epochs.get(0, 0) + above - 1
         self._start_round(now, 0, self._partitions[0])
 
-    def ask(self, now: int, controller: int, kind: str) -> Message:
-        """A request that it could send."""
+    def request(self, now: int, controller: int, kind: str) -> Message:
+        """Returns a request that this relay could send."""
         link = self._links[controller]
         match kind:
-            case "begins a round at" | "begins a round, one higher, at":
-                self.begin(now, 1 + ("higher" in kind))
+            case "starts a round at" | "starts a round, one higher, at":
+                self.start_round(now, 1 + ("higher" in kind))
                 return link.acquire(now, now + 1, [Grant(0, self.epoch)])
-            case "asks":
+            case "acquires from":
                 return link.acquire(now, now + 1, [Grant(0, self._partitions[0].epoch)])
             case "renews at":
                 return link.renew(now, now + 1)
             case _:
                 return link.release(now, now + 1, [Grant(*grant) for grant in link.unconfirmed.items()])
 
-    def kinds(self, controller: int) -> Iterator[str]:
-        """Of the requests that it could send to a controller."""
+    def request_kinds(self, controller: int) -> Iterator[str]:
+        """Returns the kinds of requests that this relay could send to a controller."""
         link, state = self._links[controller], self._partitions.get(0)
         if state is not None and state.epoch and 0 not in link.votes:
-            yield "asks"
+            yield "acquires from"
         if link.votes and not link.unconfirmed:
             yield "renews at"
         if any(state is None or state.epoch != epoch for epoch in link.unconfirmed.values()):
@@ -117,21 +117,21 @@
 
     @property
     def epoch(self) -> int:
-        """Of the round, or of what it owns; 0: none."""
+        """The epoch of the current round or of the owned partition; 0 if there is none."""
         return self._partitions[0].epoch if self._partitions else 0
 
 
-class Kinds(NamedTuple):
-    """What runs; a planted fault replaces one of them."""
+class Variant(NamedTuple):
+    """The classes and settings that run; an injected fault replaces one of them."""
 
     controller: type[Controller] = Controller
-    holder: type[Asked] = Asked
+    holder: type[ScriptedHolder] = ScriptedHolder
     settings: Settings = SETTINGS
-    numbers: bool = True  # whether those that were passed are left out: not where a fault counts them
+    drop_old_numbers: bool = True  # drop messages with old numbers; False where a fault makes them count
 
 
 def freeze(value: Any) -> Any:
-    """What a component remembers, as something that can be compared."""
+    """Returns the state of a component as a value that can be compared."""
     if isinstance(value, dict):
         return tuple(sorted((freeze(key), freeze(each)) for key, each in value.items() if key not in _NOT_IN_KEYS))
     if isinstance(value, msgspec.Struct):
@@ -146,14 +146,14 @@
 
 
 def age_controller(controller: Controller, now: int) -> None:
-    """Leases that have run out are alike."""
-    for held in controller.grant_table.sessions.values():
-        if held.lease_until <= now:
-            held.lease_until = PAST
+    """Makes all expired leases equal."""
+    for session_grants in controller.grant_table.sessions.values():
+        if session_grants.lease_until <= now:
+            session_grants.lease_until = PAST
 
 
-def age_relay(relay: Asked, now: int) -> None:
-    """Votes that no longer count are alike."""
+def age_relay(relay: ScriptedHolder, now: int) -> None:
+    """Makes all votes that no longer count equal."""
     for link in relay._links:
         for partition, vote in link.votes.items():
             if vote.sent_at + relay.settings.holder_lease <= now:
--- a/tests/fleet/leases/test_lease_exploration.py
+++ b/tests/fleet/leases/test_lease_exploration.py
@@ -1,23 +1,25 @@
-"""A part of the exploration: what is quick to explore, with and without its planted fault. All of it:
-``python -m tests.fleet.leases.explore``."""
+"""The part of the exploration that is quick, with and without an injected fault.
+
+``python -m tests.fleet.leases.explore`` runs all of it.
+"""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.fleet.leases.explore import Explorer
-from tests.fleet.leases.planted import PLANTED, Planted
+from tests.fleet.leases.injected_faults import INJECTED_FAULTS, InjectedFault
 
-QUICK = PLANTED[:4]
+QUICK = INJECTED_FAULTS[:4]
 
 
-@pytest.mark.parametrize("planted", QUICK, ids=lambda planted: planted.name)
-def test_a_planted_fault_is_found(planted: Planted) -> None:
-    assert Explorer(planted.bounds, planted.kinds).run() is not None
+@pytest.mark.parametrize("fault", QUICK, ids=lambda fault: fault.name)
+def test_an_injected_fault_is_found(fault: InjectedFault) -> None:
+    assert Explorer(fault.bounds, fault.variant).run() is not None
 
 
-@pytest.mark.parametrize("planted", QUICK, ids=lambda planted: planted.name)
-def test_without_it_every_property_holds_to_the_end(planted: Planted) -> None:
-    explorer = Explorer(planted.bounds, planted.plain)
+@pytest.mark.parametrize("fault", QUICK, ids=lambda fault: fault.name)
+def test_without_the_fault_every_property_holds(fault: InjectedFault) -> None:
+    explorer = Explorer(fault.bounds, fault.without_fault)
     assert explorer.run() is None
     assert explorer.states > 5
