--- a/garnetrelay/membership/listing.py
+++ b/garnetrelay/discovery/host_list.py
@@ -14,11 +14,11 @@
 from garnetrelay.config.deployment import Address, Config
 from starlingwick import interface as io
 
-MOST_LINE = 4 << 20  # bytes of one version of the list
+MAX_VERSION_BYTES = 4 << 20  # bytes of one version of the list
 MOST_NAMED = 8  # hosts in a log line
 IN_QUOTES = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
-STATES = {
+AVAILABILITY_BY_STATUS = {
     "Ready": io.Availability.RUNNING,
     "Terminating": io.Availability.STOPPING,
     "Gone": io.Availability.DELETED,
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class ListUpdate:
     """One version of the list, or the changes since the one before, in the Pacer's terms."""
 
     index: int
@@ -35,19 +35,19 @@
     addresses: dict[str, Address]
     current: bool = True  # of a watch at discovery's present address, not one that is about to be left
 
-    def of_address_left(self) -> News:
+    def of_address_left(self) -> ListUpdate:
         """The same from a watch at an address that discovery has moved away from."""
         return dataclasses.replace(self, current=False)
 
 
-class Reader:
+class ListReader:
     """Turns discovery's form into the Pacer's."""
 
     def __init__(self, config: Config) -> None:
         self.zones = {name: number for number, name in enumerate(config.zone_names)}
         self.kinds = {name: number for number, name in enumerate(config.kind_names)}
 
-    def read(self, raw: Any) -> News:
+    def read(self, raw: Any) -> ListUpdate:
         """ValueError if it can't be read: then nothing of it is taken over."""
         try:
             entries, addresses = [], {}
@@ -56,11 +56,11 @@
                 entries.append(entry)
                 if entry.availability is not io.Availability.DELETED:
                     addresses[entry.host] = Address.parse(line["address"])
-            return News(int(raw["index"]), bool(raw["snapshot"]), tuple(entries), addresses)
+            return ListUpdate(int(raw["index"]), bool(raw["snapshot"]), tuple(entries), addresses)
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
-    def salvage(self, raw: Any, index: int) -> News:
+    def salvage(self, raw: Any, index: int) -> ListUpdate:
         """What can be read of a version that can't be read whole, as changes that leave the version at ``index``: a drain
         among them is not lost for a neighbour's sake."""
         lines = raw.get("endpoints") if isinstance(raw, dict) else None
@@ -71,22 +71,22 @@
                 news = self.read({"index": index, "snapshot": False, "endpoints": [line]})
                 entries += news.entries
                 addresses |= news.addresses
-        return News(index, False, tuple(entries), addresses)
+        return ListUpdate(index, False, tuple(entries), addresses)
 
     def _entry(self, line: dict[str, Any]) -> io.HostEntry:
-        if line["status"] not in STATES:
+        if line["status"] not in AVAILABILITY_BY_STATUS:
             raise ValueError(f"unknown status {line['status']!r}")
         return io.HostEntry(
             host=str(line["name"]),
             zone=self.zones[line["zone"]] if self.zones else 0,
             kind=self.kinds[line["type"]] if self.kinds else 0,
             dest=int(line["group"]),
-            availability=STATES[line["status"]],
+            availability=AVAILABILITY_BY_STATUS[line["status"]],
             rate=float(line.get("weight", 1.0)),
         )
 
 
-def described(news: News) -> str:
+def described(news: ListUpdate) -> str:
     """A version in one line: what it holds, and which hosts get nothing new from it on."""
     leaving = [entry.host for entry in news.entries if entry.availability is not io.Availability.RUNNING]
     named = ", ".join(leaving[:MOST_NAMED]) + (", ..." if len(leaving) > MOST_NAMED else "")
@@ -98,7 +98,7 @@
     """What came of the list can't be read."""
 
 
-class Lines:
+class ObjectSplitter:
     """Takes a watch's bytes apart into objects, each on a line of its own or indented over several. No I/O.
 
     JSON has no line's end inside a string, so a line's quotes and brackets tell whether an object goes on behind it."""
@@ -124,7 +124,7 @@
                 found.append(None)
             elif bare:
                 self._take(line, found)
-        if self._size + len(self._begun) > MOST_LINE:
+        if self._size + len(self._begun) > MAX_VERSION_BYTES:
             raise UnreadableListError("a line without end")
         return found
 
