--- a/tests/fleet/leases/cluster.py
+++ b/tests/fleet/leases/cluster.py
@@ -1,4 +1,4 @@
-"""A small cluster by hand: controllers and relays whose messages are delivered, dropped or kept as a test says."""
+"""A small cluster without I/O: a test decides which messages are delivered, dropped or kept."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclass
 class Cluster:
-    """All clocks are ``now``. ``drop`` says which messages are lost; ``fail_writes`` which disks are full."""
+    """All clocks show ``now``. ``drop`` selects messages that are lost; ``fail_writes``: controllers with full disks."""
 
     settings: Settings = SETTINGS
     now: int = 0
@@ -47,7 +47,7 @@
     boots: int = 0
 
     def start_all(self) -> Cluster:
-        """Every controller with an initialized folder, and past its wait."""
+        """Starts all controllers with initialized folders and lets their wait pass."""
         for number in range(self.settings.controllers):
             self.folders[number] = {}
             self.start(number)
@@ -56,7 +56,7 @@
         return self
 
     def start(self, number: int, empty: bool = False) -> Controller:
-        """A new process of a controller; ``empty``: its folder is gone."""
+        """Starts a new process of a controller; ``empty``: with an empty folder."""
         if empty:
             self.folders[number] = {}
         self.boots += 1
@@ -66,15 +66,15 @@
         self.controllers[number] = controller
         return controller
 
-    def relay(self, name: str, wishes: list[int], number: int = 1) -> Holder:
-        """A new process of a relay."""
+    def relay(self, name: str, assigned: list[int], number: int = 1) -> Holder:
+        """Starts a new process of a relay."""
         session = Session(name, number)
         holder = self.holders[session] = Holder(session, self.settings, random.Random(f"{name}/{number}"))
-        self.from_holder(session, holder.set_assigned(self.now, wishes))
+        self.from_holder(session, holder.set_assigned(self.now, assigned))
         return holder
 
     def run(self, time: int, until: Callable[[], bool] = lambda: False) -> bool:
-        """Lets time pass in steps; whether ``until`` came true."""
+        """Lets time pass in steps; returns whether ``until`` became true."""
         end = self.now + time
         while self.now < end:
             if until():
@@ -89,7 +89,7 @@
         return until()
 
     def from_holder(self, session: Session, effects: list[HolderEffect]) -> None:
-        """Carries effects out at once."""
+        """Carries out effects at once."""
         for effect in effects:
             match effect:
                 case SendToController(number, message):
@@ -98,7 +98,7 @@
                     self.log.append(text)
 
     def from_controller(self, number: int, effects: list[ControllerEffect]) -> None:
-        """Carries effects out at once."""
+        """Carries out effects at once."""
         for effect in effects:
             match effect:
                 case SendToController(other, message):
@@ -116,13 +116,13 @@
                     self.log.append(text)
 
     def send(self, sender: object, receiver: object, message: object) -> None:
-        """One message, unless it is lost."""
+        """Sends a message; it arrives at once unless it is lost."""
         self.messages.append((sender, receiver, message))
         if not self.drop(sender, receiver, message):
             self.deliver(receiver, message)
 
     def deliver(self, receiver: object, message: object) -> None:
-        """It arrives."""
+        """Delivers a message to its receiver, if that runs."""
         if isinstance(receiver, Session):
             holder = self.holders.get(receiver)
             if holder is not None:
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -1,4 +1,4 @@
-"""Controllers and relays as processes, through the links stand-in, and an observer who asks every relay what it owns."""
+"""Controllers and relays as processes with simulated links, and an observer that asks every relay what it owns."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 PARTITIONS = 64
 LEASE_MS = 2000
-LOOK_EVERY = 0.1  # seconds: the observer looks as often as that, and no verdict follows from how often
+POLL_INTERVAL_S = 0.1  # of the observer; its findings do not depend on it
 
 
 class Controller(Process):
-    """A controller."""
+    """A controller process."""
 
     def __init__(self, fleet: Cluster, name: str, number: int) -> None:
         super().__init__(fleet, name)
@@ -37,7 +37,7 @@
         await self.run("-m", "garnetrelay.cli", "fleet", "controller", str(self.folder / "options.toml"))
 
     def initialize(self) -> None:
-        """As ``--initialize`` does it; a process for it would only take time."""
+        """Does what ``--initialize`` does, without the time that a process would take."""
         RecordsFile(self.folder / "state", self.number, PARTITIONS, LEASE_MS * MS).initialize()
 
     def lose_folder(self) -> None:
@@ -47,13 +47,13 @@
         network = self.fleet.network
         (self.folder / "secret").write_text(SECRET)
         (self.folder / "options.toml").write_text(
-            f'number = {self.number}\nlisten = "{network.inner(self.name)}"\n{terms(self.fleet)}'
+            f'number = {self.number}\nlisten = "{network.inner(self.name)}"\n{shared_options(self.fleet)}'
             'folder = "state"\nsecret_file = "secret"\n'
         )
 
 
-def terms(fleet: Fleet) -> str:
-    """What relays and controllers are told alike."""
+def shared_options(fleet: Fleet) -> str:
+    """Returns the options on which relays and controllers must agree."""
     assert isinstance(fleet, Cluster)
     places = [fleet.network.outer(name) for name in fleet.controllers]
     return f"controllers = {json.dumps(places)}\npartitions = {PARTITIONS}\nlease_ms = {LEASE_MS}\n"
@@ -83,12 +83,12 @@
         return self
 
     async def start_all(self) -> None:
-        """The controllers, initialized; then the relays; until all partitions are owned."""
+        """Initializes and starts the controllers, then the relays, and waits until all partitions are owned."""
         for controller in self.controllers.values():
             controller.initialize()
         await asyncio.gather(*(controller.start() for controller in self.controllers.values()))
         for relay in self.relays.values():
-            relay.options += f"[fleet.leases]\n{terms(self)}"
+            relay.options += f"[fleet.leases]\n{shared_options(self)}"
         await asyncio.gather(*(relay.start() for relay in self.relays.values()))
         await self.until(lambda: all(relay.logged("serves on") for relay in self.relays.values()))
         self.observer.start()
@@ -100,10 +100,10 @@
 
 @dataclass(slots=True)
 class Sample:
-    """A relay's answer that it owns a partition. It owned it at some moment from ``asked`` to ``heard`` (ns)."""
+    """A relay's report that it owns a partition. It owned it at some time from ``asked_at`` to ``received_at`` (ns)."""
 
-    asked: int
-    heard: int
+    asked_at: int
+    received_at: int
     relay: str
     session: int
     epoch: int
@@ -111,26 +111,26 @@
 
 
 @dataclass(slots=True)
-class Look:
-    """One relay's latest answer."""
+class Report:
+    """A relay's latest report."""
 
-    heard: int
+    received_at: int
     state: SessionLine
     owned: dict[int, OwnedLine]
 
 
 @dataclass(slots=True)
 class Observer:
-    """Asks all relays in turn, over and over, and holds their answers against each other by the clock that all share."""
+    """Polls all relays and compares their reports, using the clock that all processes share."""
 
     cluster: Cluster
-    highest: dict[int, Sample] = field(default_factory=dict)  # by partition: the one of the highest epoch
-    frozen: dict[int, int] = field(default_factory=dict)  # sessions that can't have released, and since when
-    latest: dict[str, Look] = field(default_factory=dict)
-    faults: list[str] = field(default_factory=list)
+    highest: dict[int, Sample] = field(default_factory=dict)  # by partition: the sample with the highest epoch
+    frozen: dict[int, int] = field(default_factory=dict)  # sessions that can't have released anything, and since when
+    latest: dict[str, Report] = field(default_factory=dict)
+    violations: list[str] = field(default_factory=list)
     samples: int = 0
     _task: asyncio.Task[None] | None = None
-    _news: asyncio.Condition = field(default_factory=asyncio.Condition)
+    _reported: asyncio.Condition = field(default_factory=asyncio.Condition)
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
@@ -143,87 +143,89 @@
                 raise error
 
     def freeze(self, relay: Relay) -> None:
-        """The relay is stopped or killed from here on: it has released nothing, and its leases have to run out."""
-        look = self.latest.get(relay.name)
-        if look is not None:
-            self.frozen[look.state.session] = clock.now()
+        """Notes that a relay is stopped or killed from now on: it releases nothing, so its leases must expire."""
+        report = self.latest.get(relay.name)
+        if report is not None:
+            self.frozen[report.state.session] = clock.now()
 
-    async def wait_for(self, holds: Callable[[], bool]) -> None:
-        """Until something holds of the latest answers."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: self.faults or holds())
-        assert not self.faults, self.faults
+    async def wait_for(self, condition: Callable[[], bool]) -> None:
+        """Waits until a condition on the latest reports is true; fails on a violation."""
+        async with asyncio.timeout(PATIENCE), self._reported:
+            await self._reported.wait_for(lambda: self.violations or condition())
+        assert not self.violations, self.violations
 
     async def all_owned(self, *relays: str, since: int = 0) -> None:
-        """Until each partition is owned, by answers from then on; by these relays, where some are named."""
+        """Waits until reports since then show all partitions as owned, by the given relays if there are any."""
         names = relays or tuple(self.cluster.relays)
 
-        def holds() -> bool:
-            looks = [self.latest.get(name) for name in names]
-            if any(look is None or look.heard < since for look in looks):
+        def condition() -> bool:
+            reports = [self.latest.get(name) for name in names]
+            if any(report is None or report.received_at < since for report in reports):
                 return False
-            return {partition for look in looks if look is not None for partition in look.owned} == set(range(PARTITIONS))
+            return {partition for report in reports if report is not None for partition in report.owned} == set(
+                range(PARTITIONS)
+            )
 
-        await self.wait_for(holds)
+        await self.wait_for(condition)
 
     async def cut_off(self, relay: Relay, since: int) -> None:
-        """Until one relay reaches no controller and owns nothing, by an answer from then on."""
+        """Waits until a report since then shows that a relay reaches no controller and owns nothing."""
 
-        def holds() -> bool:
-            look = self.latest.get(relay.name)
-            return look is not None and look.heard > since and not look.owned and not look.state.reached
+        def condition() -> bool:
+            report = self.latest.get(relay.name)
+            return report is not None and report.received_at > since and not report.owned and not report.state.reached
 
-        await self.wait_for(holds)
+        await self.wait_for(condition)
 
     async def none_owned(self) -> None:
-        """Until nobody owns anything."""
+        """Waits until no relay owns anything."""
         now = clock.now()
         await self.wait_for(
             lambda: (
-                {name for name, look in self.latest.items() if look.heard > now} >= self.cluster.relays.keys()
-                and not any(look.owned for look in self.latest.values())
+                {name for name, report in self.latest.items() if report.received_at > now} >= self.cluster.relays.keys()
+                and not any(report.owned for report in self.latest.values())
             )
         )
 
     async def _run(self) -> None:
         while True:
             for relay in self.cluster.relays.values():
-                await self._look(relay)
-            await asyncio.sleep(LOOK_EVERY)
+                await self._poll(relay)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _look(self, relay: Relay) -> None:
-        asked = clock.now()
+    async def _poll(self, relay: Relay) -> None:
+        asked_at = clock.now()
         try:
             async with asyncio.timeout(1):
                 first, *rest = await relay.ask("FLEET OWNERS")
         except (OSError, TimeoutError, AssertionError):
-            return  # it is stopped, ended, or not ready
-        heard = clock.now()
+            return  # the relay is stopped, has ended, or is not ready
+        received_at = clock.now()
         state: SessionLine = msgspec.json.decode(first, type=SessionLine)
         lines: list[OwnedLine] = [msgspec.json.decode(line, type=OwnedLine) for line in rest]
         owned = {line.partition: line for line in lines}
-        self.latest[relay.name] = Look(heard, state, owned)
+        self.latest[relay.name] = Report(received_at, state, owned)
         for line in owned.values():
-            sample = Sample(asked, heard, relay.name, state.session, line.epoch, line.until)
+            sample = Sample(asked_at, received_at, relay.name, state.session, line.epoch, line.until)
             self._compare(line.partition, sample)
-        async with self._news:
-            self._news.notify_all()
+        async with self._reported:
+            self._reported.notify_all()
 
     def _compare(self, partition: int, sample: Sample) -> None:
         self.samples += 1
-        before = self.highest.get(partition)
-        if before is None:
+        previous = self.highest.get(partition)
+        if previous is None:
             self.highest[partition] = sample
             return
-        if before.session == sample.session:
-            if sample.epoch >= before.epoch:
+        if previous.session == sample.session:
+            if sample.epoch >= previous.epoch:
                 self.highest[partition] = sample
-            elif before.heard < sample.asked:
-                self.faults.append(f"partition {partition}: an epoch fell: {before} then {sample}")
+            elif previous.received_at < sample.asked_at:
+                self.violations.append(f"partition {partition}: the epoch decreased: {previous} then {sample}")
             return
-        if before.heard < sample.asked and sample.epoch <= before.epoch:
-            self.faults.append(f"partition {partition}: the epoch did not rise: {before} then {sample}")
-        if before.session in self.frozen and sample.heard < before.until:
-            self.faults.append(f"partition {partition}: two owners: {before} is not over, and {sample}")
-        if sample.epoch > before.epoch:
+        if previous.received_at < sample.asked_at and sample.epoch <= previous.epoch:
+            self.violations.append(f"partition {partition}: the epoch did not increase: {previous} then {sample}")
+        if previous.session in self.frozen and sample.received_at < previous.until:
+            self.violations.append(f"partition {partition}: two owners: {previous} has not expired, and {sample}")
+        if sample.epoch > previous.epoch:
             self.highest[partition] = sample
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -1,4 +1,4 @@
-"""Restarts, lost folders, full disks, cuts, doubles, replays and hostile values."""
+"""Restarts, lost folders, full disks, network cuts, duplicates, replays and hostile values."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 ALL = list(range(8))
 LEASE = SETTINGS.lease
 S1, S2 = Session("a", 1), Session("b", 2)
-TERMS = SETTINGS.fingerprint
+FINGERPRINT = SETTINGS.fingerprint
 
 
 def _owns(cluster: Cluster, holder: Holder, partitions: list[int] = ALL) -> bool:
     return holder.owned(cluster.now).keys() == set(partitions)
 
 
-def _owner(cluster: Cluster, name: str = "a", number: int = 1, wishes: list[int] = ALL) -> Holder:
-    relay = cluster.relay(name, wishes, number)
-    assert cluster.run(10 * SECOND, lambda: _owns(cluster, relay, wishes))
+def _owner(cluster: Cluster, name: str = "a", number: int = 1, assigned: list[int] = ALL) -> Holder:
+    relay = cluster.relay(name, assigned, number)
+    assert cluster.run(10 * SECOND, lambda: _owns(cluster, relay, assigned))
     return relay
 
 
 def _ready(number: int = 0, settings: Settings = SETTINGS) -> Controller:
-    """A controller that is ready at the end of its wait: two others had nothing on record."""
+    """Returns a controller that is ready after its wait; two others had no records."""
     controller = Controller(number, 77, settings, [], 0, False)
     for effect in controller.tick(settings.lease):
         assert isinstance(effect, SendToController) and isinstance(effect.message, ReadRecords)
@@ -56,12 +56,14 @@
     return controller
 
 
-def _acquire(session: Session, number: int, grants: list[tuple[int, int]], boot: int = 77, terms: int = TERMS) -> Acquire:
-    return Acquire(session, number, boot, terms, [Grant(*grant) for grant in grants])
+def _acquire(
+    session: Session, number: int, grants: list[tuple[int, int]], boot: int = 77, fingerprint: int = FINGERPRINT
+) -> Acquire:
+    return Acquire(session, number, boot, fingerprint, [Grant(*grant) for grant in grants])
 
 
-def _said(controller: Controller, now: int, request: Acquire | Renew | Release) -> Answer:
-    """The answer, once its records are written."""
+def _answer_to(controller: Controller, now: int, request: Acquire | Renew | Release) -> Answer:
+    """Returns the answer, after its records are written."""
     (effect,) = controller.receive(now, request)
     if isinstance(effect, WriteRecords):
         (effect,) = controller.written(now, effect.ticket)
@@ -72,18 +74,18 @@
 # ---- one controller
 
 
-def test_a_grant_is_said_once_it_is_written() -> None:
+def test_a_grant_is_answered_once_it_is_written() -> None:
     controller = _ready()
     (effect,) = controller.receive(LEASE, _acquire(S1, 1, [(3, 1)]))
     assert isinstance(effect, WriteRecords) and effect.records == [Record(3, 1, "a", 1)]
-    (again,) = controller.receive(LEASE, _acquire(S1, 2, [(3, 1)]))  # on record, and not yet durable
+    (again,) = controller.receive(LEASE, _acquire(S1, 2, [(3, 1)]))  # on record, but not durable yet
     assert isinstance(again, WriteRecords)
     (answer,) = controller.written(LEASE, effect.ticket)
     assert isinstance(answer, SendToRelay) and answer.message.granted == [Grant(3, 1)]
     assert controller.written(LEASE, effect.ticket) == []
 
 
-def test_a_grant_that_was_not_written_is_not_said_and_its_epoch_is_used_up() -> None:
+def test_a_grant_that_was_not_written_is_refused_and_its_epoch_is_used_up() -> None:
     controller = _ready()
     (effect,) = controller.receive(LEASE, _acquire(S1, 1, [(3, 5), (4, 1)]))
     assert isinstance(effect, WriteRecords)
@@ -91,69 +93,70 @@
     assert isinstance(line, LogLine) and isinstance(answer, SendToRelay)
     assert answer.message.granted == []
     assert {refusal.partition: refusal.epoch for refusal in answer.message.refused} == {3: 5, 4: 1}
-    assert _said(controller, LEASE, _acquire(S1, 2, [(3, 5)])).granted == []
-    assert _said(controller, LEASE, _acquire(S2, 1, [(3, 6)])).granted == [Grant(3, 6)]
+    assert _answer_to(controller, LEASE, _acquire(S1, 2, [(3, 5)])).granted == []
+    assert _answer_to(controller, LEASE, _acquire(S2, 1, [(3, 6)])).granted == [Grant(3, 6)]
 
 
-def test_a_failed_write_leaves_what_was_on_record_before() -> None:
+def test_a_failed_write_keeps_earlier_records() -> None:
     controller = _ready()
-    _said(controller, LEASE, _acquire(S1, 1, [(3, 1)]))
+    _answer_to(controller, LEASE, _acquire(S1, 1, [(3, 1)]))
     (effect,) = controller.receive(LEASE, _acquire(S1, 2, [(3, 1), (4, 1)]))
     assert isinstance(effect, WriteRecords)
     _, answer = controller.not_written(LEASE, effect.ticket, "no space left")
     assert isinstance(answer, SendToRelay) and answer.message.granted == [Grant(3, 1)]
-    assert _said(controller, LEASE, Renew(S1, 3, 77, TERMS, 1, digest([(3, 1)]))).matches
+    assert _answer_to(controller, LEASE, Renew(S1, 3, 77, FINGERPRINT, 1, digest([(3, 1)]))).matches
 
 
 def test_another_session_has_to_wait_for_the_lease_and_needs_a_higher_epoch() -> None:
     controller = _ready()
-    _said(controller, LEASE, _acquire(S1, 1, [(3, 4)]))
-    refused = _said(controller, LEASE + 1, _acquire(S2, 1, [(3, 9)])).refused
+    _answer_to(controller, LEASE, _acquire(S1, 1, [(3, 4)]))
+    refused = _answer_to(controller, LEASE + 1, _acquire(S2, 1, [(3, 9)])).refused
     assert [tuple(refusal) for refusal in refused] == [(3, 4, LEASE - 1)]
-    assert _said(controller, 2 * LEASE - 1, _acquire(S2, 2, [(3, 9)])).granted == []
-    assert _said(controller, 2 * LEASE, _acquire(S2, 3, [(3, 4)])).granted == []
-    assert _said(controller, 2 * LEASE, _acquire(S2, 4, [(3, 5)])).granted == [Grant(3, 5)]
+    assert _answer_to(controller, 2 * LEASE - 1, _acquire(S2, 2, [(3, 9)])).granted == []
+    assert _answer_to(controller, 2 * LEASE, _acquire(S2, 3, [(3, 4)])).granted == []
+    assert _answer_to(controller, 2 * LEASE, _acquire(S2, 4, [(3, 5)])).granted == [Grant(3, 5)]
 
 
-def test_old_numbers_are_not_taken() -> None:
+def test_old_numbers_are_ignored() -> None:
     controller = _ready()
-    _said(controller, LEASE, _acquire(S1, 5, [(3, 1)]))
-    _said(controller, LEASE, Release(S1, 6, 77, [Grant(3, 1)]))
+    _answer_to(controller, LEASE, _acquire(S1, 5, [(3, 1)]))
+    _answer_to(controller, LEASE, Release(S1, 6, 77, [Grant(3, 1)]))
     for number in (5, 6, 1):
         assert controller.receive(LEASE, _acquire(S1, number, [(3, 2)])) == []
         assert controller.receive(LEASE, Release(S1, number, 77, [])) == []
-        assert controller.receive(LEASE, Renew(S1, number, 77, TERMS, 0, 0)) == []
+        assert controller.receive(LEASE, Renew(S1, number, 77, FINGERPRINT, 0, 0)) == []
     assert controller.event_counts["old number"] == 9
 
 
-def test_requests_for_another_boot_or_under_other_terms_get_nothing() -> None:
+def test_requests_for_another_boot_or_with_other_settings_are_refused() -> None:
     controller = _ready()
-    other = _said(controller, LEASE, _acquire(S1, 1, [(3, 1)], boot=78))
+    other = _answer_to(controller, LEASE, _acquire(S1, 1, [(3, 1)], boot=78))
     assert not other.accepted and other.boot == 77 and other.granted == []
-    answer, line = controller.receive(LEASE, _acquire(S1, 2, [(3, 1)], terms=TERMS ^ 1))
+    answer, line = controller.receive(LEASE, _acquire(S1, 2, [(3, 1)], fingerprint=FINGERPRINT ^ 1))
     assert isinstance(answer, SendToRelay) and not answer.message.accepted
     assert isinstance(line, LogLine) and "options" in line.text
-    assert len(controller.receive(LEASE, _acquire(S1, 3, [(3, 1)], terms=TERMS ^ 1))) == 1  # one line a relay
+    # One log line per relay:
+    assert len(controller.receive(LEASE, _acquire(S1, 3, [(3, 1)], fingerprint=FINGERPRINT ^ 1))) == 1
     assert controller.grant_table.epochs[3] == 0
 
 
 @pytest.mark.parametrize("epoch", [MAX_EPOCH, MAX_EPOCH_STEP + 1, 0])
 def test_one_request_can_not_use_up_a_partitions_epochs(epoch: int) -> None:
-    assert _said(_ready(), LEASE, _acquire(S1, 1, [(3, epoch)])).granted == []
+    assert _answer_to(_ready(), LEASE, _acquire(S1, 1, [(3, epoch)])).granted == []
 
 
 def test_partitions_out_of_range_change_nothing() -> None:
     controller = _ready()
     grants = [(SETTINGS.partitions, 1), (65_535, 1)]
-    answer = _said(controller, LEASE, _acquire(S1, 1, grants))
+    answer = _answer_to(controller, LEASE, _acquire(S1, 1, grants))
     assert answer.granted == [] and answer.refused == []
-    assert _said(controller, LEASE, Release(S1, 2, 77, [Grant(*grant) for grant in grants])).accepted
+    assert _answer_to(controller, LEASE, Release(S1, 2, 77, [Grant(*grant) for grant in grants])).accepted
     controller.receive(LEASE, ReadRecords(1, 5, 9, 65_535))
     controller.receive(LEASE, ReadRecords(8, 5, 9, 0))  # no such controller
     assert not any(controller.grant_table.epochs)
 
 
-def test_records_that_were_not_asked_for_change_nothing() -> None:
+def test_unrequested_records_change_nothing() -> None:
     controller = Controller(0, 77, SETTINGS, [], 0, False)
     forged = [Record(3, 9, "x", 1)]
     assert controller.receive(0, Records(1, 5, 1, forged, -1)) == []
@@ -166,11 +169,11 @@
     assert controller.ready and controller.grant_table.epochs[3] == 0
 
 
-def test_sessions_that_hold_nothing_are_forgotten() -> None:
+def test_sessions_without_grants_are_dropped() -> None:
     controller = _ready()
     for number in range(50):
-        _said(controller, LEASE, Renew(Session("a", number), 1, 77, TERMS, 0, 0))
-    _said(controller, LEASE, _acquire(S2, 1, [(3, 1)]))
+        _answer_to(controller, LEASE, Renew(Session("a", number), 1, 77, FINGERPRINT, 0, 0))
+    _answer_to(controller, LEASE, _acquire(S2, 1, [(3, 1)]))
     controller.tick(5 * LEASE)
     assert list(controller.grant_table.sessions) == [S2]
 
@@ -198,7 +201,7 @@
     assert controller.ready and controller.grant_table.epochs[3] == 6
 
 
-def test_where_others_disagree_on_an_epoch_nobody_has_it() -> None:
+def test_if_others_disagree_on_an_epoch_nobody_holds_the_partition() -> None:
     controller = Controller(0, 77, SETTINGS, [], 0, True)
     first, second = controller.tick(LEASE)
     assert isinstance(first, SendToController) and isinstance(first.message, ReadRecords)
@@ -209,7 +212,7 @@
     assert effect.records == [Record(3, 6, "", 0), Record(4, 1, "a", 1)]
 
 
-def test_a_recovery_that_was_not_written_is_done_again() -> None:
+def test_a_recovery_that_was_not_written_is_repeated() -> None:
     controller = Controller(0, 77, SETTINGS, [], 0, True)
 
     def read(now: int) -> WriteRecords:
@@ -228,7 +231,7 @@
     assert controller.ready
 
 
-def test_an_empty_folder_is_not_read_by_others_until_it_has_recovered() -> None:
+def test_an_empty_folder_is_not_read_by_others_before_its_recovery() -> None:
     controller = Controller(0, 77, SETTINGS, [], 0, True)
     assert controller.receive(0, ReadRecords(1, 5, 9, 0)) == []
     initialized = Controller(0, 77, SETTINGS, [], 0, False)
@@ -247,15 +250,15 @@
         effect = waiting.pop()
         if isinstance(effect, SendToController) and effect.controller == 1:
             assert isinstance(effect.message, ReadRecords)
-            (told,) = source.receive(LEASE, effect.message)
-            assert isinstance(told, SendToController) and isinstance(told.message, Records)
-            assert len(told.message.records) <= 12
-            waiting += controller.receive(LEASE, told.message)
+            (part,) = source.receive(LEASE, effect.message)
+            assert isinstance(part, SendToController) and isinstance(part.message, Records)
+            assert len(part.message.records) <= 12
+            waiting += controller.receive(LEASE, part.message)
             parts += 1
     assert parts == 6
 
 
-def test_lost_folder_comes_back_with_the_epochs_of_others() -> None:
+def test_a_lost_folder_is_restored_with_the_epochs_of_others() -> None:
     cluster = Cluster().start_all()
     owner = _owner(cluster)
     cluster.start(0, empty=True)
@@ -305,7 +308,7 @@
 # ---- relays
 
 
-def test_no_majority_nothing_new_is_asked_and_what_is_owned_ends() -> None:
+def test_without_a_majority_nothing_new_is_requested_and_ownership_ends() -> None:
     cluster = Cluster().start_all()
     owner = _owner(cluster)
     cluster.drop = lambda sender, receiver, message: {sender, receiver} & {1, 2} != set()
@@ -321,8 +324,8 @@
     assert cluster.run(10 * SECOND, lambda: _owns(cluster, owner, [*ALL, 20]))
 
 
-def test_answers_that_are_lost_one_way() -> None:
-    """Controllers hear the relay, and it does not hear them: it owns nothing, and nobody else does."""
+def test_answers_lost_in_one_direction() -> None:
+    """The controllers receive the relay's messages, but not the reverse: neither it nor another relay owns anything."""
     cluster = Cluster().start_all()
     first = _owner(cluster)
     cluster.drop = lambda sender, receiver, message: receiver == first.session
@@ -341,8 +344,8 @@
     assert _owns(cluster, first) and not second.owned(cluster.now)
 
 
-def test_partial_grants_are_released_by_who_has_no_majority() -> None:
-    """One has a lease at controllers 1 and 2, another was granted by 0 alone."""
+def test_partial_grants_are_released_by_a_relay_without_a_majority() -> None:
+    """One relay has a lease at controllers 1 and 2, another has a grant of controller 0 only."""
     cluster = Cluster().start_all()
     cluster.drop = lambda sender, receiver, message: 0 in (sender, receiver) and Session("a", 1) in (sender, receiver)
     first = _owner(cluster)
@@ -356,38 +359,38 @@
     assert _owns(cluster, first)
 
 
-def test_records_that_differ_are_settled() -> None:
-    """A controller knows nothing of two grants, and has one that the relay did not ask for any more."""
+def test_differing_records_are_reconciled() -> None:
+    """A controller has lost two grants, and has one that the relay does not want any more."""
     cluster = Cluster().start_all()
     owner = _owner(cluster)
-    register = cluster.controllers[0].grant_table
-    register.put(0, 1, None)
-    register.put(1, 2, S2)
-    register.put(30, 1, owner.session)
+    grant_table = cluster.controllers[0].grant_table
+    grant_table.put(0, 1, None)
+    grant_table.put(1, 2, S2)
+    grant_table.put(30, 1, owner.session)
     cluster.run(3 * SETTINGS.renew_every)
-    assert register.holders[30] is None
-    assert register.sessions[owner.session].grants == {partition: 1 for partition in ALL[2:]}
+    assert grant_table.holders[30] is None
+    assert grant_table.sessions[owner.session].grants == {partition: 1 for partition in ALL[2:]}
     renewed = cluster.controllers[0].event_counts["renewed"]
     cluster.run(2 * SETTINGS.renew_every)
     assert cluster.controllers[0].event_counts["renewed"] > renewed
     assert _owns(cluster, owner) and owner.event_counts["lost"] == 0
 
 
-def test_more_records_than_one_answer_lists_are_settled() -> None:
+def test_more_differing_records_than_fit_into_one_answer_are_reconciled() -> None:
     cluster = Cluster().start_all()
-    wishes = list(range(60))
-    assert len(wishes) > MAX_GRANTS
-    owner = _owner(cluster, wishes=wishes)
-    register = cluster.controllers[0].grant_table
+    assigned = list(range(60))
+    assert len(assigned) > MAX_GRANTS
+    owner = _owner(cluster, assigned=assigned)
+    grant_table = cluster.controllers[0].grant_table
     for partition in (60, 61, 63):
-        register.put(partition, 1, owner.session)
-    register.put(2, 9, None)
+        grant_table.put(partition, 1, owner.session)
+    grant_table.put(2, 9, None)
     cluster.run(8 * SETTINGS.renew_every)
-    assert register.sessions[owner.session].grants == {partition: 1 for partition in wishes if partition != 2}
-    assert _owns(cluster, owner, wishes)
+    assert grant_table.sessions[owner.session].grants == {partition: 1 for partition in assigned if partition != 2}
+    assert _owns(cluster, owner, assigned)
 
 
-def test_lost_answers_leave_nothing_behind() -> None:
+def test_lost_answers_leave_no_stale_grants() -> None:
     cluster = Cluster().start_all()
     draw = random.Random(1)
     cluster.drop = lambda sender, receiver, message: draw.random() < 0.3
@@ -402,10 +405,10 @@
     assert cluster.run(LEASE + 20 * SECOND, lambda: sum(len(relay.owned(cluster.now)) for relay in relays) == 6)
     cluster.run(3 * SETTINGS.renew_every)
     for controller in cluster.controllers.values():
-        assert sum(len(held.grants) for held in controller.grant_table.sessions.values()) <= 6
+        assert sum(len(session_grants.grants) for session_grants in controller.grant_table.sessions.values()) <= 6
 
 
-def test_doubled_and_replayed_messages_change_nothing() -> None:
+def test_duplicated_and_replayed_messages_change_nothing() -> None:
     cluster = Cluster().start_all()
     first = _owner(cluster)
     cluster.from_holder(first.session, first.set_assigned(cluster.now, ALL[:4]))
@@ -420,8 +423,8 @@
     assert _owns(cluster, first, ALL[:4]) and _owns(cluster, second, ALL[4:])
 
 
-def test_a_grant_whose_answer_came_late_does_not_count() -> None:
-    """An answer to a request that was given up: the request that is under way was sent later."""
+def test_a_grant_with_a_late_answer_does_not_count() -> None:
+    """An answer to an abandoned request must not count for the one in progress, which was sent later."""
     cluster = Cluster().start_all()
     late: list[Answer] = []
 
@@ -444,7 +447,7 @@
     assert not any(link.votes for link in relay._links) and relay.event_counts["late answers"] == len(first)
 
 
-def test_the_end_of_a_relay_frees_its_partitions() -> None:
+def test_a_relay_that_ends_releases_its_partitions() -> None:
     cluster = Cluster().start_all()
     first = _owner(cluster)
     second = cluster.relay("b", ALL, 2)
@@ -454,8 +457,8 @@
     assert cluster.run(SETTINGS.max_retry, lambda: _owns(cluster, second))
 
 
-def test_requests_are_few_while_all_is_refused() -> None:
-    """A relay wishes what others hold: at most so many requests to a controller, most of them in the first seconds."""
+def test_few_requests_are_sent_while_all_are_refused() -> None:
+    """Limits the requests per controller for partitions that another relay holds; most come in the first seconds."""
     cluster = Cluster().start_all()
     _owner(cluster)
     cluster.messages.clear()
@@ -468,8 +471,11 @@
     assert counts[0] < 14 and max(counts[2:]) < 8
 
 
-def test_a_grant_on_record_that_was_refused_before_is_asked_for_again() -> None:
-    """A refusal said to ask later; then the controller turns out to have the grant. Nothing may spin or stay unsure."""
+def test_a_grant_on_record_that_was_refused_before_is_requested_again() -> None:
+    """A refusal postponed the next request, but the controller has the grant on record.
+
+    The relay must neither spin nor leave the grant unconfirmed.
+    """
     cluster = Cluster().start_all()
     owner = _owner(cluster)
     link = owner._links[0]
--- a/tests/fleet/leases/test_lease_processes.py
+++ b/tests/fleet/leases/test_lease_processes.py
@@ -1,4 +1,4 @@
-"""Five controllers and three relays as processes: who owns what, under faults, as an observer from outside sees it."""
+"""Controllers and relays as processes under faults: an observer checks who owns which partition."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
         r1, r2, r3 = cluster.relays.values()
         c0, c1, c2, *_ = cluster.controllers.values()
 
-        # A relay that is stopped for longer than its lease: others own its partitions, in higher epochs, once it is over.
+        # A relay is stopped for longer than its lease: afterwards others own its partitions in higher epochs.
         r1.signal(signal.SIGSTOP)
         cluster.observer.freeze(r1)
         await cluster.observer.all_owned("r2", "r3")
         r1.signal(signal.SIGCONT)
         await cluster.until(lambda: r1.logged(" lost, "))
 
-        # A relay that is killed, and a new process of its name: another session.
+        # A relay is killed, and a new process with its name starts a new session.
         cluster.observer.freeze(r2)
         r2.signal(signal.SIGKILL)
         await r2.ended()
         await r2.start()
 
-        # A controller that is killed and loses its folder is ready again by what others have on record.
+        # A controller that is killed and loses its folder becomes ready again with the records of the others.
         c0.signal(signal.SIGKILL)
         await c0.ended()
         c0.lose_folder()
@@ -39,7 +39,7 @@
         await cluster.observer.all_owned(since=clock.now())
         assert (c0.folder / "state" / "grants").exists()
 
-        # Two of five gone: it goes on. A third: nobody owns anything; back again: everything.
+        # With two of five controllers down, ownership goes on. With a third down it ends; it returns when they are back.
         for controller in (c1, c2):
             controller.signal(signal.SIGKILL)
             await controller.ended()
@@ -60,7 +60,7 @@
         r1 = cluster.relays["r1"]
         names = list(cluster.controllers)
 
-        # One way, then the other: r1 is in everybody's view, and can't know that it holds anything.
+        # A cut in one direction, then in the other: r1 stays in all views, but can't know whether it holds a lease.
         for senders, receivers in ((names, ["r1"]), (["r1"], names)):
             cluster.links.rule("one way", between(senders, receivers, one_way=True), Fate(cut=True))
             since = clock.now()
--- a/tests/fleet/leases/test_leases.py
+++ b/tests/fleet/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Relays and controllers together: acquiring, renewing, giving up, failing, starting again."""
+"""Relays and controllers together: acquire, renew, release, fail and restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return holder.owned(cluster.now).keys() == set(partitions)
 
 
-def test_a_relay_owns_what_it_wishes_and_keeps_it() -> None:
+def test_a_relay_owns_its_assigned_partitions_and_keeps_them() -> None:
     cluster = Cluster().start_all()
     relay = cluster.relay("a", ALL)
     assert cluster.run(2 * SECOND, lambda: _owns(cluster, relay))
@@ -50,7 +50,7 @@
     assert min(ownership.epoch for ownership in second.owned(cluster.now).values()) > 1
 
 
-def test_a_crashed_relays_partitions_are_taken_when_its_lease_ends() -> None:
+def test_a_crashed_relays_partitions_are_acquired_when_its_lease_ends() -> None:
     cluster = Cluster().start_all()
     first = cluster.relay("a", ALL)
     cluster.run(2 * SECOND, lambda: _owns(cluster, first))
@@ -62,7 +62,7 @@
     assert cluster.now >= ends
 
 
-def test_renewals_alone_flow_in_peace() -> None:
+def test_only_renewals_are_sent_without_changes() -> None:
     cluster = Cluster().start_all()
     relay = cluster.relay("a", ALL)
     cluster.run(10 * SECOND)
--- a/tests/fleet/leases/test_world.py
+++ b/tests/fleet/leases/test_world.py
@@ -1,5 +1,7 @@
-"""Some random schedules of faults in the driven clock, and that they find planted faults. More:
-``python -m benchmarks leases faults``."""
+"""Random schedules of faults with a simulated clock, and a check that they find injected faults.
+
+``python -m benchmarks leases faults`` runs more of them.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_never_two_owners_and_all_is_owned_again(seed: int) -> None:
+def test_never_two_owners_and_all_partitions_are_owned_again(seed: int) -> None:
     outcome = Play(seed).run()
     assert outcome.problems == []
     assert outcome.owned_again is not None
@@ -18,5 +20,5 @@
 
 
 @pytest.mark.parametrize("name", ["leases of a second", "equal epochs"])
-def test_a_planted_fault_is_found(name: str) -> None:
+def test_an_injected_fault_is_found(name: str) -> None:
     assert any(Play(seed, **PLANTED[name]).run().problems for seed in range(20))
