--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,8 +17,8 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.effects import Tell
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.effects import SendFrame
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory import hostile
 from garnetrelay.laboratory.links import Fate
@@ -68,7 +68,7 @@
 
         def known(at: int = at, seen: Detected = seen, held: Callable[[], list[Status]] = held) -> bool:
             statuses = held()
-            ago = (world.now - at) / settings.probe_every
+            ago = (world.now - at) / settings.probe_interval
             if not seen.suspected and any(status >= Status.SUSPECT for status in statuses):
                 seen.suspected = ago
             if not seen.judged and any(status is Status.FAILED for status in statuses):
@@ -78,7 +78,7 @@
         world.kill(victim)
         if not world.run(at + 300 * SECOND, known):
             raise RuntimeError(f"{count} members, seed {seed}: a kill is not known after 300 s")
-        seen.known = (world.now - at) / settings.probe_every
+        seen.known = (world.now - at) / settings.probe_interval
         found.append(seen)
         world.run(world.now + 5 * SECOND)
     return found
@@ -104,8 +104,8 @@
             print(
                 f"{size:>8}{len(found):>7}{statistics.mean(each.suspected for each in found):>17.2f}{expected:>10.2f}"
                 f"{statistics.mean(each.judged for each in found):>9.2f}"
-                f"{settings.least_suspicion(size) / settings.probe_every:>7.1f}"
-                f"{settings.longest_suspicion(size) / settings.probe_every:>9.1f}"
+                f"{settings.min_suspicion_time(size) / settings.probe_interval:>7.1f}"
+                f"{settings.max_suspicion_time(size) / settings.probe_interval:>9.1f}"
                 f"{statistics.mean(known):>10.2f}{known[int((len(known) - 1) * 0.95)]:>7.2f}",
                 flush=True,
             )
@@ -169,7 +169,7 @@
         for size, frames, sent, mean, most in pool.map(load_of, sizes):
             print(
                 f"{size:>8}{frames:>10.2f}{sent:>10.0f}{mean:>18.1f}{most:>10.1f}"
-                f"{Settings().word_bound(size) / 1e9:>8.1f}",
+                f"{Settings().max_observation_age(size) / 1e9:>8.1f}",
                 flush=True,
             )
 
@@ -209,7 +209,7 @@
     )
 
 
-def _listened(size: int, seed: int, most: int) -> tuple[World, Members, list[bytes]]:
+def _listened(size: int, seed: int, most: int) -> tuple[World, Membership, list[bytes]]:
     """A fleet, one member of it, and frames that it has taken."""
     heard: list[bytes] = []
 
@@ -230,11 +230,11 @@
     world, members, heard = _listened(50, 1, 200)
 
     def state() -> tuple[object, ...]:
-        return tuple(members.table.claims()), members.own.claim, members.view, members.condition, members.joined
+        return tuple(members.table.claims()), members.local.claim, members.view, members.condition, members.joined
 
     before = state()
     took, causes, counts = Counter[str](), Counter[str](), Counter[str]()
-    earlier = members.figures.refused.copy()
+    earlier = members.counters.refused.copy()
     changes = 0
     for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), number):
         counts[kind] += 1
@@ -250,7 +250,7 @@
         if counts[kind] % 100 == 0:
             changes += state() != before
     changes += state() != before
-    told = members.figures.refused - earlier
+    told = members.counters.refused - earlier
     print(
         f"{number} frames, no exception, {changes} changes of state\nrefused by the codec: {causes.total()} ("
         f"{', '.join(f'{cause} {count}' for cause, count in causes.most_common())})\nby the member: {told.total()} ("
@@ -263,14 +263,14 @@
         print(f"{kind:<26}{cost:>8.1f}{cost / taking:>9.2f}")
 
 
-def _taking(world: World, members: Members) -> float:
+def _taking(world: World, members: Membership) -> float:
     """What a question of a member costs that is taken and answered (microseconds)."""
     other = world.nodes["n2"].members
     assert other is not None
     frames = [
         world.codec.encode(
             fr.Ping(
-                sender=other.own.claim,
+                sender=other.local.claim,
                 sequence=other.outgoing.sequence + 1000 + number,
                 number=number,
                 summary=fr.Summary(other.view, other.count),
@@ -281,7 +281,7 @@
     ]
     began = time.perf_counter_ns()
     for data in frames:
-        for effect in members.receive(world.now, world.codec.decode(data), other.own.claim.place):
-            if isinstance(effect, Tell):
+        for effect in members.receive(world.now, world.codec.decode(data), other.local.claim.address):
+            if isinstance(effect, SendFrame):
                 world.codec.encode(effect.frame, effect.version)
     return (time.perf_counter_ns() - began) / 1000 / len(frames)
--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -32,9 +32,9 @@
     Session,
     WriteRecords,
 )
-from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
-from garnetrelay.operators.front import Front
+from garnetrelay.fleet.members.claims import SocketAddress
+from garnetrelay.operators.commands import CommandRefusedError
+from garnetrelay.operators.listener import OperatorListener
 
 log = logging.getLogger(__name__)
 
@@ -54,11 +54,11 @@
         self._finished = asyncio.Event()
         self._fatal_error: Exception | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._sources: dict[Session, Place] = {}  # by age of the latest request, the newest last
+        self._sources: dict[Session, SocketAddress] = {}  # by age of the latest request, the newest last
         self._pending_writes: list[WriteRecords] = []  # that wait for the write in progress
         self._write_task: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
-        self._front: Front | None = None
+        self._front: OperatorListener | None = None
 
     async def run(self) -> None:
         """Serves until SIGTERM or SIGINT; raises RecordsError or OSError if the controller can't start or continue."""
@@ -78,7 +78,7 @@
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
         place = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = Front(OperatorCommands(self))
+            self._front = OperatorListener(OperatorCommands(self))
             await self._front.start(config.operators)
         if self.records.truncated_bytes:
             log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
@@ -91,7 +91,7 @@
             stored_records is None,
             self.records.previous_lease,
         )
-        log.info("controller %d of %d hears at %s", config.number, len(config.places), place)
+        log.info("controller %d of %d hears at %s", config.number, len(config.addresses), place)
         self._tick()
 
     async def _end(self) -> None:
@@ -117,7 +117,7 @@
 
     # ---- events
 
-    def _on_message(self, message: Message, source: Place) -> None:
+    def _on_message(self, message: Message, source: SocketAddress) -> None:
         if self.controller is None:
             return
         if isinstance(message, Answer):  # from another controller, to a relay that used this address earlier
@@ -128,7 +128,7 @@
             self._remember_source(message.session, source)
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
 
-    def _remember_source(self, session: Session, source: Place) -> None:
+    def _remember_source(self, session: Session, source: SocketAddress) -> None:
         self._sources.pop(session, None)
         self._sources[session] = source
         if len(self._sources) > MAX_SESSIONS:
@@ -142,7 +142,7 @@
         for effect in effects:
             match effect:
                 case SendToController(number, message):
-                    self.datagrams.send(self.config.places[number], message)
+                    self.datagrams.send(self.config.addresses[number], message)
                 case SendToRelay(session, answer):
                     self.metrics.count_answer(answer)
                     if (place := self._sources.get(session)) is not None:
@@ -207,9 +207,9 @@
         """Raises CallRefusedError unless the controller grants partitions."""
         controller = self._process.controller
         if controller is None or not controller.ready:
-            raise CallRefusedError("the controller does not grant partitions yet")
+            raise CommandRefusedError("the controller does not grant partitions yet")
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """Returns the controller's metrics, one line each."""
         return metrics_text(
             self._process.metrics, self._process.controller, self._process.datagrams, self._process.records
@@ -217,8 +217,8 @@
 
     def fleet(self, words: list[str]) -> str:
         """Always refused: a controller has no view of the members."""
-        raise CallRefusedError("this is a controller: ask a relay")
+        raise CommandRefusedError("this is a controller: ask a relay")
 
     def exclude(self, host: str, out: bool) -> None:
         """Always refused: a controller calls no hosts."""
-        raise CallRefusedError("this is a controller: it calls no hosts")
+        raise CommandRefusedError("this is a controller: it calls no hosts")
--- a/garnetrelay/fleet/controller/records_file.py
+++ b/garnetrelay/fleet/controller/records_file.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from garnetrelay.fleet.leases.messages import Record
-from garnetrelay.store.storage import Folder, FolderTakenError
+from garnetrelay.store.storage import Folder, FolderLockedError
 
 FILE_NAME = "grants"
 MAGIC = b"GRLEASES"
@@ -73,7 +73,7 @@
                 raise RecordsError(f"{self.path}: there is one already: a file of records is initialized only once")
             self._create({})
         finally:
-            self._folder.release()
+            self._folder.unlock()
 
     def open(self) -> list[Record] | None:
         """Locks the folder and returns the latest record of each partition, or None if there is no file.
@@ -84,7 +84,7 @@
         try:
             return self._read()
         except BaseException:
-            self._folder.release()
+            self._folder.unlock()
             raise
 
     def append(self, records: Iterable[Record]) -> None:
@@ -106,13 +106,13 @@
 
     def close(self) -> None:
         """Releases the lock on the folder."""
-        self._folder.release()
+        self._folder.unlock()
 
     def _lock_folder(self) -> None:
         self._folder.path.mkdir(parents=True, exist_ok=True)
         try:
-            self._folder.claim()
-        except FolderTakenError:
+            self._folder.lock()
+        except FolderLockedError:
             raise RecordsError(f"{self._folder.path}: another controller works on this folder") from None
 
     def _read(self) -> list[Record] | None:
--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -10,7 +10,7 @@
 
 from garnetrelay.fleet.leases.codec import MAX_DATAGRAM_BYTES, Codec
 from garnetrelay.fleet.leases.messages import Message
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.signing import FrameRefusedError
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 )
 RECEIVE_BUFFER_BYTES = 1 << 20  # of the kernel's socket buffer: covers 1,000 relays that send at once
 
-MessageHandler = Callable[[Message, Place], None]
+MessageHandler = Callable[[Message, SocketAddress], None]
 
 
 class DatagramEndpoint:
@@ -37,7 +37,7 @@
         self._rate_second = 0
         self._received_in_second = 0
 
-    def start(self, listen: Place) -> Place:
+    def start(self, listen: SocketAddress) -> SocketAddress:
         """Binds the socket and returns its address; raises OSError if the address can't be bound."""
         new_socket = socket.socket(socket.AF_INET6 if ":" in listen.host else socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -49,7 +49,7 @@
         new_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._socket = new_socket
         self._loop.add_reader(new_socket, self._on_readable)
-        return Place(*new_socket.getsockname()[:2])
+        return SocketAddress(*new_socket.getsockname()[:2])
 
     def close(self) -> None:
         """Closes the socket; its address is free at once."""
@@ -58,7 +58,7 @@
             self._socket.close()
             self._socket = None
 
-    def send(self, place: Place, message: Message) -> None:
+    def send(self, place: SocketAddress, message: Message) -> None:
         """Sends a message. One that can't be sent now is lost, like any datagram that is lost in the network."""
         if self._socket is None:
             return
@@ -83,9 +83,9 @@
             except OSError as error:  # an ICMP error for a datagram that was sent earlier is reported here
                 log.debug("leases: %s", error)
                 continue
-            self._process(data, Place(*source[:2]))
+            self._process(data, SocketAddress(*source[:2]))
 
-    def _process(self, data: bytes, source: Place) -> None:
+    def _process(self, data: bytes, source: SocketAddress) -> None:
         self.received += 1
         self.bytes_in += len(data)
         if self._rate_exceeded():
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.messages import Answer, HolderEffect, LogLine, SendToController, Session
-from garnetrelay.fleet.members.claims import Place
+from garnetrelay.fleet.members.claims import SocketAddress
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.partitions.assignment import NO_OWNER, Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
@@ -40,7 +40,7 @@
         """A number that changes whenever the set of members does."""
         ...
 
-    def view_of_members(self) -> FleetView:
+    def fleet_view(self) -> FleetView:
         """Returns the members, and how reliable that view is."""
         ...
 
@@ -54,7 +54,7 @@
         name: str,
         shared_secrets: list[bytes],
         members: Membership,
-        send: Callable[[Place, bytes], bool],
+        send: Callable[[SocketAddress, bytes], bool],
     ) -> None:
         """``send`` sends a datagram and returns whether that succeeded."""
         self.config = config
@@ -79,7 +79,7 @@
 
     def start(self) -> None:
         """Contacts the controllers. Partitions are requested once there is a reliable view of the members."""
-        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.places))
+        log.info("leases: session %d, %d controllers", self.session.number, len(self.config.addresses))
         self._carry_out(self.holder.set_assigned(clock.now(), ()))
         self.on_view_change()
 
@@ -91,7 +91,7 @@
         """
         if self._closed or self._assigning is not None or self._members.view == self._assigned_view:
             return
-        view = self._members.view_of_members()
+        view = self._members.fleet_view()
         if view.relies.count:
             self._assigning = self._loop.create_task(self._assign(view))
 
@@ -150,7 +150,7 @@
 
     # ---- events
 
-    def receive(self, data: bytes, source: Place) -> None:
+    def receive(self, data: bytes, source: SocketAddress) -> None:
         """Handles a datagram of the lease protocol."""
         self.datagrams_in += 1
         self.bytes_in += len(data)
@@ -182,7 +182,7 @@
             match effect:
                 case SendToController(number, message):
                     data = self.codec.encode(message)
-                    if self._send(self.config.places[number], data):
+                    if self._send(self.config.addresses[number], data):
                         self.datagrams_out += 1
                         self.bytes_out += len(data)
                 case LogLine(text, level):
--- a/garnetrelay/store/compaction.py
+++ b/garnetrelay/store/compaction.py
@@ -1,7 +1,7 @@
 """Room on the disk: what counts in old segments is written anew behind, in small steps between turns, then they go.
 
 The second layer of a store (see segment_log.py). Owned here: the segment that is being cleaned, messages whose
-doubt no record says yet, and the way back from a failed write. ``cleaning.py`` decides when and which. Guards
+doubt no record says yet, and the way back from a failed write. ``compaction_policy.py`` decides when and which. Guards
 against a full disk: records of new messages leave some segments free for it.
 """
 
@@ -9,9 +9,9 @@
 
 import logging
 
-from garnetrelay.store import cleaning
+from garnetrelay.store import compaction_policy
 from garnetrelay.store import format as fmt
-from garnetrelay.store.reading import name_of
+from garnetrelay.store.reading import segment_name
 from garnetrelay.store.segment_log import SegmentLog
 from garnetrelay.store.storage import Storage, blocks
 
@@ -19,7 +19,7 @@
 
 
 class CompactedLog(SegmentLog):
-    """A log that stays small: ``tend`` is its step between turns, ``busy`` whether another is wanted."""
+    """A log that stays small: ``maintain`` is its step between turns, ``needs_maintenance`` whether another is wanted."""
 
     def __init__(self, storage: Storage, disk_bytes: int, machine: bool) -> None:
         super().__init__(storage, disk_bytes, machine)
@@ -30,7 +30,7 @@
 
     def _note(self, data: bytes, ref: str) -> int:
         """Keep a record until the next flush, in the segment that has room for it; its size."""
-        if self.broken:
+        if self.write_failed:
             self._touched.append(ref)
             return len(data)
         active = self._active
@@ -44,36 +44,36 @@
         self._active.records += 1
         return len(data)
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """A small step, between turns: what could not be written first, then compaction."""
-        if self.broken:
+        if self.write_failed:
             self._revive()
             return
         appended, self._appended = self._appended, 0
         if self._doubted:
-            self._say_doubts(cleaning.STEP_MESSAGES)
+            self._say_doubts(compaction_policy.STEP_MESSAGES)
         if self._victim is None:
-            if not cleaning.wanted(self.sizes, self.used, self.index.live):
+            if not compaction_policy.wanted(self.sizes, self.used, self.index.live):
                 return
             self._victim = self._next_victim()
         if self._victim is not None:
-            self._clean(self._victim, cleaning.step_bytes(appended), cleaning.STEP_MESSAGES)
+            self._clean(self._victim, compaction_policy.step_bytes(appended), compaction_policy.STEP_MESSAGES)
 
     @property
-    def busy(self) -> bool:
-        """Whether ``tend`` has more to do."""
-        return self.broken or self._victim is not None or bool(self._doubted)
+    def needs_maintenance(self) -> bool:
+        """Whether ``maintain`` has more to do."""
+        return self.write_failed or self._victim is not None or bool(self._doubted)
 
     def _next_victim(self) -> int | None:
         kept = self._tainted if self._doubted else set()
-        return cleaning.next_victim(
+        return compaction_policy.next_victim(
             (segment for number, segment in self.index.segments.items() if number not in kept), self._active.number
         )
 
     def _say_doubts(self, most: int) -> None:
         """Damage makes messages uncertain that have no record in the damaged segment. Once it is gone nothing would
         say so any more: write them anew first."""
-        while self._doubted and most > 0 and not self.broken:
+        while self._doubted and most > 0 and not self.write_failed:
             if self.used + self.sizes.segment > self.sizes.pressing:
                 return  # cleaning comes first; it writes them anew too
             ref = next(iter(self._doubted))
@@ -85,8 +85,8 @@
 
     def _make_room(self) -> None:
         """The disk is nearly full: clean until there is room again. Bounded, as what is live is at most half."""
-        for _ in range(2 * cleaning.PARTS):
-            if self.broken or self.used + self.sizes.segment < self.sizes.pressing:
+        for _ in range(2 * compaction_policy.PARTS):
+            if self.write_failed or self.used + self.sizes.segment < self.sizes.pressing:
                 return
             victim = self._victim
             if victim is None:
@@ -100,7 +100,7 @@
         segment = self.index.segments[number]
         written = 0
         while segment.entries or segment.tombs:
-            if self.broken:
+            if self.write_failed:
                 self._victim = None
                 return
             if written >= most_bytes or most_messages <= 0:
@@ -113,7 +113,7 @@
                 written += self._copy_tomb(next(iter(segment.tombs)))
         self._victim = None
         # The old file may go only once what was copied out of it is on record.
-        self.on_record(lambda recorded: self._remove(number) if recorded else None)
+        self.when_recorded(lambda recorded: self._remove(number) if recorded else None)
 
     def _copy_entry(self, ref: str) -> int:
         entry = self.entries[ref]
@@ -141,7 +141,7 @@
         if segment is None or not segment.size or segment.entries or segment.tombs:
             return  # gone already, or something came to count in it again
         try:
-            self.storage.remove(name_of(number))
+            self.storage.remove(segment_name(number))
         except OSError as error:
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
             return
@@ -169,9 +169,9 @@
     def _revive(self) -> None:
         """Something could not be put on record: try again with the messages that it was about, whole."""
         self._give_up_pending()
-        self.broken = False
+        self.write_failed = False
         if (self._handle is None or self._spoilt and not self._mended()) and not self._begin():
-            self.broken = True
+            self.write_failed = True
             return
         pieces: list[tuple[str, bytes]] = []
         for ref in self.failed:
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -19,8 +19,8 @@
 from garnetrelay.fleet.lease_datagrams import DatagramEndpoint
 from garnetrelay.fleet.leases.codec import Codec
 from garnetrelay.fleet.leases.messages import Acquire, Answer, Grant, Message, Record, Renew, Session
-from garnetrelay.fleet.members.claims import Place
-from garnetrelay.operators.calls import CallRefusedError
+from garnetrelay.fleet.members.claims import SocketAddress
+from garnetrelay.operators.commands import CommandRefusedError
 from tests.sockets import until
 
 PATIENCE = 20.0
@@ -28,12 +28,12 @@
 SESSION = Session("r1", 77)
 
 
-def free_addresses(count: int) -> list[Place]:
+def free_addresses(count: int) -> list[SocketAddress]:
     """Returns addresses with ports that the kernel chose."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
-    places = [Place(*each.getsockname()) for each in sockets]
+    places = [SocketAddress(*each.getsockname()) for each in sockets]
     for each in sockets:
         each.close()
     return places
@@ -64,10 +64,10 @@
     def __init__(self) -> None:
         self.answers: asyncio.Queue[Message] = asyncio.Queue()
         self.datagrams = DatagramEndpoint(Codec([SECRET]), lambda message, source: self.answers.put_nowait(message))
-        self.datagrams.start(Place("127.0.0.1", 0))
+        self.datagrams.start(SocketAddress("127.0.0.1", 0))
         self.number = 0
 
-    async def request(self, place: Place, message: Message) -> Answer:
+    async def request(self, place: SocketAddress, message: Message) -> Answer:
         self.datagrams.send(place, message)
         async with asyncio.timeout(PATIENCE):
             answer = await self.answers.get()
@@ -77,7 +77,7 @@
     async def acquire(self, process: ControllerProcess, *grants: Grant) -> Answer:
         self.number += 1
         fingerprint = process.config.settings.fingerprint
-        place = process.config.places[process.config.number]
+        place = process.config.addresses[process.config.number]
         return await self.request(place, Acquire(SESSION, self.number, 0, fingerprint, list(grants)))
 
 
@@ -143,7 +143,7 @@
         answer = await cluster.client.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("answered")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "answered"]
-        figures = OperatorCommands(first).figures()
+        figures = OperatorCommands(first).metrics()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
             assert f"controller_{line}\n" in figures
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
@@ -161,7 +161,7 @@
             answer = await cluster.client.acquire(first, Grant(3, 1))
             assert not answer.granted and [refusal.partition for refusal in answer.refused] == [3]
             assert any("records not written: No space left on device" in line for line in cluster.log.lines)
-            assert "controller_writes_failed 1\n" in OperatorCommands(first).figures()
+            assert "controller_writes_failed 1\n" in OperatorCommands(first).metrics()
         assert (await cluster.client.acquire(first, Grant(3, 2))).granted == [Grant(3, 2)]
     assert on_disk(first) == [Record(3, 2, "r1", 77)]
 
@@ -174,7 +174,7 @@
         first = cluster.processes[0]
         monkeypatch.setattr("garnetrelay.store.storage.Folder.cut", fails)
         cluster.client.datagrams.send(
-            first.config.places[0], Acquire(SESSION, 1, 0, first.config.settings.fingerprint, [Grant(3, 1)])
+            first.config.addresses[0], Acquire(SESSION, 1, 0, first.config.settings.fingerprint, [Grant(3, 1)])
         )
         async with asyncio.timeout(PATIENCE):
             await asyncio.wait([cluster.tasks[0]])
@@ -186,7 +186,7 @@
 async def test_invalid_messages_are_counted_and_change_nothing(tmp_path: Path) -> None:
     async with running(tmp_path) as cluster:
         first = cluster.processes[0]
-        place, fingerprint = first.config.places[0], first.config.settings.fingerprint
+        place, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
         cluster.client.datagrams.send(place, Answer(1, 2, 3, True, True, [], []))
         cluster.client.datagrams.codec = Codec([b"a secret of somebody else"])
         cluster.client.datagrams.send(place, Acquire(SESSION, 1, 0, fingerprint, [Grant(3, 1)]))
@@ -201,9 +201,9 @@
         assert answer.accepted
         commands = OperatorCommands(first)
         commands.health()
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             commands.fleet(["MEMBERS"])
-        with pytest.raises(CallRefusedError):
+        with pytest.raises(CommandRefusedError):
             commands.exclude("s-1", True)
 
 
@@ -220,7 +220,7 @@
     monkeypatch.setattr(RecordsFile, "append", delayed_append)
     async with running(tmp_path) as cluster:
         first = cluster.processes[0]
-        place, fingerprint = first.config.places[0], first.config.settings.fingerprint
+        place, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
         for partition in range(8):
             message = Acquire(Session(f"r{partition}", 1), 1, 0, fingerprint, [Grant(partition, 1)])
             cluster.client.datagrams.send(place, message)
--- a/tests/fleet/leases/test_lease_codec.py
+++ b/tests/fleet/leases/test_lease_codec.py
@@ -30,9 +30,9 @@
     Session,
 )
 from garnetrelay.fleet.members import frames as fr
-from garnetrelay.fleet.members.claims import MOST_NAME
+from garnetrelay.fleet.members.claims import MAX_NAME_BYTES
 from garnetrelay.fleet.partitions.hashing import MAX_PARTITIONS
-from garnetrelay.fleet.signing import HEAD, FrameRefusedError
+from garnetrelay.fleet.signing import HEADER_BYTES, FrameRefusedError
 
 SECRET, OTHER = b"the secret of the tests", b"a secret of somebody else"
 SESSION = Session("relay-7", (1 << 62) - 1)
@@ -77,11 +77,13 @@
     assert cause(codec, b"GL" + members.sign(body, VERSION)[2:]) == "secret"
 
 
-LONGEST = Session("n" * MOST_NAME, (1 << 62) - 1)
+LONGEST = Session("n" * MAX_NAME_BYTES, (1 << 62) - 1)
 MAX_NUMBER = (1 << 62) - 1
 MAX_SIZE_GRANTS = [Grant(MAX_PARTITIONS - 1, MAX_EPOCH)] * MAX_GRANTS
 MAX_SIZE_REFUSALS = [Refusal(MAX_PARTITIONS - 1, MAX_EPOCH, (1 << 50) - 1)] * MAX_GRANTS
-SHORT_RECORD, LONG_RECORD = (Record(MAX_PARTITIONS - 1, MAX_EPOCH, "n" * size, MAX_NUMBER) for size in (1, MOST_NAME))
+SHORT_RECORD, LONG_RECORD = (
+    Record(MAX_PARTITIONS - 1, MAX_EPOCH, "n" * size, MAX_NUMBER) for size in (1, MAX_NAME_BYTES)
+)
 
 
 @pytest.mark.parametrize(
@@ -114,7 +116,7 @@
 
     def out_of_bounds() -> bytes:
         """Returns a valid message with one field replaced by a value out of bounds."""
-        fields: list[Any] = msgspec.msgpack.decode(draw.choice(valid)[HEAD:])
+        fields: list[Any] = msgspec.msgpack.decode(draw.choice(valid)[HEADER_BYTES:])
         position = draw.randrange(len(fields))
         fields[position] = draw.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MAX_GRANTS + 1), None, 1.5, {}])
         return codec.sign(msgspec.msgpack.encode(fields), VERSION)
@@ -130,8 +132,8 @@
         yield "cut short", data[: draw.randrange(len(data))]
         yield "longer", data + draw.randbytes(draw.randint(1, 9))
         yield "noise", draw.randbytes(draw.randrange(1300))
-        yield "another secret", Codec([OTHER]).sign(data[HEAD:], VERSION)
-        yield "a later version", codec.sign(data[HEAD:], draw.randint(2, 255))
+        yield "another secret", Codec([OTHER]).sign(data[HEADER_BYTES:], VERSION)
+        yield "a later version", codec.sign(data[HEADER_BYTES:], draw.randint(2, 255))
         yield "noise, signed", codec.sign(draw.randbytes(draw.randint(1, 1100)), VERSION)
         yield "nested, signed", codec.sign(b"\x91" * 1100, VERSION)
         yield "a huge count, signed", codec.sign(b"\xdd" + struct.pack(">I", draw.randrange(1 << 31, 1 << 32)), VERSION)
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -15,12 +15,12 @@
 import pytest
 
 from garnetrelay.fleet.members.claims import Status
-from garnetrelay.fleet.members.condition import Condition
-from garnetrelay.fleet.members.effects import Note
-from garnetrelay.fleet.members.holding import Holding
-from garnetrelay.fleet.members.protocol import Members
+from garnetrelay.fleet.members.effects import LogLine
+from garnetrelay.fleet.members.local_view import LocalView
+from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
+from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.schedules import KINDS, Schedule, drawn, play
 from garnetrelay.laboratory.world import World
@@ -57,21 +57,21 @@
 
 
 def test_without_knocks_on_seeds_that_left_views_stay_apart(monkeypatch: pytest.MonkeyPatch) -> None:
-    knock = Members._knock
+    knock = Membership._knock
 
-    def planted(members: Members, now: int) -> None:
-        left = {member.claim.place for member in members.table if member.claim.status is Status.LEFT}
+    def planted(members: Membership, now: int) -> None:
+        left = {member.claim.address for member in members.table if member.claim.status is Status.LEFT}
         seeds, members.seeds = members.seeds, [seed for seed in members.seeds if seed not in left]
         knock(members, now)
         members.seeds = seeds
 
-    monkeypatch.setattr(Members, "_knock", planted)
+    monkeypatch.setattr(Membership, "_knock", planted)
     assert play(kept("leaving-10-17")).one_view_ms is None
 
 
 def test_who_judges_while_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    judge = Holding.judge
-    monkeypatch.setattr(Holding, "judge", lambda holding, now, answered_at: judge(holding, now, now))
+    judge = LocalView.judge
+    monkeypatch.setattr(LocalView, "judge", lambda local_view, now, answered_at: judge(local_view, now, now))
     assert any("alone, and judges" in problem for problem in play(drawn("one alone", 2, 7)).problems)
 
 
@@ -89,7 +89,7 @@
     return world
 
 
-def members(world: World, name: str) -> Members:
+def members(world: World, name: str) -> Membership:
     found = world.nodes[name].members
     assert found is not None
     return found
@@ -109,21 +109,21 @@
         "in the new word": [moved.judged(Status.SUSPECT, "n3"), again],
     }
     for word in words[suspected]:
-        member.holding.hear(world.now, word)
-    notes = [effect.text for effect in member._effects if isinstance(effect, Note)]
+        member.local_view.hear(world.now, word)
+    notes = [effect.text for effect in member._effects if isinstance(effect, LogLine)]
     assert sum("zone 3" in note for note in notes) == 1
 
 
 def test_zones_are_known_to_all_and_leave_the_view_with_their_members() -> None:
     world = gathered(5, zones=lambda number: number % 3)
     expected = {"n1": 1, "n2": 2, "n3": 0, "n4": 1, "n5": 2}
-    views = [members(world, name).view_of_members() for name in world.nodes]
+    views = [members(world, name).fleet_view() for name in world.nodes]
     assert all(view.zones == expected for view in views) and len({view.view for view in views}) == 1
     assert all(view.condition is Condition.SETTLED and view.relies.grow for view in views)
     world.kill("n2")
     assert world.run(world.now + 60 * SECOND, world.one_view)
     del expected["n2"]
-    views = [members(world, name).view_of_members() for name in expected]
+    views = [members(world, name).fleet_view() for name in expected]
     assert all(view.zones == expected and not view.relies.grow for view in views)
 
 
@@ -152,9 +152,9 @@
     cut_at = world.now
     assert world.run(cut_at + 60 * SECOND, lambda: members(world, "n1").condition is Condition.ALONE)
     one = members(world, "n1")
-    assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_every
+    assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_interval
     world.run(cut_at + 60 * SECOND)
-    assert one.holding.figures.failed == 0 and len(one.table.members) == 4
+    assert one.local_view.counters.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
     world.links.drop("cut")
     assert world.run(world.now + 60 * SECOND, world.one_view)
@@ -173,7 +173,7 @@
             ages = [found.age(name, world.now) for name in found.table.members]
             worst = max([worst, *(age for age in ages if age is not None)])
             assert None not in ages
-    assert 0 < worst <= Settings().word_bound(12)
+    assert 0 < worst <= Settings().max_observation_age(12)
 
 
 def test_a_fleet_of_two_whose_other_half_dies_is_alone_and_finds_it_again() -> None:
@@ -195,10 +195,10 @@
     world.kill("n4")
     assert world.run(world.now + 60 * SECOND, world.one_view)
     world.start("n4", folder=world.nodes["n3"].life, called="n3")
-    assert world.run(world.now + 60 * SECOND, lambda: not first.own.named)
+    assert world.run(world.now + 60 * SECOND, lambda: not first.local.active)
     held = members(world, "n1").table.members["n3"].claim
-    assert held.place == twin and held.life == 2 and first.own.aside is not None
-    assert first.condition is Condition.JOINING and not first.holding.suspect(0, "n1", held.identity, "")
+    assert held.address == twin and held.life == 2 and first.local.aside is not None
+    assert first.condition is Condition.JOINING and not first.local_view.suspect(0, "n1", held.identity, "")
 
 
 def test_a_play_is_the_same_in_any_process() -> None:
