--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -58,7 +58,7 @@
         self._pending_writes: list[WriteRecords] = []  # that wait for the write in progress
         self._write_task: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
-        self._front: OperatorListener | None = None
+        self._operator_listener: OperatorListener | None = None
 
     async def run(self) -> None:
         """Serves until SIGTERM or SIGINT; raises RecordsError or OSError if the controller can't start or continue."""
@@ -76,10 +76,10 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._finished.set)
         self._loop.add_signal_handler(signal.SIGHUP, self.read_secrets)
-        place = self.datagrams.start(config.listen)
+        address = self.datagrams.start(config.listen)
         if config.operators is not None:
-            self._front = OperatorListener(OperatorCommands(self))
-            await self._front.start(config.operators)
+            self._operator_listener = OperatorListener(OperatorCommands(self))
+            await self._operator_listener.start(config.operators)
         if self.records.truncated_bytes:
             log.warning("controller: a torn write of %d bytes was cut", self.records.truncated_bytes)
         self.controller = Controller(
@@ -91,15 +91,15 @@
             stored_records is None,
             self.records.previous_lease,
         )
-        log.info("controller %d of %d hears at %s", config.number, len(config.addresses), place)
+        log.info("controller %d of %d hears at %s", config.number, len(config.addresses), address)
         self._tick()
 
     async def _end(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self.datagrams.close()
-        if self._front is not None:
-            self._front.close()
+        if self._operator_listener is not None:
+            self._operator_listener.close()
         if self._write_task is not None:
             await asyncio.wait([self._write_task])  # the write in progress must end before the folder is released
         self._thread.shutdown()
@@ -145,8 +145,8 @@
                     self.datagrams.send(self.config.addresses[number], message)
                 case SendToRelay(session, answer):
                     self.metrics.count_answer(answer)
-                    if (place := self._sources.get(session)) is not None:
-                        self.datagrams.send(place, answer)
+                    if (address := self._sources.get(session)) is not None:
+                        self.datagrams.send(address, answer)
                 case WriteRecords():
                     self._pending_writes.append(effect)
                 case LogLine(text, level):
--- a/garnetrelay/fleet/lease_datagrams.py
+++ b/garnetrelay/fleet/lease_datagrams.py
@@ -16,9 +16,7 @@
 log = logging.getLogger(__name__)
 
 MAX_DATAGRAMS_PER_WAKEUP = 64  # read each time the socket becomes readable
-MAX_DATAGRAMS_PER_SECOND = (
-    10_000  # covers 1,000 relays that each request all of their partitions five times, with a margin
-)
+MAX_DATAGRAMS_PER_SECOND = 10_000  # covers 1,000 relays that request all their partitions five times, with a margin
 RECEIVE_BUFFER_BYTES = 1 << 20  # of the kernel's socket buffer: covers 1,000 relays that send at once
 
 MessageHandler = Callable[[Message, SocketAddress], None]
@@ -58,16 +56,16 @@
             self._socket.close()
             self._socket = None
 
-    def send(self, place: SocketAddress, message: Message) -> None:
+    def send(self, address: SocketAddress, message: Message) -> None:
         """Sends a message. One that can't be sent now is lost, like any datagram that is lost in the network."""
         if self._socket is None:
             return
         data = self.codec.encode(message)
         try:
-            self._socket.sendto(data, place)
+            self._socket.sendto(data, address)
         except OSError as error:
             self.refused["not sent"] += 1
-            log.debug("leases: to %s: %s", place, error)
+            log.debug("leases: to %s: %s", address, error)
             return
         self.sent += 1
         self.bytes_out += len(data)
--- a/garnetrelay/fleet/lease_service.py
+++ b/garnetrelay/fleet/lease_service.py
@@ -118,13 +118,13 @@
 
     def ownership(self, destination: int) -> Ownership | None:
         """Returns in which epoch this relay owns a destination now, and until when; None if it does not own it."""
-        found = self.holder.ownership(self.partition(destination), clock.now())
-        return None if found is None else Ownership(found.epoch, found.until)
+        ownership = self.holder.ownership(self.partition(destination), clock.now())
+        return None if ownership is None else Ownership(ownership.epoch, ownership.until)
 
     def still_owned(self, destination: int, epoch: int) -> bool:
         """Returns whether this relay still owns a destination in this epoch; if not, counts the attempt as fenced."""
-        found = self.ownership(destination)
-        if found is not None and found.epoch == epoch:
+        ownership = self.ownership(destination)
+        if ownership is not None and ownership.epoch == epoch:
             return True
         self.fenced += 1
         now = clock.now()
--- a/garnetrelay/fleet/lease_status.py
+++ b/garnetrelay/fleet/lease_status.py
@@ -74,20 +74,22 @@
 def destination(leases: LeaseService, number: int, now: int) -> DestinationLine:
     """Returns the line of one destination."""
     partition = leases.partition(number)
-    found = leases.holder.ownership(partition, now)
+    ownership = leases.holder.ownership(partition, now)
     should_own = leases.assigned_relay(partition)
-    if found is None:
+    if ownership is None:
         return DestinationLine(number, partition, should_own)
-    return DestinationLine(number, partition, should_own, found.epoch, found.until, round((found.until - now) / 1e9, 3))
+    return DestinationLine(
+        number, partition, should_own, ownership.epoch, ownership.until, round((ownership.until - now) / 1e9, 3)
+    )
 
 
 def controllers(leases: LeaseService, now: int) -> Iterator[ControllerLine]:
     """Returns a line for each controller, by number."""
     reached = leases.holder.reached_controllers(now)
-    for link, place in zip(leases.holder.links, leases.config.addresses, strict=True):
+    for link, address in zip(leases.holder.links, leases.config.addresses, strict=True):
         yield ControllerLine(
             link.controller,
-            str(place),
+            str(address),
             None if link.accepted_at is None else round((now - link.accepted_at) / 1e9, 3),
             link.controller in reached,
             link.failures,
--- a/garnetrelay/fleet/leases/codec.py
+++ b/garnetrelay/fleet/leases/codec.py
@@ -1,8 +1,8 @@
 """Encodes lease messages as signed datagrams and decodes them. No I/O.
 
 The header is that of ``garnetrelay/fleet/signing.py`` with the magic "GL"; the body is a MessagePack array that begins
-with the message's tag. A datagram that can't be verified or decoded is dropped whole, and the error names the cause in
-one word. The codec does not detect replayed requests: requests are numbered, and the controller rejects old numbers.
+with the message's tag. A datagram that can't be verified or decoded is dropped entirely, and the error names the cause
+in one word. The codec does not detect replayed requests: requests are numbered, and the controller ignores old numbers.
 """
 
 from __future__ import annotations
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -55,8 +55,8 @@
 def shared_options(fleet: Fleet) -> str:
     """Returns the options on which relays and controllers must agree."""
     assert isinstance(fleet, Cluster)
-    places = [fleet.network.outer(name) for name in fleet.controllers]
-    return f"controllers = {json.dumps(places)}\npartitions = {PARTITIONS}\nlease_ms = {LEASE_MS}\n"
+    addresses = [fleet.network.outer(name) for name in fleet.controllers]
+    return f"controllers = {json.dumps(addresses)}\npartitions = {PARTITIONS}\nlease_ms = {LEASE_MS}\n"
 
 
 class Cluster(Fleet):
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -33,10 +33,10 @@
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
-    places = [SocketAddress(*each.getsockname()) for each in sockets]
+    addresses = [SocketAddress(*each.getsockname()) for each in sockets]
     for each in sockets:
         each.close()
-    return places
+    return addresses
 
 
 class Log(logging.Handler):
@@ -67,8 +67,8 @@
         self.datagrams.start(SocketAddress("127.0.0.1", 0))
         self.number = 0
 
-    async def request(self, place: SocketAddress, message: Message) -> Answer:
-        self.datagrams.send(place, message)
+    async def request(self, address: SocketAddress, message: Message) -> Answer:
+        self.datagrams.send(address, message)
         async with asyncio.timeout(PATIENCE):
             answer = await self.answers.get()
         assert isinstance(answer, Answer)
@@ -77,8 +77,8 @@
     async def acquire(self, process: ControllerProcess, *grants: Grant) -> Answer:
         self.number += 1
         fingerprint = process.config.settings.fingerprint
-        place = process.config.addresses[process.config.number]
-        return await self.request(place, Acquire(SESSION, self.number, 0, fingerprint, list(grants)))
+        address = process.config.addresses[process.config.number]
+        return await self.request(address, Acquire(SESSION, self.number, 0, fingerprint, list(grants)))
 
 
 class Controllers:
@@ -92,16 +92,16 @@
 
 @asynccontextmanager
 async def running(folder: Path) -> AsyncIterator[Controllers]:
-    places = free_addresses(3)
+    addresses = free_addresses(3)
     (folder / "secret").write_bytes(SECRET)
     log = Log()
     logging.getLogger("garnetrelay.fleet").addHandler(log)
     logging.getLogger("garnetrelay.fleet").setLevel(logging.INFO)
     processes = []
-    for number, place in enumerate(places):
+    for number, address in enumerate(addresses):
         path = folder / f"c{number}.toml"
         path.write_text(
-            f'number = {number}\nlisten = "{place}"\ncontrollers = {[str(each) for each in places]}\n'
+            f'number = {number}\nlisten = "{address}"\ncontrollers = {[str(each) for each in addresses]}\n'
             f'folder = "c{number}"\nsecret_file = "secret"\npartitions = 8\nlease_ms = 500\n'
         )
         config = options.read(path)
@@ -186,17 +186,17 @@
 async def test_invalid_messages_are_counted_and_change_nothing(tmp_path: Path) -> None:
     async with running(tmp_path) as cluster:
         first = cluster.processes[0]
-        place, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
-        cluster.client.datagrams.send(place, Answer(1, 2, 3, True, True, [], []))
+        address, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
+        cluster.client.datagrams.send(address, Answer(1, 2, 3, True, True, [], []))
         cluster.client.datagrams.codec = Codec([b"a secret of somebody else"])
-        cluster.client.datagrams.send(place, Acquire(SESSION, 1, 0, fingerprint, [Grant(3, 1)]))
+        cluster.client.datagrams.send(address, Acquire(SESSION, 1, 0, fingerprint, [Grant(3, 1)]))
         cluster.client.datagrams.codec = Codec([SECRET])
-        other = await cluster.client.request(place, Acquire(SESSION, 2, 0, fingerprint + 1, [Grant(3, 1)]))
+        other = await cluster.client.request(address, Acquire(SESSION, 2, 0, fingerprint + 1, [Grant(3, 1)]))
         assert not other.accepted and not other.granted
         assert any("has other controllers, partitions, lease or rate error" in line for line in cluster.log.lines)
         assert first.datagrams.refused == {"misdirected": 1, "secret": 1}
         answer = await cluster.client.request(
-            place, Renew(SESSION, 3, first.controller.boot if first.controller else 0, fingerprint, 0, 0)
+            address, Renew(SESSION, 3, first.controller.boot if first.controller else 0, fingerprint, 0, 0)
         )
         assert answer.accepted
         commands = OperatorCommands(first)
@@ -220,10 +220,10 @@
     monkeypatch.setattr(RecordsFile, "append", delayed_append)
     async with running(tmp_path) as cluster:
         first = cluster.processes[0]
-        place, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
+        address, fingerprint = first.config.addresses[0], first.config.settings.fingerprint
         for partition in range(8):
             message = Acquire(Session(f"r{partition}", 1), 1, 0, fingerprint, [Grant(partition, 1)])
-            cluster.client.datagrams.send(place, message)
+            cluster.client.datagrams.send(address, message)
             async with asyncio.timeout(PATIENCE):
                 await write_started.wait()
         await until(lambda: first.metrics.received["acquire"] == 8)
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).parents[3]
 SECRET = b"a secret of the tests"
 SETTINGS = Settings(controllers=3, partitions=16)
-PLACES = tuple(SocketAddress("10.0.0.1", number) for number in (1, 2, 3))
+ADDRESSES = tuple(SocketAddress("10.0.0.1", number) for number in (1, 2, 3))
 
 
 class FakeMembers:
@@ -63,18 +63,18 @@
             assert controller.ready
         self.members = members
         self.sent: list[tuple[SocketAddress, bytes]] = []
-        self.leases = service.LeaseService(LeasesConfig(PLACES, SETTINGS), "r1", [SECRET], members, self._send)
+        self.leases = service.LeaseService(LeasesConfig(ADDRESSES, SETTINGS), "r1", [SECRET], members, self._send)
 
-    def _send(self, place: SocketAddress, data: bytes) -> bool:
-        self.sent.append((place, data))
+    def _send(self, address: SocketAddress, data: bytes) -> bool:
+        self.sent.append((address, data))
         return True
 
     def deliver_all(self) -> None:
         """Delivers all messages in flight, and their answers."""
         while self.sent:
-            place, data = self.sent.pop(0)
+            address, data = self.sent.pop(0)
             if self.reachable:
-                self._answer(PLACES.index(place), data)
+                self._answer(ADDRESSES.index(address), data)
 
     def _answer(self, number: int, data: bytes) -> None:
         message = self.codec.decode(data)
@@ -86,7 +86,7 @@
             if isinstance(effect, WriteRecords):
                 effects += controller.written(self.now, effect.ticket)
             elif isinstance(effect, SendToRelay):
-                self.leases.receive(self.codec.encode(effect.message), PLACES[number])
+                self.leases.receive(self.codec.encode(effect.message), ADDRESSES[number])
 
     async def assigned(self) -> None:
         """Waits until the assignment for the current view is computed."""
@@ -206,9 +206,9 @@
 
 async def test_datagrams_that_are_no_answers_are_counted(network: FakeNetwork) -> None:
     await network.start_and_acquire()
-    network.leases.receive(network.codec.encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
-    network.leases.receive(Codec([b"a secret of somebody else"]).encode(ReadRecords(0, 1, 1, 0)), PLACES[0])
-    network.leases.receive(b"GLnoise", PLACES[0])
+    network.leases.receive(network.codec.encode(ReadRecords(0, 1, 1, 0)), ADDRESSES[0])
+    network.leases.receive(Codec([b"a secret of somebody else"]).encode(ReadRecords(0, 1, 1, 0)), ADDRESSES[0])
+    network.leases.receive(b"GLnoise", ADDRESSES[0])
     assert network.leases.refused == {"misdirected": 1, "secret": 1, "foreign": 1}
 
 
