--- a/garnetrelay/fleet/controller/process.py
+++ b/garnetrelay/fleet/controller/process.py
@@ -38,7 +38,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_SESSIONS = 4096  # addresses kept for answers: far more than the relays that send requests during one write
+MAX_SOURCE_ADDRESSES = 4096  # kept for answers: far more than the relays that send requests during one write
 
 
 class ControllerProcess:
@@ -54,7 +54,7 @@
         self._finished = asyncio.Event()
         self._fatal_error: Exception | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._sources: dict[Session, SocketAddress] = {}  # by age of the latest request, the newest last
+        self._source_addresses: dict[Session, SocketAddress] = {}  # by age of the latest request, the newest last
         self._pending_writes: list[WriteRecords] = []  # that wait for the write in progress
         self._write_task: asyncio.Task[None] | None = None
         self._thread = ThreadPoolExecutor(1, "records")
@@ -129,10 +129,10 @@
         self._carry_out(self.controller.receive(clock.now(), message, str(source)))
 
     def _remember_source(self, session: Session, source: SocketAddress) -> None:
-        self._sources.pop(session, None)
-        self._sources[session] = source
-        if len(self._sources) > MAX_SESSIONS:
-            del self._sources[next(iter(self._sources))]
+        self._source_addresses.pop(session, None)
+        self._source_addresses[session] = source
+        if len(self._source_addresses) > MAX_SOURCE_ADDRESSES:
+            del self._source_addresses[next(iter(self._source_addresses))]
 
     def _tick(self) -> None:
         if self.controller is not None:
@@ -145,7 +145,7 @@
                     self.datagrams.send(self.config.addresses[number], message)
                 case SendToRelay(session, answer):
                     self.metrics.count_answer(answer)
-                    if (address := self._sources.get(session)) is not None:
+                    if (address := self._source_addresses.get(session)) is not None:
                         self.datagrams.send(address, answer)
                 case WriteRecords():
                     self._pending_writes.append(effect)
--- a/garnetrelay/fleet/leases/link.py
+++ b/garnetrelay/fleet/leases/link.py
@@ -38,8 +38,8 @@
     controller: int
     session: Session
     fingerprint: int
-    boot: int = 0
-    number: int = 0
+    boot: int = 0  # random number of the controller's process; 0: not yet known
+    number: int = 0  # of the latest request
     request: Request | None = None
     send_at: int = 0  # earliest time of the next request
     renew_at: int = 0
--- a/garnetrelay/fleet/leases/settings.py
+++ b/garnetrelay/fleet/leases/settings.py
@@ -28,9 +28,8 @@
     lease: int = 15 * SECOND  # by the controller's clock, from when it receives a request
     rate_error: Fraction = Fraction(2, 100)  # how much any clock may run fast or slow at most
     renew_every: int = 4 * SECOND
-    write_margin: int = (
-        200 * MS
-    )  # an owner stops this long before its lease ends, to cover the time from the check to the first byte
+    # An owner stops this long before its lease ends, to cover the time from the check to the first byte.
+    write_margin: int = 200 * MS
     answer_timeout: int = SECOND
     request_gap: int = 50 * MS  # minimum between two requests to one controller
     first_retry: int = 500 * MS  # doubles up to ``max_retry``, with jitter
