--- a/tests/fleet/leases/explore.py
+++ b/tests/fleet/leases/explore.py
@@ -10,7 +10,7 @@
 one clock may be a step ahead and another a step behind.
 
 To reduce the number of states, the first of the controllers to which nothing has happened yet stands for all of them, and
-the first relay for both until one starts. All times that are past for good are equal.
+the first relay for both until one starts. All times that are past for passed are equal.
 
     python -m tests.fleet.leases.explore            # each injected fault with its shortest trace, and the other cases
 """
@@ -69,7 +69,7 @@
     bounds: Bounds  # what remains of them
 
 
-class BrokenError(Exception):
+class PropertyViolatedError(Exception):
     """A property is violated."""
 
 
@@ -115,12 +115,12 @@
                     if after not in came_from:
                         came_from[after] = (state, text)
                         queue.append(after)
-            except BrokenError as broken:
+            except PropertyViolatedError as violation:
                 trace, back = [text], came_from[state]
                 while back is not None:
                     trace.insert(0, back[1])
                     back = came_from[back[0]]
-                return str(broken), trace
+                return str(violation), trace
         return None
 
     # ---- components
@@ -452,7 +452,7 @@
             record = state.folders[controller][-1]
             same = record.epoch == grant.epoch and (record.relay, record.session) == session
             if not same and record.epoch <= grant.epoch:
-                raise BrokenError(f"C{controller} answers with a grant that is not on record")
+                raise PropertyViolatedError(f"C{controller} answers with a grant that is not on record")
 
     def check_state(self, state: State) -> State:
         """Checks that there is at most one owner, with a higher epoch than all earlier owners."""
@@ -462,11 +462,13 @@
             if epoch:
                 owners.append((epoch, self.components[relay].session))  # type: ignore[union-attr]
         if len(owners) > 1:
-            raise BrokenError("two relays own the partition at the same time")
+            raise PropertyViolatedError("two relays own the partition at the same time")
         for epoch, session in owners:
             highest, last = state.last_owner
             if epoch < highest or (epoch == highest and session != last):
-                raise BrokenError(f"the partition is owned in epoch {epoch}, after another owner in epoch {highest}")
+                raise PropertyViolatedError(
+                    f"the partition is owned in epoch {epoch}, after another owner in epoch {highest}"
+                )
             state = state._replace(last_owner=(epoch, session))
         if self.variant.drop_old_numbers and state.in_flight:
             state = state._replace(
@@ -507,30 +509,30 @@
     """Prints a table of the results; returns whether each fault was found and nothing else."""
     from tests.fleet.leases.injected_faults import ALL_HOLDS, INJECTED_FAULTS
 
-    good = True
+    passed = True
     print(f"{'injected fault':<40}{'states':>9}{'steps':>9}{'seconds':>9}  found")
     for fault in INJECTED_FAULTS:
         if names and fault.name not in names:
             continue
         for variant, expected in ((fault.variant, True), (fault.without_fault, False)):
             started_at, explorer = time.perf_counter(), Explorer(fault.bounds, variant)
-            broken = explorer.run()
-            good &= (broken is not None) == expected
+            violation = explorer.run()
+            passed &= (violation is not None) == expected
             name = fault.name if expected else "  without the fault"
             spent = time.perf_counter() - started_at
-            text = broken[0] if broken else "all properties hold"
+            text = violation[0] if violation else "all properties hold"
             print(f"{name:<40}{explorer.states:>9}{explorer.steps:>9}{spent:>9.1f}  {text}", flush=True)
-            for number, step in enumerate(broken[1] if broken else (), 1):
+            for number, step in enumerate(violation[1] if violation else (), 1):
                 print(f"    {number}. {step}")
     for name, variant, bounds in ALL_HOLDS:
         if names and name not in names:
             continue
         started_at, explorer = time.perf_counter(), Explorer(bounds, variant)
-        broken = explorer.run()
-        good &= broken is None
-        spent, text = time.perf_counter() - started_at, "all properties hold" if broken is None else str(broken)
+        violation = explorer.run()
+        passed &= violation is None
+        spent, text = time.perf_counter() - started_at, "all properties hold" if violation is None else str(violation)
         print(f"{name:<40}{explorer.states:>9}{explorer.steps:>9}{spent:>9.1f}  {text}", flush=True)
-    return good
+    return passed
 
 
 if __name__ == "__main__":
--- a/tests/fleet/leases/test_controller_options.py
+++ b/tests/fleet/leases/test_controller_options.py
@@ -14,7 +14,7 @@
 
 SECRET = "a secret of the tests\n"
 THREE = 'controllers = ["10.0.0.1:7960", "10.0.0.2:7960", "10.0.0.3:7960"]\n'
-GOOD = f'number = 1\nlisten = "0.0.0.0:7960"\nfolder = "state"\nsecret_file = "secret"\n{THREE}'
+VALID = f'number = 1\nlisten = "0.0.0.0:7960"\nfolder = "state"\nsecret_file = "secret"\n{THREE}'
 RELAY = f'[fleet]\nlisten = "127.0.0.1:0"\nsecret_file = "secret"\n[fleet.leases]\n{THREE}'
 
 
@@ -26,12 +26,12 @@
 
 
 def replaced(old: str, new: str) -> str:
-    assert old in GOOD
-    return GOOD.replace(old, new)
+    assert old in VALID
+    return VALID.replace(old, new)
 
 
 def test_a_valid_file_is_read(tmp_path: Path) -> None:
-    found = controller.read(written(tmp_path, GOOD + "partitions = 64\nlease_ms = 3000\n"))
+    found = controller.read(written(tmp_path, VALID + "partitions = 64\nlease_ms = 3000\n"))
     assert found.number == 1 and found.listen == SocketAddress("0.0.0.0", 7960) and len(found.addresses) == 3
     assert found.folder == tmp_path / "state" and found.operators is None
     assert (found.settings.controllers, found.settings.partitions, found.settings.lease) == (3, 64, 3 * SECOND)
@@ -39,7 +39,7 @@
 
 def test_a_relay_and_a_controller_with_the_same_settings_have_the_same_fingerprint(tmp_path: Path) -> None:
     common = "partitions = 64\nlease_ms = 3000\n"
-    found = controller.read(written(tmp_path, GOOD + common))
+    found = controller.read(written(tmp_path, VALID + common))
     fleet = options.read(written(tmp_path, RELAY + common + "renew_every_ms = 500\nwrite_margin_ms = 10\n"), "r1")[1]
     assert fleet is not None and fleet.leases is not None
     assert fleet.leases.settings.fingerprint == found.settings.fingerprint and fleet.leases.addresses == found.addresses
@@ -68,11 +68,11 @@
         (replaced("10.0.0.3:7960", "controller.example:7960"), "controllers: 'controller.example:7960' is not IP:port"),
         (replaced("0.0.0.0:7960", "0.0.0.0:0"), "listen: port 0"),
         (replaced("0.0.0.0:7960", "here"), "listen: 'here' is not IP:port"),
-        (GOOD + "partitions = 100\n", "partitions: 100 is not a power of two"),
-        (GOOD + "lease_ms = 100\n", "lease_ms"),
-        (GOOD + 'operators = "here"\n', "operators: 'here' is not host:port"),
-        (GOOD + "renew_every_ms = 100\n", "renew_every_ms"),  # an option of relays
-        (GOOD + "speed = 1\n", "speed"),
+        (VALID + "partitions = 100\n", "partitions: 100 is not a power of two"),
+        (VALID + "lease_ms = 100\n", "lease_ms"),
+        (VALID + 'operators = "here"\n', "operators: 'here' is not host:port"),
+        (VALID + "renew_every_ms = 100\n", "renew_every_ms"),  # an option of relays
+        (VALID + "speed = 1\n", "speed"),
         (replaced('folder = "state"\n', ""), "folder"),
         ("number = ", "Invalid value"),
     ],
@@ -100,18 +100,18 @@
 
 @pytest.mark.parametrize("secret", [None, "short\n"])
 def test_an_unusable_secret_is_reported_in_one_line(tmp_path: Path, secret: str | None) -> None:
-    result = CliRunner().invoke(command, [str(written(tmp_path, GOOD, secret))])
+    result = CliRunner().invoke(command, [str(written(tmp_path, VALID, secret))])
     assert result.exit_code == 2 and "secret" in result.output and result.output.count("\n") == 1
 
 
 def test_check_reports_the_controller_and_changes_nothing(tmp_path: Path) -> None:
-    result = CliRunner().invoke(command, [str(written(tmp_path, GOOD)), "--check"])
+    result = CliRunner().invoke(command, [str(written(tmp_path, VALID)), "--check"])
     assert result.exit_code == 0 and "good: controller 1 of 3" in result.output
     assert not (tmp_path / "state").exists()
 
 
 def test_initialize_works_only_once(tmp_path: Path) -> None:
-    path = str(written(tmp_path, GOOD))
+    path = str(written(tmp_path, VALID))
     assert CliRunner().invoke(command, [path, "--initialize"]).exit_code == 0
     before = (tmp_path / "state" / "grants").read_bytes()
     again = CliRunner().invoke(command, [path, "--initialize"])
@@ -120,7 +120,7 @@
 
 
 def test_a_controller_does_not_start_with_the_folder_of_another(tmp_path: Path) -> None:
-    path = str(written(tmp_path, GOOD))
+    path = str(written(tmp_path, VALID))
     assert CliRunner().invoke(command, [path, "--initialize"]).exit_code == 0
     result = CliRunner().invoke(command, [str(written(tmp_path, replaced("number = 1", "number = 2")))])
     assert result.exit_code == 1 and "of controller 1, not 2" in result.output and result.output.count("\n") == 1
--- a/tests/fleet/leases/test_controller_process.py
+++ b/tests/fleet/leases/test_controller_process.py
@@ -143,9 +143,9 @@
         answer = await cluster.client.acquire(first, Grant(3, 1), Grant(4, 1))
         order.append("answered")
         assert answer.granted == [Grant(3, 1), Grant(4, 1)] and order == ["written", "answered"]
-        figures = OperatorCommands(first).metrics()
+        metrics = OperatorCommands(first).metrics()
         for line in ("ready 1", "granted 2", "records_written 2", 'messages_in{kind="acquire"} 1', "writes_failed 0"):
-            assert f"controller_{line}\n" in figures
+            assert f"controller_{line}\n" in metrics
     assert on_disk(first) == [Record(3, 1, "r1", 77), Record(4, 1, "r1", 77)]
 
 
--- a/tests/fleet/leases/test_faults.py
+++ b/tests/fleet/leases/test_faults.py
@@ -392,12 +392,12 @@
 
 def test_lost_answers_leave_no_stale_grants() -> None:
     cluster = Cluster().start_all()
-    draw = random.Random(1)
-    cluster.drop = lambda sender, receiver, message: draw.random() < 0.3
+    rng = random.Random(1)
+    cluster.drop = lambda sender, receiver, message: rng.random() < 0.3
     relays = [cluster.relay(name, [number], number) for number, name in enumerate("abcdef")]
-    for turn in range(12):
+    for step in range(12):
         for number, relay in enumerate(relays):
-            cluster.from_holder(relay.session, relay.set_assigned(cluster.now, [(number + turn) % 6]))
+            cluster.from_holder(relay.session, relay.set_assigned(cluster.now, [(number + step) % 6]))
         cluster.run(5 * SECOND)
         owners = [partition for relay in relays for partition in relay.owned(cluster.now)]
         assert len(owners) == len(set(owners))
--- a/tests/fleet/leases/test_lease_codec.py
+++ b/tests/fleet/leases/test_lease_codec.py
@@ -111,32 +111,32 @@
         Codec([SECRET]).encode(Records(8, MAX_NUMBER, MAX_NUMBER, [LONG_RECORD] * MAX_RECORDS, -1))
 
 
-def hostile(draw: random.Random, codec: Codec, valid: list[bytes]) -> Iterator[tuple[str, bytes]]:
+def hostile(rng: random.Random, codec: Codec, valid: list[bytes]) -> Iterator[tuple[str, bytes]]:
     """Returns invalid datagrams, each with the kind of its defect."""
 
     def out_of_bounds() -> bytes:
         """Returns a valid message with one field replaced by a value out of bounds."""
-        fields: list[Any] = msgspec.msgpack.decode(draw.choice(valid)[HEADER_BYTES:])
-        position = draw.randrange(len(fields))
-        fields[position] = draw.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MAX_GRANTS + 1), None, 1.5, {}])
+        fields: list[Any] = msgspec.msgpack.decode(rng.choice(valid)[HEADER_BYTES:])
+        position = rng.randrange(len(fields))
+        fields[position] = rng.choice([-1, 1 << 64 - 1, "x" * 70, [[1, 2]] * (MAX_GRANTS + 1), None, 1.5, {}])
         return codec.sign(msgspec.msgpack.encode(fields), VERSION)
 
     def damaged() -> bytes:
-        data = bytearray(draw.choice(valid))
-        data[draw.randrange(len(data))] ^= draw.randint(1, 255)
+        data = bytearray(rng.choice(valid))
+        data[rng.randrange(len(data))] ^= rng.randint(1, 255)
         return bytes(data)
 
     for _ in range(300):
-        data = draw.choice(valid)
+        data = rng.choice(valid)
         yield "damaged", damaged()
-        yield "cut short", data[: draw.randrange(len(data))]
-        yield "longer", data + draw.randbytes(draw.randint(1, 9))
-        yield "noise", draw.randbytes(draw.randrange(1300))
+        yield "cut short", data[: rng.randrange(len(data))]
+        yield "longer", data + rng.randbytes(rng.randint(1, 9))
+        yield "noise", rng.randbytes(rng.randrange(1300))
         yield "another secret", Codec([OTHER]).sign(data[HEADER_BYTES:], VERSION)
-        yield "a later version", codec.sign(data[HEADER_BYTES:], draw.randint(2, 255))
-        yield "noise, signed", codec.sign(draw.randbytes(draw.randint(1, 1100)), VERSION)
+        yield "a later version", codec.sign(data[HEADER_BYTES:], rng.randint(2, 255))
+        yield "noise, signed", codec.sign(rng.randbytes(rng.randint(1, 1100)), VERSION)
         yield "nested, signed", codec.sign(b"\x91" * 1100, VERSION)
-        yield "a huge count, signed", codec.sign(b"\xdd" + struct.pack(">I", draw.randrange(1 << 31, 1 << 32)), VERSION)
+        yield "a huge count, signed", codec.sign(b"\xdd" + struct.pack(">I", rng.randrange(1 << 31, 1 << 32)), VERSION)
         yield "out of bounds, signed", out_of_bounds()
 
 
--- a/tests/fleet/leases/test_lease_service.py
+++ b/tests/fleet/leases/test_lease_service.py
@@ -35,13 +35,13 @@
         self.names = names
         self.condition = Condition.SETTLED
         self.view = 1
-        self.asked = 0
+        self.queries = 0
 
     def change(self, *names: str) -> None:
         self.names, self.view = names, self.view + 1
 
     def fleet_view(self) -> FleetView:
-        self.asked += 1
+        self.queries += 1
         return FleetView(dict.fromkeys(self.names, 0), self.condition, self.view)
 
 
@@ -154,9 +154,9 @@
 
 async def test_an_unchanged_view_is_not_recomputed(network: FakeNetwork, members: FakeMembers) -> None:
     await network.start_and_acquire()
-    asked = members.asked
+    queries = members.queries
     network.leases.on_view_change()
-    assert members.asked == asked
+    assert members.queries == queries
 
 
 async def test_a_relay_that_slept_past_its_lease_notices_at_once(
@@ -215,7 +215,7 @@
 def test_a_fleet_without_leases_imports_no_module_of_them(tmp_path: Path) -> None:
     (tmp_path / "secret").write_bytes(SECRET)
     (tmp_path / "options.toml").write_text('[fleet]\nlisten = "127.0.0.1:0"\nsecret_file = "secret"\n')
-    told = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -231,4 +231,4 @@
         check=True,
         env={**os.environ},
     )
-    assert told.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
--- a/tests/fleet/partitions/test_assignment.py
+++ b/tests/fleet/partitions/test_assignment.py
@@ -55,12 +55,12 @@
 
 
 def test_an_update_equals_a_new_assignment() -> None:
-    draw, assignment, members = random.Random(2), Assignment(512), set(list(MEMBERS)[:40])
+    rng, assignment, members = random.Random(2), Assignment(512), set(list(MEMBERS)[:40])
     for _ in range(120):
-        if draw.random() < 0.5 and len(members) > 2:
-            members -= set(draw.sample(sorted(members), draw.choice((1, 1, 2))))
+        if rng.random() < 0.5 and len(members) > 2:
+            members -= set(rng.sample(sorted(members), rng.choice((1, 1, 2))))
         else:
-            members.add(draw.choice(list(MEMBERS)))
+            members.add(rng.choice(list(MEMBERS)))
         assert assignment.update(members) == assign(members, 512)
 
 
