--- a/tests/fleet/leases/explore.py
+++ b/tests/fleet/leases/explore.py
@@ -10,7 +10,7 @@
 one clock may be a step ahead and another a step behind.
 
 To reduce the number of states, the first of the controllers to which nothing has happened yet stands for all of them, and
-the first relay for both until one starts. All times that are past for passed are equal.
+the first relay for both until one starts. All times that can no longer matter are equal.
 
     python -m tests.fleet.leases.explore            # each injected fault with its shortest trace, and the other cases
 """
@@ -385,7 +385,7 @@
         return state
 
     def carry_out(self, state: State, effects: tuple[Any, ...], controller: int, hops: int, disk_full: bool) -> State:
-        """Carries out effects: sends messages, which with hops remaining arrive at once, and writes records."""
+        """Carries out effects: sends messages, which arrive at once if there are hops left, and writes records."""
         for effect in effects:
             match effect:
                 case SendToController(to, message):
