--- a/tests/fleet/leases/test_controller_options.py
+++ b/tests/fleet/leases/test_controller_options.py
@@ -1,4 +1,4 @@
-"""A controller's file, the `[fleet.leases]` table, and what is wrong with either, one plain line each."""
+"""The options file of a controller and the `[fleet.leases]` table of a relay; each error is reported in one line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 SECRET = "a secret of the tests\n"
 THREE = 'controllers = ["10.0.0.1:7960", "10.0.0.2:7960", "10.0.0.3:7960"]\n'
-GOOD = f'number = 1\nlisten = "0.0.0.0:7960"\nfolder = "state"\nsecret_file = "secret"\n{THREE}'
+VALID = f'number = 1\nlisten = "0.0.0.0:7960"\nfolder = "state"\nsecret_file = "secret"\n{THREE}'
 RELAY = f'[fleet]\nlisten = "127.0.0.1:0"\nsecret_file = "secret"\n[fleet.leases]\n{THREE}'
 
 
@@ -26,27 +26,27 @@
 
 
 def replaced(old: str, new: str) -> str:
-    assert old in GOOD
-    return GOOD.replace(old, new)
+    assert old in VALID
+    return VALID.replace(old, new)
 
 
-def test_a_good_file_is_read(tmp_path: Path) -> None:
-    found = controller.read(written(tmp_path, GOOD + "partitions = 64\nlease_ms = 3000\n"))
+def test_a_valid_file_is_read(tmp_path: Path) -> None:
+    found = controller.read(written(tmp_path, VALID + "partitions = 64\nlease_ms = 3000\n"))
     assert found.number == 1 and found.listen == SocketAddress("0.0.0.0", 7960) and len(found.addresses) == 3
     assert found.folder == tmp_path / "state" and found.operators is None
     assert (found.settings.controllers, found.settings.partitions, found.settings.lease) == (3, 64, 3 * SECOND)
 
 
-def test_a_relay_and_a_controller_of_the_same_figures_have_the_same_terms(tmp_path: Path) -> None:
-    figures = "partitions = 64\nlease_ms = 3000\n"
-    found = controller.read(written(tmp_path, GOOD + figures))
-    fleet = options.read(written(tmp_path, RELAY + figures + "renew_every_ms = 500\nwrite_margin_ms = 10\n"), "r1")[1]
+def test_a_relay_and_a_controller_with_the_same_settings_have_the_same_fingerprint(tmp_path: Path) -> None:
+    common = "partitions = 64\nlease_ms = 3000\n"
+    found = controller.read(written(tmp_path, VALID + common))
+    fleet = options.read(written(tmp_path, RELAY + common + "renew_every_ms = 500\nwrite_margin_ms = 10\n"), "r1")[1]
     assert fleet is not None and fleet.leases is not None
     assert fleet.leases.settings.fingerprint == found.settings.fingerprint and fleet.leases.addresses == found.addresses
     assert (fleet.leases.settings.renew_every, fleet.leases.settings.write_margin) == (500 * MS, 10 * MS)
 
 
-def test_what_is_not_said_is_as_the_decisions_have_it(tmp_path: Path) -> None:
+def test_options_that_are_not_set_have_the_default_values(tmp_path: Path) -> None:
     fleet = options.read(written(tmp_path, RELAY), "r1")[1]
     assert fleet is not None and fleet.leases is not None
     assert fleet.leases.settings == Settings(controllers=3)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         (replaced("number = 1", "number = 3"), "number: 3 of 3 controllers: they are counted from 0"),
         (replaced("number = 1", "number = -1"), "number"),
@@ -68,23 +68,23 @@
         (replaced("10.0.0.3:7960", "controller.example:7960"), "controllers: 'controller.example:7960' is not IP:port"),
         (replaced("0.0.0.0:7960", "0.0.0.0:0"), "listen: port 0"),
         (replaced("0.0.0.0:7960", "here"), "listen: 'here' is not IP:port"),
-        (GOOD + "partitions = 100\n", "partitions: 100 is not a power of two"),
-        (GOOD + "lease_ms = 100\n", "lease_ms"),
-        (GOOD + 'operators = "here"\n', "operators: 'here' is not host:port"),
-        (GOOD + "renew_every_ms = 100\n", "renew_every_ms"),  # a relay's
-        (GOOD + "speed = 1\n", "speed"),
+        (VALID + "partitions = 100\n", "partitions: 100 is not a power of two"),
+        (VALID + "lease_ms = 100\n", "lease_ms"),
+        (VALID + 'operators = "here"\n', "operators: 'here' is not host:port"),
+        (VALID + "renew_every_ms = 100\n", "renew_every_ms"),  # an option of relays
+        (VALID + "speed = 1\n", "speed"),
         (replaced('folder = "state"\n', ""), "folder"),
         ("number = ", "Invalid value"),
     ],
 )
-def test_a_mistake_in_a_controllers_file_is_one_plain_line(tmp_path: Path, text: str, said: str) -> None:
+def test_an_error_in_a_controllers_file_is_reported_in_one_line(tmp_path: Path, text: str, message: str) -> None:
     result = CliRunner().invoke(command, [str(written(tmp_path, text))])
-    assert result.exit_code == 2 and said in result.output
+    assert result.exit_code == 2 and message in result.output
     assert result.output.startswith(f"garnetrelay: {tmp_path / 'options.toml'}: ") and result.output.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "more, said",
+    "more, message",
     [
         ("renew_every_ms = 8000", "fleet.leases.renew_every_ms: 8000 and a patience of 2000 take over half a lease"),
         ("write_margin_ms = 9900", "fleet.leases.write_margin_ms: 9900, and lease and renewals leave"),
@@ -92,26 +92,26 @@
         ("lease = 3", "fleet.leases: "),
     ],
 )
-def test_so_is_one_in_a_relays_table(tmp_path: Path, more: str, said: str) -> None:
-    with pytest.raises(ValueError) as wrong:
+def test_an_error_in_a_relays_table_is_reported_in_one_line(tmp_path: Path, more: str, message: str) -> None:
+    with pytest.raises(ValueError) as error:
         options.read(written(tmp_path, f"{RELAY}{more}\n"), "r1")
-    assert said in str(wrong.value) and "\n" not in str(wrong.value)
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("secret", [None, "short\n"])
-def test_so_is_a_secret_that_cannot_be_used(tmp_path: Path, secret: str | None) -> None:
-    result = CliRunner().invoke(command, [str(written(tmp_path, GOOD, secret))])
+def test_an_unusable_secret_is_reported_in_one_line(tmp_path: Path, secret: str | None) -> None:
+    result = CliRunner().invoke(command, [str(written(tmp_path, VALID, secret))])
     assert result.exit_code == 2 and "secret" in result.output and result.output.count("\n") == 1
 
 
-def test_check_says_what_it_would_be_and_changes_nothing(tmp_path: Path) -> None:
-    result = CliRunner().invoke(command, [str(written(tmp_path, GOOD)), "--check"])
+def test_check_reports_the_controller_and_changes_nothing(tmp_path: Path) -> None:
+    result = CliRunner().invoke(command, [str(written(tmp_path, VALID)), "--check"])
     assert result.exit_code == 0 and "good: controller 1 of 3" in result.output
     assert not (tmp_path / "state").exists()
 
 
-def test_initialize_is_done_once(tmp_path: Path) -> None:
-    path = str(written(tmp_path, GOOD))
+def test_initialize_works_only_once(tmp_path: Path) -> None:
+    path = str(written(tmp_path, VALID))
     assert CliRunner().invoke(command, [path, "--initialize"]).exit_code == 0
     before = (tmp_path / "state" / "grants").read_bytes()
     again = CliRunner().invoke(command, [path, "--initialize"])
@@ -119,8 +119,8 @@
     assert (tmp_path / "state" / "grants").read_bytes() == before
 
 
-def test_a_controller_does_not_start_with_another_ones_folder(tmp_path: Path) -> None:
-    path = str(written(tmp_path, GOOD))
+def test_a_controller_does_not_start_with_the_folder_of_another(tmp_path: Path) -> None:
+    path = str(written(tmp_path, VALID))
     assert CliRunner().invoke(command, [path, "--initialize"]).exit_code == 0
     result = CliRunner().invoke(command, [str(written(tmp_path, replaced("number = 1", "number = 2")))])
     assert result.exit_code == 1 and "of controller 1, not 2" in result.output and result.output.count("\n") == 1
