--- a/garnetrelay/rehearsal/checker/__init__.py
+++ b/garnetrelay/rehearsal/checker/__init__.py
@@ -1,6 +1,6 @@
-"""The rule checker: a typed stream of observed events in, verdicts out, while the run goes on. No I/O, no clock.
+"""The rule checker: reads typed observed events during the run and produces verdicts. No I/O, no clock.
 
-It shares no code with the decision module, whose mistakes it is there to find.
+It shares no code with the decision module, because its purpose is to find faults in that module.
 """
 
 from __future__ import annotations
@@ -9,54 +9,54 @@
 from typing import Any
 
 from garnetrelay.rehearsal import events as ev
-from garnetrelay.rehearsal.checker.drains import Drains
-from garnetrelay.rehearsal.checker.effects import Effects
-from garnetrelay.rehearsal.checker.ends import Ends
+from garnetrelay.rehearsal.checker.drains import DrainRule
+from garnetrelay.rehearsal.checker.effects import EffectRule
+from garnetrelay.rehearsal.checker.ends import FinalAnswerRule
 from garnetrelay.rehearsal.checker.facts import Facts
 from garnetrelay.rehearsal.checker.figures import Figures, figures_of
-from garnetrelay.rehearsal.checker.order import Order
-from garnetrelay.rehearsal.checker.returns import Returns
+from garnetrelay.rehearsal.checker.order import KeyOrderRule
+from garnetrelay.rehearsal.checker.returns import RecoveryLoadRule
 from garnetrelay.rehearsal.checker.verdicts import RULES, Verdict, VerdictLog
-from garnetrelay.rehearsal.checker.waits import Waits
+from garnetrelay.rehearsal.checker.waits import WaitRule
 
 __all__ = ["RULES", "Checker", "Figures", "Verdict", "figures_of"]
 
 
 class Checker:
-    """Takes events in the order in which they were observed; ``verdicts`` grows as rules break."""
+    """Processes events in the order in which they were observed, and adds rule violations to ``verdicts``."""
 
     def __init__(self, figures: Figures) -> None:
         self.facts = Facts(figures)
         self.verdict_log = VerdictLog()
-        self.ends = Ends(self.facts, self.verdict_log)
-        self._noters = self.facts.handlers
-        self._takers: dict[type[ev.Observed], list[Callable[[Any], None]]] = {}
-        for room in (
-            self.ends,
-            Effects(self.facts, self.verdict_log),
-            Drains(self.facts, self.verdict_log),
-            Returns(self.facts, self.verdict_log),
-            Order(self.facts, self.verdict_log),
-            Waits(self.facts, self.verdict_log),
+        self.final_answers = FinalAnswerRule(self.facts, self.verdict_log)
+        self._fact_handlers = self.facts.handlers
+        self._rule_handlers: dict[type[ev.Observed], list[Callable[[Any], None]]] = {}
+        for rule in (
+            self.final_answers,
+            EffectRule(self.facts, self.verdict_log),
+            DrainRule(self.facts, self.verdict_log),
+            RecoveryLoadRule(self.facts, self.verdict_log),
+            KeyOrderRule(self.facts, self.verdict_log),
+            WaitRule(self.facts, self.verdict_log),
         ):
-            for kind, taker in room.handlers.items():
-                self._takers.setdefault(kind, []).append(taker)
+            for event_type, handler in rule.handlers.items():
+                self._rule_handlers.setdefault(event_type, []).append(handler)
 
     @property
     def verdicts(self) -> list[Verdict]:
-        """Every broken rule so far, in the order in which it was found."""
+        """All rule violations so far, in the order in which they were found."""
         return self.verdict_log.verdicts
 
     def take(self, event: ev.Event) -> None:
-        """One more event; those that came before it in time must have been given before."""
+        """Process the next event; events must be passed in chronological order."""
         if event.at > self.facts.now:
             self.facts.now = event.at
-        noter = self._noters.get(type(event))
-        if noter is not None:
-            noter(event)
-        self.verdict_log.read_up_to(event.since)
-        for taker in self._takers.get(type(event), ()):
-            taker(event)
+        fact_handler = self._fact_handlers.get(type(event))
+        if fact_handler is not None:
+            fact_handler(event)
+        self.verdict_log.run_due(event.since)
+        for handler in self._rule_handlers.get(type(event), ()):
+            handler(event)
         if isinstance(event, ev.RunEnded):
-            self.ends.finishing = True
+            self.final_answers.run_ended = True
             self.verdict_log.finish()
--- a/garnetrelay/rehearsal/checker/effects.py
+++ b/garnetrelay/rehearsal/checker/effects.py
@@ -1,4 +1,4 @@
-"""Rule 2: no effect happens twice, and no refusal says that coming again is harmless where it may not be."""
+"""Rule 2: no effect happens twice, and no message is refused as safe to submit again if it may have run."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
 
-class Effects:
-    """Judges attempts against those before them, by what their relay could know."""
+class EffectRule:
+    """Checks each attempt against the earlier ones, by what the relay could know at that time."""
 
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
@@ -18,136 +18,136 @@
 
     @property
     def handlers(self) -> Handlers:
-        """The events that this rule hears of, each with what takes it in."""
+        """The event types that this rule handles, each with its handler."""
         return {
-            ev.CallCame: self._came,
+            ev.CallCame: self._call_arrived,
             ev.NoticeCame: self._refused,
             ev.Answered: self._refused,
             ev.Effect: self._effect,
         }
 
-    def _came(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallCame) -> None:
         message = self.facts.messages.get(event.ref)
         if message is None:
             return
-        others = self.facts.lineages[message.handed.lineage]
-        if len(others) == 1 and len(message.calls) == 1 and not message.refused:
-            return  # the first of all: there is nothing to hold it against
-        # What ended an earlier attempt may lie unread in this very round.
-        self.verdict_log.later(event.at, functools.partial(self._judge_call, self.facts.calls[event.call]))
+        same_lineage = self.facts.lineages[message.submission.lineage]
+        if len(same_lineage) == 1 and len(message.calls) == 1 and not message.refused:
+            return  # the first attempt: there is no earlier one to compare it with
+        # The end of an earlier attempt may still be unread in this iteration of the event loop.
+        self.verdict_log.defer(event.at, functools.partial(self._check_call, self.facts.calls[event.call]))
 
     def _refused(self, event: ev.NoticeCame | ev.Answered) -> None:
         message = self.facts.messages.get(event.ref)
-        told = event.result == "bounced" if isinstance(event, ev.NoticeCame) else event.answer != "ok"
-        if message is not None and told:
-            self.verdict_log.later(event.at, functools.partial(self._judge_refusal, message, event))
+        refusal = event.result == "bounced" if isinstance(event, ev.NoticeCame) else event.answer != "ok"
+        if message is not None and refusal:
+            self.verdict_log.defer(event.at, functools.partial(self._check_refusal, message, event))
 
-    def _judge_call(self, call: Call) -> None:
-        came = call.came
-        message = self.facts.messages.get(came.ref)
+    def _check_call(self, call: Call) -> None:
+        arrival = call.arrival
+        message = self.facts.messages.get(arrival.ref)
         if message is None:
             return
         earlier = [
             other
-            for hand_in in self.facts.lineages[message.handed.lineage]
-            for other in hand_in.calls
-            if other.came.call < came.call
+            for submitted in self.facts.lineages[message.submission.lineage]
+            for other in submitted.calls
+            if other.arrival.call < arrival.call
         ]
         for other in earlier:
-            if other.over_since is None or other.over_since > came.at:
-                self._broken(
+            if other.ended_since is None or other.ended_since > arrival.at:
+                self._report(
                     "two-at-once",
-                    f"{came.ref} came to {came.route} while an attempt at " f"{other.came.route} was out",
-                    [*other.proof(), came],
-                    came,
+                    f"{arrival.ref} arrived at {arrival.route} while an attempt at {other.arrival.route} was in flight",
+                    [*other.evidence(), arrival],
+                    arrival,
                 )
         if len(message.calls) > self.facts.figures.most_tries and message.calls[-1] is call:
-            self._broken(
+            self._report(
                 "too-many",
-                f"{came.ref} was sent {len(message.calls)} times, " f"{self.facts.figures.most_tries} are allowed",
-                [came],
-                came,
+                f"{arrival.ref} was sent {len(message.calls)} times; the limit is {self.facts.figures.most_tries}",
+                [arrival],
+                arrival,
             )
         if message.refused:
-            self._broken(
+            self._report(
                 "refused-yet-sent",
-                f"{came.ref} was refused, and sent to {came.route}",
-                [message.handed, *_answer(message), came],
-                came,
+                f"{arrival.ref} was refused, but sent to {arrival.route}",
+                [message.submission, *_answer_evidence(message), arrival],
+                arrival,
             )
         may_have_run = [other for other in earlier if not other.never_ran]
         if not may_have_run:
             return
         first, klass = may_have_run[0], message.klass
-        proof = [*first.proof(), came]
+        evidence = [*first.evidence(), arrival]
         if klass.repeat == "unsafe":
-            self._broken(
+            self._report(
                 "sent-again",
-                f"unsafe {came.ref} came to {came.route}, and the attempt that came to "
-                f"{first.came.route} at {seconds(first.came.at)} may have run",
-                proof,
-                came,
+                f"unsafe {arrival.ref} arrived at {arrival.route}, but the attempt that arrived at "
+                f"{first.arrival.route} at {seconds(first.arrival.at)} may have run",
+                evidence,
+                arrival,
             )
         elif klass.repeat == "keyed":
             if klass.by_zone and first.zone != call.zone:
-                self._broken(
+                self._report(
                     "other-building",
-                    f"keyed {came.ref} came to {came.route} in {call.zone}, and the "
-                    f"attempt that came to {first.came.route} in {first.zone} may have run",
-                    proof,
-                    came,
+                    f"keyed {arrival.ref} arrived at {arrival.route} in {call.zone}, but the "
+                    f"attempt that arrived at {first.arrival.route} in {first.zone} may have run",
+                    evidence,
+                    arrival,
                 )
-            elapsed = came.since - first.came.at
+            elapsed = arrival.since - first.arrival.at
             if elapsed > klass.window + self.facts.figures.sockets_slack:
-                self._broken(
+                self._report(
                     "after-window",
-                    f"keyed {came.ref} came to {came.route} {seconds(elapsed)} after an "
+                    f"keyed {arrival.ref} arrived at {arrival.route} {seconds(elapsed)} after an "
                     f"attempt that may have run; the key is remembered {seconds(klass.window)}",
-                    proof,
-                    came,
+                    evidence,
+                    arrival,
                 )
 
-    def _judge_refusal(self, message: Message, told: ev.NoticeCame | ev.Answered) -> None:
+    def _check_refusal(self, message: Message, refusal: ev.NoticeCame | ev.Answered) -> None:
         if message.klass.repeat == "safe" or message.klass.repeat == "keyed" and not message.klass.by_zone:
             return
-        if message.answer is None and isinstance(told, ev.NoticeCame):
-            return  # its client had gone: what is told of it counts for nothing
+        if message.answer is None and isinstance(refusal, ev.NoticeCame):
+            return  # the client had disconnected without an answer, so it does not act on the notice
         for call in message.calls:
-            if call.came.since < told.at and not call.never_ran:
-                self._broken(
+            if call.arrival.since < refusal.at and not call.never_ran:
+                self._report(
                     "refused-may-have-run",
-                    f"{told.ref} was refused, which says that coming again is "
-                    f"harmless; the attempt at {call.came.route} may have run",
-                    [*call.proof(), told],
-                    told,
+                    f"{refusal.ref} was refused, which states that submitting it again is "
+                    f"safe, but the attempt at {call.arrival.route} may have run",
+                    [*call.evidence(), refusal],
+                    refusal,
                 )
                 return
 
     def _effect(self, effect: ev.Effect) -> None:
-        """The partners' own count, whatever the attempts looked like."""
+        """Check the effects that the partners counted, independently of the observed attempts."""
         message = self.facts.messages.get(effect.ref)
         if message is None or message.klass.repeat == "safe":
             return
-        before = [
+        earlier_effects = [
             call.effect
-            for hand_in in self.facts.lineages[message.handed.lineage]
-            for call in hand_in.calls
+            for submitted in self.facts.lineages[message.submission.lineage]
+            for call in submitted.calls
             if call.effect is not None and call.effect is not effect
         ]
-        if before:
-            self._broken(
+        if earlier_effects:
+            self._report(
                 "effect-twice",
                 f"{message.klass.repeat} {effect.ref} took effect at "
-                f"{seconds(before[0].at)} and at {seconds(effect.at)}",
-                [*before, effect],
-                self.facts.calls[effect.call].came,
+                f"{seconds(earlier_effects[0].at)} and at {seconds(effect.at)}",
+                [*earlier_effects, effect],
+                self.facts.calls[effect.call].arrival,
             )
 
-    def _broken(
-        self, fault: str, text: str, proof: list[ev.Event], at: ev.CallCame | ev.NoticeCame | ev.Answered
+    def _report(
+        self, fault: str, text: str, evidence: list[ev.Event], event: ev.CallCame | ev.NoticeCame | ev.Answered
     ) -> None:
-        self.verdict_log.broken(2, fault, at.ref, at.relay, at.at, text, proof)
+        self.verdict_log.report(2, fault, event.ref, event.relay, event.at, text, evidence)
 
 
-def _answer(message: Message) -> list[ev.Event]:
+def _answer_evidence(message: Message) -> list[ev.Event]:
     return [] if message.answer is None else [message.answer]
--- a/garnetrelay/rehearsal/checker/ends.py
+++ b/garnetrelay/rehearsal/checker/ends.py
@@ -1,4 +1,4 @@
-"""Rule 1: what a relay has taken on gets exactly one final answer, in time; and rule 0: it runs, within limits."""
+"""Rule 1: each accepted message gets exactly one final answer in time. Rule 0: the relay runs, within its limits."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from garnetrelay.rehearsal.checker.figures import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
-BEFORE = 2 * SECOND  # starvation counts from so long before a deadline: what it delayed then comes late now
-AGAIN = SECOND // 4  # a judgement that must wait for a relay's return looks again after this
+STARVATION_LOOKBACK_NS = 2 * SECOND  # starvation this long before a deadline can still delay the final answer
+RECHECK_INTERVAL_NS = SECOND // 4  # while the due time is unknown or not yet reached
 
 
-class Ends:
-    """Judges how messages end."""
+class FinalAnswerRule:
+    """Checks how messages end, and that relays neither crash nor exceed their disk limit."""
 
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
         self.verdict_log = verdict_log
-        self.finishing = False
+        self.run_ended = False
 
     @property
     def handlers(self) -> Handlers:
-        """The events that this rule hears of, each with what takes it in."""
+        """The event types that this rule handles, each with its handler."""
         return {
             ev.Answered: self._answered,
             ev.NoticeCame: self._notice,
-            ev.CallCame: self._call,
-            ev.Unanswered: self._hung_up,
+            ev.CallCame: self._call_arrived,
+            ev.Unanswered: self._connection_closed,
             ev.RelayEnded: self._relay_ended,
             ev.DiskUsed: self._disk_used,
         }
@@ -36,187 +36,192 @@
     def _answered(self, event: ev.Answered) -> None:
         message = self.facts.messages.get(event.ref)
         if message is not None and event.answer == "ok":
-            self.verdict_log.later(self.due(message), functools.partial(self._judge_end, message))
+            self.verdict_log.defer(self.due_at(message), functools.partial(self._check_end, message))
 
     def _relay_ended(self, event: ev.RelayEnded) -> None:
         if not event.planned:
-            self.verdict_log.broken(
+            self.verdict_log.report(
                 0,
                 "crashed",
                 event.relay,
                 event.relay,
                 event.at,
-                f"{event.relay} ended by itself with status {event.status}",
+                f"{event.relay} terminated unexpectedly with status {event.status}",
                 [event],
             )
 
     def _disk_used(self, event: ev.DiskUsed) -> None:
-        most = self.facts.figures.disk_bytes
-        if event.bytes > most:
-            self.verdict_log.broken(
+        max_bytes = self.facts.figures.disk_bytes
+        if event.bytes > max_bytes:
+            self.verdict_log.report(
                 0,
                 "disk",
                 event.relay,
                 event.relay,
                 event.at,
-                f"{event.relay} keeps {event.bytes} bytes in its folder; {most} are allowed",
+                f"{event.relay} uses {event.bytes} bytes in its state folder; the limit is {max_bytes}",
                 [event],
             )
 
-    def due(self, message: Message) -> int:
-        """When its end is overdue, but for starvation and restarts."""
+    def due_at(self, message: Message) -> int:
+        """The time by which a message must end, not counting starvation and restarts."""
         figures = self.facts.figures
-        return message.handed.at + message.handed.patience + figures.answer_slack + figures.sockets_slack
+        return message.submission.at + message.submission.patience + figures.answer_slack + figures.sockets_slack
 
-    def _excused_until(self, message: Message, due: int, by: int) -> int | None:
-        """A later time at which its end is overdue, where a restart, the platform or the want of a core until
-        ``by`` was in the way; None: not known yet."""
-        relay = self.facts.relay(message.handed.relay)
+    def _extended_due(self, message: Message, due: int, by: int) -> int | None:
+        """The due time, extended for a restart, for refused notices and for starvation up to ``by``.
+
+        None if it is not known yet.
+        """
+        relay = self.facts.relay(message.submission.relay)
         figures = self.facts.figures
         if relay.signalled is not None and relay.signalled.at <= due:
-            return None  # down, or on its way there
-        if relay.refusing_since is not None and relay.refusing_since <= due:
+            return None  # the relay is down or shutting down
+        if relay.refusing_notices_since is not None and relay.refusing_notices_since <= due:
             return None
         latest = due
-        if relay.life != message.life or relay.ready_at > message.handed.at:
+        if relay.life != message.life or relay.ready_at > message.submission.at:
             latest = max(latest, relay.ready_at + figures.restart_grace)
-        if relay.taking_since > message.handed.at:
-            latest = max(latest, relay.taking_since + figures.platform_grace)
-        return latest + relay.starved(min(due, latest) - BEFORE, by)
+        if relay.accepting_notices_since > message.submission.at:
+            latest = max(latest, relay.accepting_notices_since + figures.platform_grace)
+        return latest + relay.starvation_ns(min(due, latest) - STARVATION_LOOKBACK_NS, by)
 
-    def _judge_end(self, message: Message) -> None:
-        """Was it over by its due time?"""
+    def _check_end(self, message: Message) -> None:
+        """Check whether the message ended by its due time."""
         if message.machine_lost or message.delivered is not None:
             return
-        due = self.due(message)
-        first = min(message.notices, key=lambda n: n.since, default=None)
-        if first is not None and first.since <= due:
+        due = self.due_at(message)
+        first_notice = min(message.notices, key=lambda n: n.since, default=None)
+        if first_notice is not None and first_notice.since <= due:
             return
-        excused = self._excused_until(message, due, self.facts.now if first is None else first.since)
-        if first is None:
-            if self.finishing:
-                if excused is None or excused > self.facts.now:
-                    return  # the run ended before it could be told
-            elif excused is None or self.facts.now <= excused + AGAIN:
-                again = self.facts.now + AGAIN if excused is None else max(self.facts.now, excused) + AGAIN
-                self.verdict_log.later(again, functools.partial(self._judge_end, message))
+        extended_due = self._extended_due(message, due, self.facts.now if first_notice is None else first_notice.since)
+        if first_notice is None:
+            if self.run_ended:
+                if extended_due is None or extended_due > self.facts.now:
+                    return  # the run ended before the final answer was due
+            elif extended_due is None or self.facts.now <= extended_due + RECHECK_INTERVAL_NS:
+                recheck_at = (
+                    self.facts.now + RECHECK_INTERVAL_NS
+                    if extended_due is None
+                    else max(self.facts.now, extended_due) + RECHECK_INTERVAL_NS
+                )
+                self.verdict_log.defer(recheck_at, functools.partial(self._check_end, message))
                 return
-            proof: list[ev.Event] = [message.handed, *_answer(message)]
+            evidence: list[ev.Event] = [message.submission, *_answer_evidence(message)]
             for call in message.calls:
-                proof.extend(call.proof())
-            self.verdict_log.broken(
+                evidence.extend(call.evidence())
+            self.verdict_log.report(
                 1,
                 "lost",
-                message.handed.ref,
-                message.handed.relay,
+                message.submission.ref,
+                message.submission.relay,
                 due,
-                f"{message.handed.relay} took {message.handed.ref} on, and it was neither delivered nor ended by a "
-                f"notice by {seconds(due)}",
-                proof,
+                f"{message.submission.relay} accepted {message.submission.ref}, which was neither "
+                f"delivered nor ended by a notice by {seconds(due)}",
+                evidence,
             )
-        elif excused is not None and first.since > excused:
-            self.verdict_log.broken(
+        elif extended_due is not None and first_notice.since > extended_due:
+            self.verdict_log.report(
                 1,
                 "late",
-                message.handed.ref,
-                message.handed.relay,
-                first.at,
-                f"the end of {message.handed.ref} was due from {message.handed.relay} by {seconds(due)} and came "
-                f"at {seconds(first.since)} at the earliest",
-                [message.handed, *_answer(message), first],
+                message.submission.ref,
+                message.submission.relay,
+                first_notice.at,
+                f"the final answer to {message.submission.ref} was due from {message.submission.relay} by {seconds(due)} "
+                f"and arrived at {seconds(first_notice.since)} at the earliest",
+                [message.submission, *_answer_evidence(message), first_notice],
             )
 
     def _notice(self, notice: ev.NoticeCame) -> None:
         message = self.facts.messages.get(notice.ref)
         if message is None:
             return
-        others = [other for other in message.notices if other.result != notice.result]
-        if others:
-            self.verdict_log.broken(
+        conflicting = [other for other in message.notices if other.result != notice.result]
+        if conflicting:
+            self.verdict_log.report(
                 1,
                 "two-answers",
                 notice.ref,
                 notice.relay,
                 notice.at,
-                f"{notice.ref} ended as {others[0].result} and then as {notice.result}",
-                [message.handed, others[0], notice],
+                f"{notice.ref} was reported as {conflicting[0].result} and then as {notice.result}",
+                [message.submission, conflicting[0], notice],
             )
         call = message.delivered
-        if call is not None and call.answered is not None and self._surely_read(call, notice.since):
-            self.verdict_log.broken(
+        if call is not None and call.answered is not None and self._certainly_read(call, notice.since):
+            self.verdict_log.report(
                 1,
                 "two-answers",
                 notice.ref,
                 notice.relay,
                 notice.at,
-                f"{notice.ref} was delivered at {seconds(call.answered.at)} and ended as {notice.result} all the "
-                f"same",
-                [message.handed, *call.proof(), notice],
+                f"{notice.ref} was delivered at {seconds(call.answered.at)} and then reported as {notice.result}",
+                [message.submission, *call.evidence(), notice],
             )
 
-    def _surely_read(self, call: Call, by: int) -> bool:
-        """Whether its relay must have read its answer by then, in the life that sent it."""
-        relay = self.facts.relay(call.came.relay)
+    def _certainly_read(self, call: Call, by: int) -> bool:
+        """Whether the relay process that sent the call must have read its answer by then."""
+        relay = self.facts.relay(call.arrival.relay)
         if call.answered is None or not call.answered.readable or relay.life != call.life:
             return False
         if relay.signalled is not None:
             return False
         latest = call.answered.at + self.facts.figures.heard
-        latest += relay.starved(call.answered.at - SECOND, self.facts.now)
+        latest += relay.starvation_ns(call.answered.at - SECOND, self.facts.now)
         return by > latest and (call.ended is None or call.ended.since > latest)
 
-    def _call(self, came: ev.CallCame) -> None:
-        message = self.facts.messages.get(came.ref)
+    def _call_arrived(self, arrival: ev.CallCame) -> None:
+        message = self.facts.messages.get(arrival.ref)
         if message is None:
-            self.verdict_log.broken(
+            self.verdict_log.report(
                 1,
                 "unknown",
-                came.ref,
-                came.relay,
-                came.at,
-                f"{came.relay} sent {came.ref} to {came.route}; no client handed that in",
-                [came],
+                arrival.ref,
+                arrival.relay,
+                arrival.at,
+                f"{arrival.relay} sent {arrival.ref} to {arrival.route}, but no client submitted it",
+                [arrival],
             )
             return
-        ended = [notice for notice in message.notices if notice.at < came.first]
+        ended = [notice for notice in message.notices if notice.at < arrival.first]
         if ended:
-            self.verdict_log.broken(
+            self.verdict_log.report(
                 1,
                 "sent-after-end",
-                came.ref,
-                came.relay,
-                came.at,
-                f"{came.ref} ended as {ended[0].result} at {seconds(ended[0].at)} and was sent to {came.route} "
+                arrival.ref,
+                arrival.relay,
+                arrival.at,
+                f"{arrival.ref} was reported as {ended[0].result} at {seconds(ended[0].at)} and sent to {arrival.route} "
                 f"after that",
-                [message.handed, ended[0], came],
+                [message.submission, ended[0], arrival],
             )
         for call in message.calls:
-            if call.came is not came and call.delivered and self._surely_read(call, came.since):
-                self.verdict_log.broken(
+            if call.arrival is not arrival and call.delivered and self._certainly_read(call, arrival.since):
+                self.verdict_log.report(
                     1,
                     "sent-after-end",
-                    came.ref,
-                    came.relay,
-                    came.at,
-                    f"{came.ref} was delivered and sent to {came.route} again",
-                    [*call.proof(), came],
+                    arrival.ref,
+                    arrival.relay,
+                    arrival.at,
+                    f"{arrival.ref} was delivered and then sent to {arrival.route} again",
+                    [*call.evidence(), arrival],
                 )
 
-    def _hung_up(self, event: ev.Unanswered) -> None:
+    def _connection_closed(self, event: ev.Unanswered) -> None:
         message, relay = self.facts.messages.get(event.ref), self.facts.relay(event.relay)
         if message is None or event.why != "closed-twice":
             return
         if relay.signalled is None and relay.life == message.life:
-            self.verdict_log.broken(
+            self.verdict_log.report(
                 1,
                 "hung-up",
                 event.ref,
                 event.relay,
                 event.at,
-                f"{event.relay} ended the connection of {event.ref} twice with no answer",
-                [message.handed, event],
+                f"{event.relay} closed the connection of {event.ref} twice without an answer",
+                [message.submission, event],
             )
 
 
-def _answer(message: Message) -> list[ev.Event]:
+def _answer_evidence(message: Message) -> list[ev.Event]:
     return [] if message.answer is None else [message.answer]
--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -1,4 +1,4 @@
-"""What is known so far, from the events alone: relays, routes, messages and their calls. It judges nothing."""
+"""The state of relays, routes, messages and calls, derived from the observed events. It applies no rules."""
 
 from __future__ import annotations
 
@@ -9,82 +9,82 @@
 from garnetrelay.rehearsal.checker.figures import SECOND, ClassFigures, Figures
 from garnetrelay.rehearsal.checker.verdicts import Handlers
 
-REFUSALS = frozenset((429, 503, 504, 410))  # answers that say: it never ran
-KEPT = 90 * SECOND  # messages that ended so long ago are forgotten
-SAMPLES = 6000  # of a relay's starvation: five minutes of them
+REFUSAL_STATUSES = frozenset((429, 503, 504, 410))  # these answers state that the call had no effect
+RETENTION_NS = 90 * SECOND  # messages are removed this long after their deadline
+MAX_STARVATION_SAMPLES = 6000  # per relay: five minutes of samples
 
 
 @dataclass(slots=True, eq=False)
 class RelayFacts:
-    """A relay through its lives."""
+    """The state of a relay across restarts of its process."""
 
     name: str
-    life: int = 0
-    ready_at: int = -1  # of the present life; -1: not ready
-    signalled: ev.RelaySignalled | None = None  # not ready again since
-    samples: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=SAMPLES))
-    refusing_since: int | None = None  # the platform takes none of its notices
-    taking_since: int = -1  # the platform takes them again
+    life: int = 0  # number of the current process
+    ready_at: int = -1  # when the current process became ready; -1: not ready
+    signalled: ev.RelaySignalled | None = None  # the last restart signal, until the relay is ready again
+    starvation_samples: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=MAX_STARVATION_SAMPLES))
+    refusing_notices_since: int | None = None  # the platform refuses its notices since then
+    accepting_notices_since: int = -1  # the platform accepts them again since then
     disk_reported: bool = False
 
-    def starved(self, start: int, end: int) -> int:
-        """For how long of that time at most it got no core (nanoseconds)."""
-        if not self.samples:
+    def starvation_ns(self, start: int, end: int) -> int:
+        """An upper bound on how long the process waited for a CPU core within that interval."""
+        if not self.starvation_samples:
             return 0
-        low = high = None
-        for at, waited in reversed(self.samples):
+        before = after = None
+        for at, waited in reversed(self.starvation_samples):
             if at >= end:
-                high = (at, waited)
+                after = (at, waited)
             if at <= start:
-                low = (at, waited)
+                before = (at, waited)
                 break
-        low = low or self.samples[0]
-        if high is None:  # no sample so late yet
-            last = self.samples[-1]
-            return max(0, last[1] - low[1])
-        return max(0, high[1] - low[1])
+        before = before or self.starvation_samples[0]
+        if after is None:  # no sample at or after the end of the interval yet
+            latest = self.starvation_samples[-1]
+            return max(0, latest[1] - before[1])
+        return max(0, after[1] - before[1])
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One attempt, as its endpoint saw it."""
+    """One attempt, as observed by its endpoint."""
 
-    came: ev.CallCame
-    life: int
+    arrival: ev.CallCame
+    life: int  # number of the relay process that sent it
     zone: str
     answered: ev.CallAnswered | None = None
     ended: ev.CallEnded | None = None
     effect: ev.Effect | None = None
 
     @property
-    def over_since(self) -> int | None:
-        """Since when at the earliest it is no longer out, by its answer or its connection's end."""
+    def ended_since(self) -> int | None:
+        """The earliest time at which the attempt may have ended, by its answer or the end of its connection."""
         times = [event.since for event in (self.answered, self.ended) if event is not None]
         return min(times, default=None)
 
     @property
     def never_ran(self) -> bool:
-        """Its relay can know that it never ran."""
-        return self.answered is not None and self.answered.readable and self.answered.status in REFUSALS
+        """Whether its relay received proof that the call had no effect."""
+        return self.answered is not None and self.answered.readable and self.answered.status in REFUSAL_STATUSES
 
     @property
     def delivered(self) -> bool:
-        """A first line with 200 was written."""
+        """Whether a status line with 200 was written."""
         return self.answered is not None and self.answered.status == 200
 
-    def proof(self) -> list[ev.Event]:
-        """The events that tell its story."""
-        return [event for event in (self.came, self.answered, self.ended) if event is not None]
+    def evidence(self) -> list[ev.Event]:
+        """The observed events of this attempt, as evidence for a verdict."""
+        return [event for event in (self.arrival, self.answered, self.ended) if event is not None]
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """One hand-in."""
+    """One message submitted by a client."""
 
-    handed: ev.HandedIn
+    submission: ev.HandedIn
     klass: ClassFigures
-    life: int
-    order: int  # among all hand-ins
+    life: int  # number of the relay process that it was submitted to
+    sequence: int  # position among all submitted messages
     answer: ev.Answered | None = None
     unanswered: ev.Unanswered | None = None
     calls: list[Call] = field(default_factory=list)
@@ -92,29 +92,29 @@
     machine_lost: bool = False
 
     @property
-    def taken(self) -> bool:
-        """Whether the relay has promised to deliver it (``+OK``)."""
+    def accepted(self) -> bool:
+        """Whether the relay has accepted it (``+OK``)."""
         return self.answer is not None and self.answer.answer == "ok"
 
     @property
     def refused(self) -> bool:
-        """Whether the relay has answered that it will not."""
+        """Whether the relay has answered that it does not accept it."""
         return self.answer is not None and self.answer.answer != "ok"
 
     @property
     def delivered(self) -> Call | None:
-        """The call that delivered it; None while there is none."""
+        """The call that delivered it, or None."""
         return next((call for call in self.calls if call.delivered), None)
 
     @property
-    def over(self) -> bool:
-        """Whether its client knows how it ended, or its partner has it."""
+    def ended(self) -> bool:
+        """Whether it was refused, delivered or ended by a notice."""
         return bool(self.notices) or self.refused or self.delivered is not None
 
 
 @dataclass(slots=True, eq=False)
 class Facts:
-    """All that the events have told."""
+    """The state derived from all events so far."""
 
     figures: Figures
     now: int = 0
@@ -123,47 +123,47 @@
     messages: dict[str, Message] = field(default_factory=dict)
     lineages: dict[str, list[Message]] = field(default_factory=dict)
     calls: dict[int, Call] = field(default_factory=dict)
-    count: int = 0
-    _age: deque[tuple[int, str]] = field(default_factory=deque)
+    message_count: int = 0
+    _expiries: deque[tuple[int, str]] = field(default_factory=deque)
 
     def relay(self, name: str) -> RelayFacts:
-        """What is known of a relay, from its first mention on."""
+        """The state of a relay; created when the relay is first mentioned."""
         found = self.relays.get(name)
         if found is None:
             found = self.relays[name] = RelayFacts(name)
         return found
 
     def scope(self, route: str) -> str:
-        """The name under which a route's calls are paced; the route's own where none was told."""
+        """The name of the scope that a route belongs to; the route's own name if the route is unknown."""
         found = self.routes.get(route)
         return route if found is None else ev.scope_of(found)
 
     @property
     def handlers(self) -> Handlers:
-        """The events that the facts are made of, each with what takes it in."""
+        """The event types that change the state, each with its handler."""
         return {
-            ev.World: self._world,
+            ev.World: self._routes_announced,
             ev.Starved: self._starved,
             ev.RelayStarted: self._started,
             ev.RelayReady: self._ready,
             ev.RelaySignalled: self._signalled,
             ev.PlatformState: self._platform,
-            ev.HandedIn: self._handed_in,
+            ev.HandedIn: self._submitted,
             ev.Answered: self._answered,
             ev.Unanswered: self._unanswered,
-            ev.CallCame: self._came,
+            ev.CallCame: self._call_arrived,
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
             ev.Effect: self._effect,
             ev.NoticeCame: self._notice,
         }
 
-    def _world(self, event: ev.World) -> None:
+    def _routes_announced(self, event: ev.World) -> None:
         self.routes.update({route.name: route for route in event.routes})
 
     def _starved(self, event: ev.Starved) -> None:
-        self.relay(event.relay).samples.append((event.at, event.waited))
-        self._forget()
+        self.relay(event.relay).starvation_samples.append((event.at, event.waited))
+        self._remove_expired()
 
     def _started(self, event: ev.RelayStarted) -> None:
         relay = self.relay(event.relay)
@@ -179,9 +179,9 @@
     def _platform(self, event: ev.PlatformState) -> None:
         relay = self.relay(event.relay)
         if event.takes:
-            relay.refusing_since, relay.taking_since = None, event.at
+            relay.refusing_notices_since, relay.accepting_notices_since = None, event.at
         else:
-            relay.refusing_since = event.at
+            relay.refusing_notices_since = event.at
 
     def _answered(self, event: ev.Answered) -> None:
         if (message := self.messages.get(event.ref)) is not None:
@@ -191,7 +191,7 @@
         if (message := self.messages.get(event.ref)) is not None and event.why != "closed":
             message.unanswered = event
 
-    def _came(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallCame) -> None:
         route = self.routes.get(event.route)
         call = Call(event, self.relay(event.relay).life, "" if route is None else route.zone)
         self.calls[event.call] = call
@@ -214,19 +214,19 @@
         if (message := self.messages.get(event.ref)) is not None:
             message.notices.append(event)
 
-    def _handed_in(self, event: ev.HandedIn) -> None:
-        self.count += 1
-        message = Message(event, self.figures.classes[event.klass], self.relay(event.relay).life, self.count)
+    def _submitted(self, event: ev.HandedIn) -> None:
+        self.message_count += 1
+        message = Message(event, self.figures.classes[event.klass], self.relay(event.relay).life, self.message_count)
         self.messages[event.ref] = message
         self.lineages.setdefault(event.lineage, []).append(message)
-        self._age.append((event.at + event.patience + KEPT, event.ref))
+        self._expiries.append((event.at + event.patience + RETENTION_NS, event.ref))
 
-    def _forget(self) -> None:
-        while self._age and self._age[0][0] < self.now:
-            message = self.messages.pop(self._age.popleft()[1])
+    def _remove_expired(self) -> None:
+        while self._expiries and self._expiries[0][0] < self.now:
+            message = self.messages.pop(self._expiries.popleft()[1])
             for call in message.calls:
-                self.calls.pop(call.came.call, None)
-            others = self.lineages[message.handed.lineage]
-            others.remove(message)
-            if not others:
-                del self.lineages[message.handed.lineage]
+                self.calls.pop(call.arrival.call, None)
+            same_lineage = self.lineages[message.submission.lineage]
+            same_lineage.remove(message)
+            if not same_lineage:
+                del self.lineages[message.submission.lineage]
--- a/garnetrelay/rehearsal/checker/figures.py
+++ b/garnetrelay/rehearsal/checker/figures.py
@@ -1,4 +1,4 @@
-"""The figures that the rules are judged by: the settings' own, and the margins that the protocol allows."""
+"""The limits that the rules check against: values from the settings, and the tolerances of the protocol."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-REPEATS = {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"}
+REPEAT_BY_IDEMPOTENCY = {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"}
 
 
 class ClassFigures(msgspec.Struct, frozen=True):
-    """One class of message. Times in nanoseconds."""
+    """The settings of one class of message. Times in nanoseconds."""
 
     repeat: str  # safe, keyed or unsafe
-    by_zone: bool  # a repeat is recognised in one building only
-    window: int  # for which a key is remembered, from the send of the first attempt that may have run
+    by_zone: bool  # a repeat is recognised only within the same zone
+    window: int  # how long a key is remembered, from the sending of the first attempt that may have run
     in_turn: bool
 
 
 class Figures(msgspec.Struct, frozen=True):
-    """What a run is judged by. Times in nanoseconds."""
+    """The limits that a run is checked against. Times in nanoseconds; the field names are stored in recordings."""
 
     classes: dict[str, ClassFigures]
     answer_slack: int
@@ -31,20 +31,20 @@
     turn_gap: int
     most_tries: int
     disk_bytes: int
-    sockets_slack: int = 50 * MS  # each time limit is so much longer on sockets
-    wait_pass: int = 100 * MS  # calls that come so soon after a told wait are let through
-    restart_grace: int = 3 * SECOND // 2  # from ready on, in which no notice is overdue
-    platform_grace: int = 5 * SECOND // 2  # the same once the platform takes notices again: pause and resend
-    heard: int = SECOND // 2  # an answer written so long before is surely read, unless its relay was starved
+    sockets_slack: int = 50 * MS  # added to each time limit, for the delay of sockets
+    wait_pass: int = 100 * MS  # calls that arrive this soon after the answer with the wait are allowed
+    restart_grace: int = 3 * SECOND // 2  # after a relay is ready; no notice is overdue during it
+    platform_grace: int = 5 * SECOND // 2  # the same after the platform accepts notices again: backoff and resend
+    heard: int = SECOND // 2  # after this time a written answer has been read, unless the relay was starved
 
 
 def figures_of(settings: dict[str, Any], disk_bytes: int) -> Figures:
-    """From the settings as a relay is told them."""
+    """Build the limits from the settings that a relay receives."""
     rules = settings["rules"]
     return Figures(
         classes={
             c["name"]: ClassFigures(
-                repeat=REPEATS[c["idempotency"]],
+                repeat=REPEAT_BY_IDEMPOTENCY[c["idempotency"]],
                 by_zone=c.get("keyScope", "all") != "all",
                 window=int(c.get("repeatWindow", 0)),
                 in_turn=bool(c.get("inTurn", False)),
--- a/garnetrelay/rehearsal/checker/order.py
+++ b/garnetrelay/rehearsal/checker/order.py
@@ -1,8 +1,8 @@
-"""Rule 5: messages of a class in turn that share a key go one at a time, in the order their relay took them.
+"""Rule 5: messages of an ordered class that share a key are sent one at a time, in the order of acceptance.
 
-One is taken before another if its ``+OK`` was read before the other was handed in. What ends by a notice may end
-out of turn; so a later one that goes out first is a break only where the earlier one was out then, or goes out or
-is delivered afterwards.
+A message is accepted before another if its ``+OK`` was read before the other was submitted. Messages that end by a
+notice may end out of order. A later message that is sent first therefore breaks the rule only if the earlier one was
+in flight at that time, or is sent or delivered afterwards.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from garnetrelay.rehearsal.checker.figures import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
-MOST = 256  # messages of one key that are looked back at
+MAX_QUEUE_MESSAGES = 256  # of one key, kept for comparison
 
 
-class Order:
-    """Judges the calls of messages that go in turn."""
+class KeyOrderRule:
+    """Checks the calls of messages whose class keeps the order of a key."""
 
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
@@ -28,68 +28,69 @@
 
     @property
     def handlers(self) -> Handlers:
-        """The events that this rule hears of, each with what takes it in; none where no class keeps an order."""
+        """The event types that this rule handles, each with its handler; empty if no class is ordered."""
         if not any(klass.in_turn for klass in self.facts.figures.classes.values()):
             return {}
-        return {ev.HandedIn: self._handed_in, ev.CallCame: self._came}
+        return {ev.HandedIn: self._submitted, ev.CallCame: self._call_arrived}
 
-    def _handed_in(self, event: ev.HandedIn) -> None:
+    def _submitted(self, event: ev.HandedIn) -> None:
         if self.facts.figures.classes[event.klass].in_turn and event.key:
-            queue = self.queues.setdefault((event.relay, event.key), deque(maxlen=MOST))
+            queue = self.queues.setdefault((event.relay, event.key), deque(maxlen=MAX_QUEUE_MESSAGES))
             queue.append(self.facts.messages[event.ref])
 
-    def _came(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallCame) -> None:
         message = self.facts.messages.get(event.ref)
-        if message is not None and message.klass.in_turn and message.handed.key:
-            self.verdict_log.later(event.at, functools.partial(self._judge, message, self.facts.calls[event.call]))
+        if message is not None and message.klass.in_turn and message.submission.key:
+            self.verdict_log.defer(event.at, functools.partial(self._check, message, self.facts.calls[event.call]))
 
-    def _judge(self, message: Message, call: Call) -> None:
-        came = call.came
-        for other in self.queues[(message.handed.relay, message.handed.key)]:
+    def _check(self, message: Message, call: Call) -> None:
+        arrival = call.arrival
+        for other in self.queues[(message.submission.relay, message.submission.key)]:
             if other is message:
                 continue
-            if self._taken_before(message, other):
-                # A later one was out before this one came: it has overtaken.
-                for passed in other.calls:
-                    if passed.came.at < came.first and message.taken:
-                        self._broken(
+            if self._accepted_before(message, other):
+                # A message accepted later was sent before this one, so it has overtaken it.
+                for overtaking in other.calls:
+                    if overtaking.arrival.at < arrival.first and message.accepted:
+                        self._report(
                             "overtaken",
-                            came,
-                            f"{came.ref} came to {came.route} after " f"{other.handed.ref}, which its relay took later",
-                            [*passed.proof(), came],
+                            arrival,
+                            f"{arrival.ref} arrived at {arrival.route} after {other.submission.ref}, "
+                            f"which its relay accepted later",
+                            [*overtaking.evidence(), arrival],
                         )
                         return
                 continue
             for attempt in other.calls:
-                self._judge_pair(came, attempt)
+                self._check_pair(arrival, attempt)
 
-    def _judge_pair(self, came: ev.CallCame, attempt: Call) -> None:
-        if attempt.came.call >= came.call:
+    def _check_pair(self, arrival: ev.CallCame, attempt: Call) -> None:
+        if attempt.arrival.call >= arrival.call:
             return
-        if attempt.over_since is None or attempt.over_since > came.at:
-            self._broken(
+        if attempt.ended_since is None or attempt.ended_since > arrival.at:
+            self._report(
                 "together",
-                came,
-                f"{came.ref} came to {came.route} while {attempt.came.ref} of the same "
-                f"key was out at {attempt.came.route}",
-                [*attempt.proof(), came],
+                arrival,
+                f"{arrival.ref} arrived at {arrival.route} while {attempt.arrival.ref} of the same "
+                f"key was in flight at {attempt.arrival.route}",
+                [*attempt.evidence(), arrival],
             )
         elif attempt.answered is None and attempt.ended is not None:
-            rested = came.at - attempt.ended.since
-            # A relay counts from its verdict; the close that goes with it leaves in the next round of its loop.
-            late = self.facts.relay(came.relay).starved(attempt.ended.since - SECOND, came.at)
-            if rested < self.facts.figures.turn_gap - self.facts.figures.sockets_slack - late:
-                self._broken(
+            gap = arrival.at - attempt.ended.since
+            # A relay counts from its decision; it closes the connection in the next iteration of its event loop.
+            starvation = self.facts.relay(arrival.relay).starvation_ns(attempt.ended.since - SECOND, arrival.at)
+            if gap < self.facts.figures.turn_gap - self.facts.figures.sockets_slack - starvation:
+                self._report(
                     "no-rest",
-                    came,
-                    f"{came.ref} came to {came.route} {seconds(rested)} after an attempt "
-                    f"for {attempt.came.ref} of the same key ended without an answer; the key rests "
+                    arrival,
+                    f"{arrival.ref} arrived at {arrival.route} {seconds(gap)} after an attempt "
+                    f"for {attempt.arrival.ref} of the same key ended without an answer; the required gap is "
                     f"{seconds(self.facts.figures.turn_gap)}",
-                    [*attempt.proof(), came],
+                    [*attempt.evidence(), arrival],
                 )
 
-    def _taken_before(self, one: Message, other: Message) -> bool:
-        return one.answer is not None and one.taken and one.answer.at < other.handed.at
+    def _accepted_before(self, message: Message, other: Message) -> bool:
+        return message.answer is not None and message.accepted and message.answer.at < other.submission.at
 
-    def _broken(self, fault: str, came: ev.CallCame, text: str, proof: list[ev.Event]) -> None:
-        self.verdict_log.broken(5, fault, came.ref, came.relay, came.at, text, proof)
+    def _report(self, fault: str, arrival: ev.CallCame, text: str, evidence: list[ev.Event]) -> None:
+        self.verdict_log.report(5, fault, arrival.ref, arrival.relay, arrival.at, text, evidence)
--- a/garnetrelay/rehearsal/checker/returns.py
+++ b/garnetrelay/rehearsal/checker/returns.py
@@ -1,9 +1,10 @@
-"""Rule 4: a partner that comes back cold from an outage is not pushed over by relays that saw it fail.
+"""Rule 4: a partner that is cold after an outage is not overloaded by relays that saw it fail.
 
-Load is counted over the stated time: more than the stated multiple of what the partner can take at that moment is
-too much, with a slack for chance of one standard deviation of a Poisson count of that size, two calls at least.
-Only calls that surely came within one span of that length count together. The rule is broken if two thirds of them
-came from relays that, in that same life, saw a call or a probe there fail or be refused during the outage.
+Load is counted over a sliding window (``Figures.fall``). The limit is a multiple (``Figures.fall_multiple``) of the
+partner's capacity at that moment, plus one standard deviation of a Poisson count of that size, at least two calls,
+for random variation. Only calls that certainly arrived within one window are counted together. The rule is broken if
+at least two thirds of them came from relays whose current process saw a call or probe to the partner fail or be
+refused during the outage.
 """
 
 from __future__ import annotations
@@ -17,36 +18,38 @@
 from garnetrelay.rehearsal.checker.figures import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
-BLAME = 2 / 3
-LEAST_SLACK = 2.0  # calls
+MIN_INFORMED_SHARE = 2 / 3  # of the calls, from relays that saw the outage
+MIN_SLACK_CALLS = 2.0
 
 
-def capacity(over: ev.OutageOver, at: int) -> float:
-    """Calls a second that it can take at a moment, warming evenly."""
-    if over.ramp <= 0:
-        return over.capacity
-    warm = min(1.0, max(0.0, (at - over.at) / over.ramp))
-    return over.capacity * (over.start + (1 - over.start) * warm)
+def capacity(recovery: ev.OutageOver, at: int) -> float:
+    """Calls a second that the partner can serve at a given time; capacity grows linearly during the ramp."""
+    if recovery.ramp <= 0:
+        return recovery.capacity
+    warm = min(1.0, max(0.0, (at - recovery.at) / recovery.ramp))
+    return recovery.capacity * (recovery.start + (1 - recovery.start) * warm)
 
 
-def most_calls(over: ev.OutageOver, at: int, fall: int, multiple: float) -> float:
-    """How many calls within one span that ends then it stands, chance allowed for."""
-    budget = multiple * capacity(over, at) * fall / SECOND
-    return budget + max(LEAST_SLACK, math.sqrt(budget))
+def max_calls(recovery: ev.OutageOver, at: int, window: int, multiple: float) -> float:
+    """The maximum number of calls in a window that ends at ``at``, including the slack for random variation."""
+    budget = multiple * capacity(recovery, at) * window / SECOND
+    return budget + max(MIN_SLACK_CALLS, math.sqrt(budget))
 
 
 @dataclass(slots=True, eq=False)
 class Scope:
-    """A partner, or a route that is apart, in and after an outage."""
+    """A partner, or a route with limits of its own, during and after an outage."""
 
     began: ev.OutageBegan
-    over: ev.OutageOver | None = None
-    saw: dict[tuple[str, int], ev.Event] = field(default_factory=dict)  # by relay and life: a failure it saw
-    came: deque[tuple[ev.CallCame | ev.ProbeCame, int]] = field(default_factory=deque)
+    recovery: ev.OutageOver | None = None
+    # By relay and number of its process: the first failure that it saw.
+    failures_seen: dict[tuple[str, int], ev.Event] = field(default_factory=dict)
+    # Calls and probes of the current window, each with the number of the relay process.
+    arrivals: deque[tuple[ev.CallCame | ev.ProbeCame, int]] = field(default_factory=deque)
 
 
-class Returns:
-    """Judges the load on partners that have come back."""
+class RecoveryLoadRule:
+    """Checks the load on partners that recover from an outage."""
 
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
@@ -55,82 +58,84 @@
 
     @property
     def handlers(self) -> Handlers:
-        """The events that this rule hears of, each with what takes it in."""
+        """The event types that this rule handles, each with its handler."""
         return {
-            ev.OutageBegan: self._began,
-            ev.OutageOver: self._over,
-            ev.CallCame: self._came,
-            ev.ProbeCame: self._probed,
-            ev.ConnectFailed: self._turned_away,
-            ev.CallAnswered: self._answered,
-            ev.CallEnded: self._ended,
+            ev.OutageBegan: self._outage_began,
+            ev.OutageOver: self._outage_over,
+            ev.CallCame: self._arrived,
+            ev.ProbeCame: self._probe_arrived,
+            ev.ConnectFailed: self._connect_failed,
+            ev.CallAnswered: self._call_answered,
+            ev.CallEnded: self._call_ended,
         }
 
-    def _began(self, event: ev.OutageBegan) -> None:
+    def _outage_began(self, event: ev.OutageBegan) -> None:
         self.scopes[event.scope] = Scope(event)
 
-    def _over(self, event: ev.OutageOver) -> None:
+    def _outage_over(self, event: ev.OutageOver) -> None:
         if event.scope in self.scopes:
-            self.scopes[event.scope].over = event
+            self.scopes[event.scope].recovery = event
 
-    def _probed(self, event: ev.ProbeCame) -> None:
+    def _probe_arrived(self, event: ev.ProbeCame) -> None:
         if event.status != 200:
-            self._failed(event.relay, event.route, event)
-        self._came(event)
+            self._record_failure(event.relay, event.route, event)
+        self._arrived(event)
 
-    def _turned_away(self, event: ev.ConnectFailed) -> None:
-        self._failed(event.relay, event.route, event)
+    def _connect_failed(self, event: ev.ConnectFailed) -> None:
+        self._record_failure(event.relay, event.route, event)
 
-    def _answered(self, event: ev.CallAnswered) -> None:
+    def _call_answered(self, event: ev.CallAnswered) -> None:
         if event.status != 200 and event.call in self.facts.calls:
-            came = self.facts.calls[event.call].came
-            self._failed(came.relay, came.route, event)
+            arrival = self.facts.calls[event.call].arrival
+            self._record_failure(arrival.relay, arrival.route, event)
 
-    def _ended(self, event: ev.CallEnded) -> None:
+    def _call_ended(self, event: ev.CallEnded) -> None:
         call = self.facts.calls.get(event.call)
         if call is not None and call.answered is None:
-            self._failed(call.came.relay, call.came.route, event)
+            self._record_failure(call.arrival.relay, call.arrival.route, event)
 
-    def _failed(self, relay: str, route: str, event: ev.Event) -> None:
+    def _record_failure(self, relay: str, route: str, event: ev.Event) -> None:
         scope = self.scopes.get(self.facts.scope(route))
-        if scope is not None and scope.over is None:
-            scope.saw.setdefault((relay, self.facts.relay(relay).life), event)
+        if scope is not None and scope.recovery is None:
+            scope.failures_seen.setdefault((relay, self.facts.relay(relay).life), event)
 
-    def _came(self, came: ev.CallCame | ev.ProbeCame) -> None:
+    def _arrived(self, arrival: ev.CallCame | ev.ProbeCame) -> None:
         if not self.scopes:
             return
-        name = self.facts.scope(came.route)
+        name = self.facts.scope(arrival.route)
         scope = self.scopes.get(name)
-        if scope is None or scope.over is None or came.since < scope.over.at:
+        if scope is None or scope.recovery is None or arrival.since < scope.recovery.at:
             return
-        over, figures = scope.over, self.facts.figures
-        if came.at > over.at + over.ramp + figures.fall:
+        recovery, figures = scope.recovery, self.facts.figures
+        if arrival.at > recovery.at + recovery.ramp + figures.fall:
             del self.scopes[name]
             return
-        life = self.facts.relay(came.relay).life
-        scope.came.append((came, life))
-        while scope.came[0][0].since < came.at - figures.fall:
-            scope.came.popleft()
-        most = most_calls(over, came.at, figures.fall, figures.fall_multiple)
-        if len(scope.came) <= most:
+        life = self.facts.relay(arrival.relay).life
+        scope.arrivals.append((arrival, life))
+        while scope.arrivals[0][0].since < arrival.at - figures.fall:
+            scope.arrivals.popleft()
+        max_count = max_calls(recovery, arrival.at, figures.fall, figures.fall_multiple)
+        if len(scope.arrivals) <= max_count:
             return
-        knew = [(event, key) for event, n in scope.came if (key := (event.relay, n)) in scope.saw]
-        if len(knew) < BLAME * len(scope.came):
+        informed = [
+            (event, key) for event, process in scope.arrivals if (key := (event.relay, process)) in scope.failures_seen
+        ]
+        if len(informed) < MIN_INFORMED_SHARE * len(scope.arrivals):
             return
-        relays = sorted({key[0] for _, key in knew})
-        self.verdict_log.broken(
+        relays = sorted({key[0] for _, key in informed})
+        self.verdict_log.report(
             4,
             "pushed-over",
             name,
             ", ".join(relays),
-            came.at,
-            f"{name} came back at {seconds(over.at)} and takes {capacity(over, came.at):.1f} calls a second; "
-            f"{len(scope.came)} came within {seconds(figures.fall)}, {len(knew)} of them from "
+            arrival.at,
+            f"{name} recovered at {seconds(recovery.at)} and can serve {capacity(recovery, arrival.at):.1f} calls "
+            f"a second; {len(scope.arrivals)} arrived within {seconds(figures.fall)}, {len(informed)} of them from "
             f"{' and '.join(relays)}, which had seen it fail",
             [
                 scope.began,
-                over,
-                *(scope.saw[key] for key in dict.fromkeys(key for _, key in knew)),
-                *(event for event, _ in scope.came),
+                recovery,
+                *(scope.failures_seen[key] for key in dict.fromkeys(key for _, key in informed)),
+                *(event for event, _ in scope.arrivals),
             ],
         )
--- a/garnetrelay/rehearsal/checker/verdicts.py
+++ b/garnetrelay/rehearsal/checker/verdicts.py
@@ -1,4 +1,4 @@
-"""What is still to be judged, and what has been found."""
+"""Verdicts, and the log that collects them and runs deferred checks."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """A broken rule: which, how, what broke it, whose doing it was, when, and the events that prove it."""
+    """A rule violation: the rule, the fault, the subject, the responsible relay, the time and the events as evidence."""
 
     rule: int
-    fault: str  # short and stable, for machines
+    fault: str  # short, stable and machine-readable
     subject: str  # a message's ref, or a scope: a partner or a route
     relay: str
     at: int  # nanoseconds since the run began
@@ -34,41 +34,44 @@
     proof: tuple[ev.Event, ...]
 
 
-Handlers = dict[type[ev.Observed], Callable[[Any], None]]  # what takes in which event
+Handlers = dict[type[ev.Observed], Callable[[Any], None]]  # event type to handler
 
 
 class VerdictLog:
-    """Judgements that wait until all that happened by a time must have been read. An event whose ``since`` lies
-    behind that time was read in a later round of the loop than anything that came before it."""
+    """Collects verdicts, and defers checks until every event up to a given time must have been read.
+
+    An event whose ``since`` is after that time was read in a later iteration of the event loop than any event
+    that happened before it.
+    """
 
     def __init__(self) -> None:
         self.verdicts: list[Verdict] = []
-        self._seen: set[tuple[int, str, str]] = set()
-        self._waiting: list[tuple[int, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._reported: set[tuple[int, str, str]] = set()
+        self._deferred: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
 
-    def later(self, ripe: int, judge: Callable[[], None]) -> None:
-        """Judge once all that happened by ``ripe`` has been read."""
-        heapq.heappush(self._waiting, (ripe, next(self._numbers), judge))
+    def defer(self, until: int, check: Callable[[], None]) -> None:
+        """Run a check once every event up to ``until`` has been read."""
+        heapq.heappush(self._deferred, (until, next(self._sequence), check))
 
-    def read_up_to(self, since: int) -> None:
-        """All that happened by then has been read."""
-        while self._waiting and self._waiting[0][0] < since:
-            heapq.heappop(self._waiting)[2]()
+    def run_due(self, since: int) -> None:
+        """Run the deferred checks that are due: every event before ``since`` has been read."""
+        while self._deferred and self._deferred[0][0] < since:
+            heapq.heappop(self._deferred)[2]()
 
     def finish(self) -> None:
-        """Nothing more will come: judge what is left, each as it stands."""
-        for _, _, judge in sorted(self._waiting, key=lambda entry: entry[:2]):
-            judge()
-        self._waiting.clear()
-
-    def broken(self, rule: int, fault: str, subject: str, relay: str, at: int, text: str, proof: list[ev.Event]) -> None:
-        """A rule is broken; the same of the same subject is told once."""
-        if (rule, fault, subject) not in self._seen:
-            self._seen.add((rule, fault, subject))
+        """Run all remaining deferred checks in order: the run has ended."""
+        for _, _, check in sorted(self._deferred, key=lambda entry: entry[:2]):
+            check()
+        self._deferred.clear()
+
+    def report(self, rule: int, fault: str, subject: str, relay: str, at: int, text: str, proof: list[ev.Event]) -> None:
+        """Record a violation; the same fault of the same subject is recorded once."""
+        if (rule, fault, subject) not in self._reported:
+            self._reported.add((rule, fault, subject))
             self.verdicts.append(Verdict(rule, fault, subject, relay, at, text, tuple(proof)))
 
 
 def seconds(nanoseconds: int) -> str:
-    """A time in nanoseconds as the verdicts write it, in seconds."""
+    """A time in nanoseconds, formatted in seconds for the text of a verdict."""
     return f"{nanoseconds / 1e9:.3f} s"
--- a/garnetrelay/rehearsal/checker/waits.py
+++ b/garnetrelay/rehearsal/checker/waits.py
@@ -1,4 +1,4 @@
-"""Rule 6: a relay that was told to wait sends nothing to that partner, or route, until the wait is over."""
+"""Rule 6: a relay that was told to wait sends nothing to that partner or route until the wait has ended."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True, eq=False)
 class Wait:
-    """A wait that was told to one life of a relay."""
+    """A wait that one process of a relay was told in the answer to a call."""
 
-    answered: ev.CallAnswered
-    came: ev.CallCame
-    life: int
-    void: bool = False  # its connection ended so soon that it was perhaps not read
+    answer: ev.CallAnswered
+    arrival: ev.CallCame
+    life: int  # number of the relay process that sent the call
+    void: bool = False  # its connection ended so early that the relay may not have read it
 
 
-class Waits:
-    """Judges calls and probes against the waits that their relay was told."""
+class WaitRule:
+    """Checks calls and probes against the waits that their relay was told."""
 
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
@@ -32,58 +32,58 @@
 
     @property
     def handlers(self) -> Handlers:
-        """The events that this rule hears of, each with what takes it in."""
+        """The event types that this rule handles, each with its handler."""
         return {
-            ev.CallAnswered: self._answered,
-            ev.CallEnded: self._ended,
+            ev.CallAnswered: self._call_answered,
+            ev.CallEnded: self._call_ended,
             ev.CallCame: self._sent,
             ev.ProbeCame: self._sent,
         }
 
-    def _answered(self, event: ev.CallAnswered) -> None:
+    def _call_answered(self, event: ev.CallAnswered) -> None:
         call = self.facts.calls.get(event.call)
         if event.wait > 0 and event.readable and call is not None:
-            wait = Wait(event, call.came, call.life)
-            scope = self.facts.scope(call.came.route)
-            self.waits.setdefault((call.came.relay, scope), deque()).append(wait)
+            wait = Wait(event, call.arrival, call.life)
+            scope = self.facts.scope(call.arrival.route)
+            self.waits.setdefault((call.arrival.relay, scope), deque()).append(wait)
             self.by_call[event.call] = wait
 
-    def _ended(self, event: ev.CallEnded) -> None:
-        """Broken off by either side before it was surely read: who was told nothing need not wait."""
+    def _call_ended(self, event: ev.CallEnded) -> None:
+        """Void the wait if the connection ended before the relay must have read the answer."""
         wait = self.by_call.pop(event.call, None)
         if wait is not None:
-            relay = self.facts.relay(wait.came.relay)
-            surely = wait.answered.at + self.facts.figures.wait_pass
-            wait.void = event.since <= surely + relay.starved(wait.answered.at, event.at)
+            relay = self.facts.relay(wait.arrival.relay)
+            certainly_read_at = wait.answer.at + self.facts.figures.wait_pass
+            wait.void = event.since <= certainly_read_at + relay.starvation_ns(wait.answer.at, event.at)
 
-    def _sent(self, came: ev.CallCame | ev.ProbeCame) -> None:
+    def _sent(self, arrival: ev.CallCame | ev.ProbeCame) -> None:
         if not self.waits:
             return
-        waits = self.waits.get((came.relay, self.facts.scope(came.route)))
+        waits = self.waits.get((arrival.relay, self.facts.scope(arrival.route)))
         if not waits:
             return
-        relay = self.facts.relay(came.relay)
-        while waits and waits[0].answered.at + waits[0].answered.wait < came.since and waits[0].life <= relay.life:
-            self.by_call.pop(waits.popleft().answered.call, None)
+        relay = self.facts.relay(arrival.relay)
+        while waits and waits[0].answer.at + waits[0].answer.wait < arrival.since and waits[0].life <= relay.life:
+            self.by_call.pop(waits.popleft().answer.call, None)
         for wait in waits:
-            told, pass_until = wait.answered, wait.answered.at + self.facts.figures.wait_pass
-            if wait.life != relay.life or came.at >= told.at + told.wait:
-                continue  # a restart ends it
-            if came.first > pass_until + relay.starved(told.at, came.at):
-                self.verdict_log.later(came.at, functools.partial(self._judge, wait, came))
+            answer, tolerance_end = wait.answer, wait.answer.at + self.facts.figures.wait_pass
+            if wait.life != relay.life or arrival.at >= answer.at + answer.wait:
+                continue  # the wait has ended, or does not apply to a restarted relay
+            if arrival.first > tolerance_end + relay.starvation_ns(answer.at, arrival.at):
+                self.verdict_log.defer(arrival.at, functools.partial(self._check, wait, arrival))
 
-    def _judge(self, wait: Wait, came: ev.CallCame | ev.ProbeCame) -> None:
+    def _check(self, wait: Wait, arrival: ev.CallCame | ev.ProbeCame) -> None:
         if wait.void:
             return
-        told = wait.answered
-        subject = came.ref if isinstance(came, ev.CallCame) else came.route
-        self.verdict_log.broken(
+        answer = wait.answer
+        subject = arrival.ref if isinstance(arrival, ev.CallCame) else arrival.route
+        self.verdict_log.report(
             6,
             "sent-in-wait",
             subject,
-            came.relay,
-            came.at,
-            f"{came.relay} was told at {seconds(told.at)} by {wait.came.route} to wait {seconds(told.wait)}, and "
-            f"sent {subject} to {came.route} {seconds(came.first - told.at)} after that",
-            [wait.came, told, came],
+            arrival.relay,
+            arrival.at,
+            f"{arrival.relay} was told at {seconds(answer.at)} by {wait.arrival.route} to wait {seconds(answer.wait)}, "
+            f"but sent {subject} to {arrival.route} {seconds(arrival.first - answer.at)} later",
+            [wait.arrival, answer, arrival],
         )
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -9,7 +9,7 @@
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker import Checker, Figures
 from garnetrelay.rehearsal.checker.figures import ClassFigures
-from garnetrelay.rehearsal.checker.returns import most_calls
+from garnetrelay.rehearsal.checker.returns import max_calls
 
 MS = 1_000_000
 S = 1_000_000_000
@@ -317,7 +317,7 @@
 
 def budget(at: int) -> int:
     over = ev.OutageOver(1000 * MS, 1000 * MS, "a1", 10.0, 0.2, 10 * S)
-    return int(most_calls(over, at * MS, 3 * S, 2.0))
+    return int(max_calls(over, at * MS, 3 * S, 2.0))
 
 
 def test_load_within_the_budget_and_over_it() -> None:
