--- a/garnetrelay/rehearsal/checker/effects.py
+++ b/garnetrelay/rehearsal/checker/effects.py
@@ -64,7 +64,8 @@
         if len(message.calls) > self.facts.figures.most_tries and message.calls[-1] is call:
             self._report(
                 "too-many",
-                f"{arrival.ref} was sent {len(message.calls)} times; the limit is {self.facts.figures.most_tries}",
+                f"{arrival.ref} was sent {len(message.calls)} times, more than the limit of "
+                f"{self.facts.figures.most_tries} attempts",
                 [arrival],
                 arrival,
             )
--- a/garnetrelay/rehearsal/checker/ends.py
+++ b/garnetrelay/rehearsal/checker/ends.py
@@ -59,7 +59,7 @@
                 event.relay,
                 event.relay,
                 event.at,
-                f"{event.relay} uses {event.bytes} bytes in its state folder; the limit is {max_bytes}",
+                f"{event.relay} uses {event.bytes} bytes in its state folder; the limit is {max_bytes} bytes",
                 [event],
             )
 
@@ -155,7 +155,7 @@
                 notice.ref,
                 notice.relay,
                 notice.at,
-                f"{notice.ref} was delivered at {seconds(call.answered.at)} and then reported as {notice.result}",
+                f"{notice.ref} was delivered at {seconds(call.answered.at)}, but {notice.result} was reported afterwards",
                 [message.submission, *call.evidence(), notice],
             )
 
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -1,9 +1,12 @@
-"""What the stand-ins observe, as typed values: the checker's only source, recorded and read again as JSON lines.
+"""The observed events of a run, as typed values: the checker's only input, recorded and read as JSON lines.
 
-Times are nanoseconds since the run began, by one monotonic clock. What comes in from a relay has happened some
-time after ``since`` (the stand-ins' loop had looked then, and it was not there) and before ``at`` (it was read);
-what a stand-in does itself has both alike. A rule is broken only if it is broken wherever between the two the
-thing happened: a busy machine widens the interval, and so can hide a break but never invent one.
+Tags and field names are part of the format of recordings.
+
+Times are nanoseconds since the start of the run, by one monotonic clock. An event caused by a relay happened after
+``since`` (the event loop of the simulated services had polled then without seeing it) and before ``at`` (when it was
+read). An action of a simulated service has the same value in both. A rule counts as broken only if it is broken at
+every possible time within that interval: a busy machine widens the interval, which can hide a violation but never
+produce a false one.
 """
 
 from __future__ import annotations
@@ -15,29 +18,32 @@
 
 
 class Observed(msgspec.Struct, frozen=True, gc=False, tag_field="what"):
-    """The base: when it happened."""
+    """Base of all events: the interval within which the event happened."""
 
     at: int
     since: int
 
 
 class Route(msgspec.Struct, frozen=True, gc=False):
-    """An endpoint of a partner, as the checker has to know it."""
+    """An endpoint of a partner, with the properties that the checker needs."""
 
     name: str
     dest: int
     zone: str
-    apart: bool  # a route of its own: limits, waits and outages count for it alone
+    apart: bool  # limits, waits and outages apply to this route alone, not to its partner
 
 
 class World(Observed, frozen=True, gc=False, tag="world"):
-    """The endpoints there are, told at the start and again when some are added."""
+    """The existing endpoints; sent at the start of a run and again when endpoints are added."""
 
     routes: tuple[Route, ...]
 
 
 class RelayStarted(Observed, frozen=True, gc=False, tag="relay-started"):
-    """A relay's process is being started: a life of its own, which knows nothing of the one before but its folder."""
+    """A relay's process is being started. It shares only the state folder with the previous process.
+
+    ``life`` is the number of the process.
+    """
 
     relay: str
     life: int
@@ -51,14 +57,14 @@
 
 
 class RelaySignalled(Observed, frozen=True, gc=False, tag="relay-signalled"):
-    """A restart begins with this signal."""
+    """A restart of a relay begins with this signal."""
 
     relay: str
     signal: str
 
 
 class RelayEnded(Observed, frozen=True, gc=False, tag="relay-ended"):
-    """A relay's process is gone. Unplanned: nobody had told it to end."""
+    """A relay's process has ended. It is ``planned`` if the run had told it to end."""
 
     relay: str
     status: int
@@ -66,8 +72,11 @@
 
 
 class RelayPassed(Observed, frozen=True, gc=False, tag="relay-passed"):
-    """A relay has passed to a new process beside the old one, or was to: ``how`` it ended, ``well`` where the new one
-    said that it serves; ``began`` is when that was started. Both processes are one relay, and one life of it."""
+    """A handover of a relay to a new process has ended.
+
+    ``how`` is its outcome: ``well`` if the new process reported that it serves. ``began`` is when the handover was
+    started. Both processes count as one relay with the same ``life``.
+    """
 
     relay: str
     how: str
@@ -75,7 +84,10 @@
 
 
 class OutByHand(Observed, frozen=True, gc=False, tag="out-by-hand"):
-    """Staff have a relay's word that an endpoint is out, or are putting it back. No restart ends that."""
+    """A relay has confirmed that an endpoint is excluded by operators, or operators are including it again.
+
+    An exclusion outlasts restarts.
+    """
 
     relay: str
     route: str
@@ -83,22 +95,25 @@
 
 
 class Starved(Observed, frozen=True, gc=False, tag="starved"):
-    """How long a relay's process was ready to run and got no core, in all its lives together (nanoseconds)."""
+    """How long a relay was runnable without a CPU core, in total over all its processes (nanoseconds)."""
 
     relay: str
     waited: int
 
 
 class DiskUsed(Observed, frozen=True, gc=False, tag="disk-used"):
-    """What lies in a relay's state folder, in whole blocks (bytes)."""
+    """Disk space used by a relay's state folder, in whole blocks (bytes)."""
 
     relay: str
     bytes: int
 
 
 class HandedIn(Observed, frozen=True, gc=False, tag="handed-in"):
-    """A client has written a request to a relay. Hand-ins of one ``lineage`` stand for one effect: the later
-    ones follow a refusal, which says that coming again is harmless."""
+    """A client has submitted a message to a relay.
+
+    Messages with the same ``lineage`` stand for one effect: each later one follows a refusal, which states that
+    submitting it again is safe. ``patience`` is the time limit of the message (nanoseconds).
+    """
 
     relay: str
     ref: str
@@ -110,7 +125,7 @@
 
 
 class Answered(Observed, frozen=True, gc=False, tag="answered"):
-    """A relay has answered a hand-in: ``ok``, ``busy`` or ``error``."""
+    """A relay has answered a submitted message: ``ok``, ``busy`` or ``error``."""
 
     relay: str
     ref: str
@@ -119,8 +134,11 @@
 
 
 class Unanswered(Observed, frozen=True, gc=False, tag="unanswered"):
-    """A client stopped waiting for an answer: ``late``, ``refused`` (no connection), ``closed`` (the relay ended
-    the connection; the client sends once more) or ``closed-twice``."""
+    """A client stopped waiting for an answer.
+
+    ``why`` is ``late`` (time-out), ``refused`` (no connection), ``closed`` (the relay closed the connection; the
+    client sends the message once more) or ``closed-twice``.
+    """
 
     relay: str
     ref: str
@@ -128,7 +146,7 @@
 
 
 class CallCame(Observed, frozen=True, gc=False, tag="call-came"):
-    """A call has come whole at an endpoint; its first byte came after ``first``."""
+    """An endpoint has received a complete call, whose first byte arrived after ``first``."""
 
     call: int
     relay: str
@@ -138,7 +156,11 @@
 
 
 class CallAnswered(Observed, frozen=True, gc=False, tag="call-answered"):
-    """An endpoint answers a call. Not ``readable``: spoilt on purpose, or cut off with it. ``wait`` as told."""
+    """An endpoint answers a call.
+
+    ``readable`` is false if the answer is malformed on purpose or the connection was cut off during it. ``wait`` is
+    the wait that the answer tells the relay (nanoseconds).
+    """
 
     call: int
     status: int
@@ -147,14 +169,14 @@
 
 
 class CallEnded(Observed, frozen=True, gc=False, tag="call-ended"):
-    """The connection of a call ended, before its answer or soon after it: by the ``relay`` or the ``partner``."""
+    """The connection of a call was ended by the ``relay`` or the ``partner``, before the answer or soon after it."""
 
     call: int
     by: str
 
 
 class Effect(Observed, frozen=True, gc=False, tag="effect"):
-    """A call took effect at a partner; a repeat that the partner recognised is none."""
+    """A call took effect at a partner. A repeat that the partner recognises has no effect."""
 
     call: int
     ref: str
@@ -162,7 +184,7 @@
 
 
 class ProbeCame(Observed, frozen=True, gc=False, tag="probe-came"):
-    """A probe has come; it was answered with ``status`` at once, or stays without an answer (0)."""
+    """An endpoint has received a probe, and answered it with ``status`` at once or not at all (0)."""
 
     relay: str
     route: str
@@ -171,14 +193,14 @@
 
 
 class ConnectFailed(Observed, frozen=True, gc=False, tag="connect-failed"):
-    """An endpoint that is down turned a relay's connection away."""
+    """An endpoint that is down refused a connection from a relay."""
 
     relay: str
     route: str
 
 
 class NoticeCame(Observed, frozen=True, gc=False, tag="notice-came"):
-    """The platform has read a notice. Not ``acknowledged``: it will come again."""
+    """The platform has read a notice. The relay repeats a notice that is not ``acknowledged``."""
 
     relay: str
     ref: str
@@ -188,14 +210,14 @@
 
 
 class PlatformState(Observed, frozen=True, gc=False, tag="platform-state"):
-    """Whether the platform takes notices of a relay."""
+    """Whether the platform accepts notices from a relay."""
 
     relay: str
     takes: bool
 
 
 class Told(Observed, frozen=True, gc=False, tag="told"):
-    """The register has written an endpoint's state to a relay, or the relay counts as told of it."""
+    """The register has sent an endpoint's state to a relay, or the relay counts as notified of it."""
 
     relay: str
     route: str
@@ -203,15 +225,18 @@
 
 
 class OutageBegan(Observed, frozen=True, gc=False, tag="outage-began"):
-    """A partner (or a route of its own) works no more. ``scope`` as in :func:`scope_of`."""
+    """An outage of a partner, or of a single route, has begun. ``scope`` as in :func:`scope_of`."""
 
     scope: str
     how: str
 
 
 class OutageOver(Observed, frozen=True, gc=False, tag="outage-over"):
-    """It is back, cold: of ``capacity`` (calls a second when warm) it has the share ``start``, and all of it
-    after ``ramp``."""
+    """An outage is over, and the partner is cold.
+
+    It starts with the share ``start`` of ``capacity`` (calls a second when warm) and reaches all of it after ``ramp``
+    (nanoseconds).
+    """
 
     scope: str
     capacity: float
@@ -220,20 +245,20 @@
 
 
 class FellOver(Observed, frozen=True, gc=False, tag="fell-over"):
-    """The stand-in partner was pushed over, whoever did it."""
+    """The simulated partner fell over under load, whichever relays caused it."""
 
     scope: str
 
 
 class Step(Observed, frozen=True, gc=False, tag="step"):
-    """A step of the scenario, for the report's eyes."""
+    """A step of the scenario; used only by the report."""
 
     text: str
     partners: tuple[int, ...] = ()
 
 
 class RunEnded(Observed, frozen=True, gc=False, tag="run-ended"):
-    """Nothing more will be observed."""
+    """The run has ended; no event follows."""
 
 
 Event = (
@@ -267,7 +292,7 @@
 
 
 def scope_of(route: Route) -> str:
-    """What limits, waits and outages count for: the route, or its partner as one."""
+    """The scope that limits, waits and outages apply to: the route alone, or its whole partner."""
     return route.name if route.apart else f"partner-{route.dest}"
 
 
@@ -275,7 +300,7 @@
 
 
 class Header(msgspec.Struct, frozen=True, tag_field="what", tag="recording"):
-    """The first line of a recording: its version, and the figures that its events are judged by."""
+    """The first line of a recording: its version, and the limits that its events are checked against."""
 
     version: int
     figures: msgspec.Raw
@@ -284,17 +309,19 @@
 
 
 class RecordingError(ValueError):
-    """A recording that can't be read; the text names file and line."""
+    """A recording cannot be read; the message names the file and line."""
 
 
-MOST_LINE = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
 def read_recording(path: Path) -> tuple[Header, Iterator[Event]]:
-    """A recording's header and its events, one at a time; RecordingError where it can't be read. A last line that
-    a crash cut off is left out."""
+    """Read a recording's header, and iterate over its events; RecordingError if a line cannot be decoded.
+
+    An incomplete last line, left by a crash, is ignored.
+    """
     file = path.open("rb")
-    first = file.readline(MOST_LINE)
+    first = file.readline(MAX_LINE_BYTES)
     try:
         header: Header = msgspec.json.decode(first, type=Header)
     except msgspec.MsgspecError as error:
@@ -307,7 +334,7 @@
     def events() -> Iterator[Event]:
         decoder: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
         with file:
-            for number, line in enumerate(iter(lambda: file.readline(MOST_LINE), b""), start=2):
+            for number, line in enumerate(iter(lambda: file.readline(MAX_LINE_BYTES), b""), start=2):
                 if not line.endswith(b"\n"):
                     return
                 try:
