--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""Use without the wire, bad input, and a random walk with an independent check of the rules."""
+"""Use without the wire, malformed input, and random event sequences with an independent check of the rules."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from starlingwick import interface as io
 from starlingwick import wirehost
-from tests.helpers import MS, SAFE, TURNS, UNSAFE, Relay, S, entry
+from tests.helpers import MS, ORDERED, SAFE, UNSAFE, Relay, S, entry
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -79,7 +79,9 @@
         ("hello\n", "sync"),
     ],
 )
-def test_malformed_input_is_named_and_ends_the_process(bad: str, word: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_input_is_reported_and_ends_the_process(
+    bad: str, word: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert serve(bad)[0] != 0
     err = capsys.readouterr().err
     assert word in err and err.startswith("line ")
@@ -101,19 +103,19 @@
 
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
-    def day() -> list[str]:
+    def run() -> list[str]:
         relay = Relay(entry("a"), entry("b"))
         seen: list[str] = []
         for n in range(60):
-            relay.turn(relay.message(n % 3), after=50 * MS)
+            relay.tick(relay.message(n % 3), after=50 * MS)
             seen += map(str, relay.actions)
             status = io.Status.FULL if n % 5 == 0 else io.Status.OK
             for send in relay.sends():
-                relay.turn(relay.verdict(send.call, status), after=10 * MS)
+                relay.tick(relay.verdict(send.call, status), after=10 * MS)
                 seen += map(str, relay.actions)
         return seen
 
-    assert day() == day()
+    assert run() == run()
 
 
 STATUSES = [s for s in io.Status if s is not io.Status.MOOT]
@@ -139,7 +141,7 @@
                 assert action.call not in unsafe_ran
                 assert relay.now >= wait_until or not batch_start
                 assert relay.now < due[action.call]
-                if classes[action.call] == TURNS:
+                if classes[action.call] == ORDERED:
                     before = keyed[: keyed.index(action.call)]
                     assert all(name in ended and name not in outstanding for name in before)
                 outstanding[action.call] = action
@@ -152,12 +154,12 @@
     for what, which, gap in steps:
         relay.now += gap * MS
         if what < 5 or not outstanding:
-            klass = (SAFE, 1, UNSAFE, TURNS)[which % 4]
-            message = relay.message(klass, key="k" if klass == TURNS else None)
+            klass = (SAFE, 1, UNSAFE, ORDERED)[which % 4]
+            message = relay.message(klass, key="k" if klass == ORDERED else None)
             classes[message.call], due[message.call] = klass, relay.now + message.patience
-            if klass == TURNS:
+            if klass == ORDERED:
                 keyed.append(message.call)
-            relay.turn(message)
+            relay.tick(message)
         else:
             name = sorted(outstanding)[which % len(outstanding)]
             status = STATUSES[(which + what) % len(STATUSES)]
@@ -176,7 +178,7 @@
             wait = 500 * MS if status is io.Status.FULL and which % 2 else 0
             if wait:
                 wait_until = max(wait_until, relay.now + wait)
-            relay.turn(relay.verdict(name, status, wait=wait))
+            relay.tick(relay.verdict(name, status, wait=wait))
         check()
     for _ in range(len(outstanding)):
         name = next(iter(outstanding))
@@ -184,15 +186,15 @@
         relay.now = max(relay.now, due[name])
         if classes[name] == UNSAFE:
             unsafe_ran.add(name)
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT))
+        relay.tick(relay.verdict(name, io.Status.TIMEOUT))
         check()
         if not outstanding:
             break
-    relay.turn(after=21 * S)
+    relay.tick(after=21 * S)
     check()
     while outstanding:
         name, _ = outstanding.popitem()
-        relay.turn(relay.verdict(name, io.Status.TIMEOUT), after=30 * S)
+        relay.tick(relay.verdict(name, io.Status.TIMEOUT), after=30 * S)
         check()
     assert set(classes) == ended
 
@@ -205,7 +207,7 @@
     assert "call partner-1" in run.stdout
 
 
-def test_log_lines_named_on_the_page_are_written_by_the_module() -> None:
+def test_log_lines_named_in_the_readme_are_written_by_the_module() -> None:
     page = (ROOT / "README.md").read_text().partition("## On call")[2]
     module = (ROOT / "starlingwick" / "control.py").read_text()
     intro = page.split("\n\n")[1]
