--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -142,7 +142,7 @@
     def handlers(self) -> Handlers:
         """The event types that change the state, each with its handler."""
         return {
-            ev.World: self._routes_announced,
+            ev.RoutesAnnounced: self._routes_announced,
             ev.Starved: self._starved,
             ev.RelayStarted: self._started,
             ev.RelayReady: self._ready,
@@ -158,7 +158,7 @@
             ev.NoticeCame: self._notice,
         }
 
-    def _routes_announced(self, event: ev.World) -> None:
+    def _routes_announced(self, event: ev.RoutesAnnounced) -> None:
         self.routes.update({route.name: route for route in event.routes})
 
     def _starved(self, event: ev.Starved) -> None:
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -33,7 +33,7 @@
     apart: bool  # limits, waits and outages apply to this route alone, not to its partner
 
 
-class World(Observed, frozen=True, gc=False, tag="world"):
+class RoutesAnnounced(Observed, frozen=True, gc=False, tag="world"):
     """The existing endpoints; sent at the start of a run and again when endpoints are added."""
 
     routes: tuple[Route, ...]
@@ -262,7 +262,7 @@
 
 
 Event = (
-    World
+    RoutesAnnounced
     | RelayStarted
     | RelayReady
     | RelaySignalled
--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -208,7 +208,7 @@
     def _tell_world(self) -> None:
         at, since = self.observer.did()
         self.observer.see(
-            ev.World(
+            ev.RoutesAnnounced(
                 at,
                 since,
                 tuple(
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -98,7 +98,7 @@
             ev.OutageOver: self._outage_over,
             ev.Starved: lambda event, now: self.starved.update({event.relay: event.waited}),
             ev.DiskUsed: self._disk_used,
-            ev.World: lambda event, now: self._routes.update({route.name: route for route in event.routes}),
+            ev.RoutesAnnounced: lambda event, now: self._routes.update({route.name: route for route in event.routes}),
         }
 
     def _handed_in(self, event: ev.HandedIn, now: Second) -> None:
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.checker = Checker(FIGURES)
         self.calls = 0
-        self.see(ev.World, 0, routes=ROUTES)
+        self.see(ev.RoutesAnnounced, 0, routes=ROUTES)
         for relay in ("r1", "r2"):
             self.see(ev.RelayStarted, 0, relay=relay, life=1)
             self.see(ev.RelayReady, 0, relay=relay, life=1)
