--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -13,14 +13,16 @@
     def __init__(self, facts: Facts, verdict_log: VerdictLog) -> None:
         self.facts = facts
         self.verdict_log = verdict_log
-        self.unavailable: dict[tuple[str, str], ev.Told] = {}  # by relay and route: endpoints that accept nothing new
+        self.unavailable: dict[
+            tuple[str, str], ev.StatusNotified
+        ] = {}  # by relay and route: endpoints that accept nothing new
         self.excluded: dict[tuple[str, str], ev.OutByHand] = {}  # excluded by operators, whatever the register reports
 
     @property
     def handlers(self) -> Handlers:
         """The event types that this rule handles, each with its handler."""
         return {
-            ev.Told: self._status_notified,
+            ev.StatusNotified: self._status_notified,
             ev.OutByHand: self._exclusion_changed,
             ev.RelayEnded: self._relay_ended,
             ev.CallCame: self._sent,
@@ -28,7 +30,7 @@
             ev.ConnectFailed: self._sent,
         }
 
-    def _status_notified(self, event: ev.Told) -> None:
+    def _status_notified(self, event: ev.StatusNotified) -> None:
         if event.status == "Ready":
             self.unavailable.pop((event.relay, event.route), None)
         else:  # the grace runs from the first notification
@@ -53,7 +55,7 @@
                 self._check(notification, arrival)
 
     def _check(
-        self, notification: ev.Told | ev.OutByHand, arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed
+        self, notification: ev.StatusNotified | ev.OutByHand, arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed
     ) -> None:
         first = arrival.since if isinstance(arrival, ev.ConnectFailed) else arrival.first
         subject = arrival.ref if isinstance(arrival, ev.CallCame) else arrival.route
@@ -61,7 +63,7 @@
         grace_end = notification.at + figures.drain_grace + figures.sockets_slack
         grace_end += self.facts.relay(arrival.relay).starvation_ns(notification.at, arrival.at)
         if first > grace_end:
-            state = notification.status if isinstance(notification, ev.Told) else "out by hand"
+            state = notification.status if isinstance(notification, ev.StatusNotified) else "out by hand"
             action = (
                 f"sent {subject}"
                 if isinstance(arrival, ev.CallCame)
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -216,7 +216,7 @@
     takes: bool
 
 
-class Told(Observed, frozen=True, gc=False, tag="told"):
+class StatusNotified(Observed, frozen=True, gc=False, tag="told"):
     """The register has sent an endpoint's state to a relay, or the relay counts as notified of it."""
 
     relay: str
@@ -282,7 +282,7 @@
     | ConnectFailed
     | NoticeCame
     | PlatformState
-    | Told
+    | StatusNotified
     | OutageBegan
     | OutageOver
     | FellOver
--- a/garnetrelay/rehearsal/register.py
+++ b/garnetrelay/rehearsal/register.py
@@ -297,7 +297,7 @@
     def _note_told(self, side: Side, statuses: dict[str, str]) -> None:
         at, since = self.observer.did()
         for name, status in statuses.items():
-            self.observer.see(ev.Told(at, since, side.relay, name, status))
+            self.observer.see(ev.StatusNotified(at, since, side.relay, name, status))
 
     async def _look(self) -> None:
         """Whoever neither watches nor asks for as long as is allowed counts as told of what could be told then; whatever
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -277,8 +277,8 @@
 @pytest.mark.parametrize(("first", "found"), [(1150, []), (1151, [(3, "sent-to-draining", "m")])])
 def test_drain_ends_new_work_after_the_grace(stream: Stream, first: int, found: list[Any]) -> None:
     stream.message("m", 0, patience=9000)
-    stream.see(ev.Told, 100, relay="r1", route="a1", status="Terminating")
-    stream.see(ev.Told, 900, relay="r1", route="a1", status="Gone")  # the first notification counts
+    stream.see(ev.StatusNotified, 100, relay="r1", route="a1", status="Terminating")
+    stream.see(ev.StatusNotified, 900, relay="r1", route="a1", status="Gone")  # the first notification counts
     stream.answer(stream.call("m", 1200, since=first), 1201)
     assert stream.verdicts() == found
 
@@ -286,11 +286,11 @@
 def test_drain_applies_to_notified_relays_until_the_endpoint_is_ready(stream: Stream) -> None:
     stream.message("other", 0, relay="r2", patience=9000)
     stream.message("again", 0, patience=9000)
-    stream.see(ev.Told, 100, relay="r1", route="a1", status="Terminating")
+    stream.see(ev.StatusNotified, 100, relay="r1", route="a1", status="Terminating")
     stream.served("other", 3000, relay="r2")
-    stream.see(ev.Told, 3100, relay="r1", route="a1", status="Ready")
+    stream.see(ev.StatusNotified, 3100, relay="r1", route="a1", status="Ready")
     stream.served("again", 3200)
-    stream.see(ev.Told, 3300, relay="r1", route="a2", status="Gone")
+    stream.see(ev.StatusNotified, 3300, relay="r1", route="a2", status="Gone")
     stream.see(ev.ProbeCame, 5000, relay="r1", route="a2", status=200, first=5000 * MS)
     assert stream.verdicts() == [(3, "sent-to-draining", "a2")]
 
