--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -16,14 +16,16 @@
         self.unavailable: dict[
             tuple[str, str], ev.StatusNotified
         ] = {}  # by relay and route: endpoints that accept nothing new
-        self.excluded: dict[tuple[str, str], ev.OutByHand] = {}  # excluded by operators, whatever the register reports
+        self.excluded: dict[
+            tuple[str, str], ev.EndpointExclusion
+        ] = {}  # excluded by operators, whatever the register reports
 
     @property
     def handlers(self) -> Handlers:
         """The event types that this rule handles, each with its handler."""
         return {
             ev.StatusNotified: self._status_notified,
-            ev.OutByHand: self._exclusion_changed,
+            ev.EndpointExclusion: self._exclusion_changed,
             ev.RelayEnded: self._relay_ended,
             ev.CallCame: self._sent,
             ev.ProbeCame: self._sent,
@@ -36,7 +38,7 @@
         else:  # the grace runs from the first notification
             self.unavailable.setdefault((event.relay, event.route), event)
 
-    def _exclusion_changed(self, event: ev.OutByHand) -> None:
+    def _exclusion_changed(self, event: ev.EndpointExclusion) -> None:
         if event.out:
             self.excluded.setdefault((event.relay, event.route), event)
         else:
@@ -55,7 +57,9 @@
                 self._check(notification, arrival)
 
     def _check(
-        self, notification: ev.StatusNotified | ev.OutByHand, arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed
+        self,
+        notification: ev.StatusNotified | ev.EndpointExclusion,
+        arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed,
     ) -> None:
         first = arrival.since if isinstance(arrival, ev.ConnectFailed) else arrival.first
         subject = arrival.ref if isinstance(arrival, ev.CallCame) else arrival.route
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -83,7 +83,7 @@
     began: int
 
 
-class OutByHand(Observed, frozen=True, gc=False, tag="out-by-hand"):
+class EndpointExclusion(Observed, frozen=True, gc=False, tag="out-by-hand"):
     """A relay has confirmed that an endpoint is excluded by operators, or operators are including it again.
 
     An exclusion outlasts restarts.
@@ -268,7 +268,7 @@
     | RelaySignalled
     | RelayEnded
     | RelayPassed
-    | OutByHand
+    | EndpointExclusion
     | Starved
     | DiskUsed
     | HandedIn
--- a/garnetrelay/rehearsal/relays.py
+++ b/garnetrelay/rehearsal/relays.py
@@ -186,11 +186,11 @@
         """Staff take an endpoint out, or put it back; whether the relay said yes."""
         if not out:
             at, since = self.observer.did()
-            self.observer.see(ev.OutByHand(at, since, self.name, route, False))
+            self.observer.see(ev.EndpointExclusion(at, since, self.name, route, False))
         said = await staff.says_yes(self.staff_port, f"{'OFFLINE' if out else 'ONLINE'} {route}")
         if said and out:
             at, since = self.observer.read()
-            self.observer.see(ev.OutByHand(at, since, self.name, route, True))
+            self.observer.see(ev.EndpointExclusion(at, since, self.name, route, True))
         return said
 
     async def _answers(self) -> bool:
