--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -81,7 +81,7 @@
 class Message:
     """One message submitted by a client."""
 
-    submission: ev.HandedIn
+    submission: ev.MessageSubmitted
     klass: ClassFigures
     life: int  # number of the relay process that it was submitted to
     sequence: int  # position among all submitted messages
@@ -148,7 +148,7 @@
             ev.RelayReady: self._ready,
             ev.RelaySignalled: self._signalled,
             ev.PlatformState: self._platform,
-            ev.HandedIn: self._submitted,
+            ev.MessageSubmitted: self._submitted,
             ev.Answered: self._answered,
             ev.Unanswered: self._unanswered,
             ev.CallCame: self._call_arrived,
@@ -214,7 +214,7 @@
         if (message := self.messages.get(event.ref)) is not None:
             message.notices.append(event)
 
-    def _submitted(self, event: ev.HandedIn) -> None:
+    def _submitted(self, event: ev.MessageSubmitted) -> None:
         self.message_count += 1
         message = Message(event, self.figures.classes[event.klass], self.relay(event.relay).life, self.message_count)
         self.messages[event.ref] = message
--- a/garnetrelay/rehearsal/checker/order.py
+++ b/garnetrelay/rehearsal/checker/order.py
@@ -31,9 +31,9 @@
         """The event types that this rule handles, each with its handler; empty if no class is ordered."""
         if not any(klass.in_turn for klass in self.facts.figures.classes.values()):
             return {}
-        return {ev.HandedIn: self._submitted, ev.CallCame: self._call_arrived}
+        return {ev.MessageSubmitted: self._submitted, ev.CallCame: self._call_arrived}
 
-    def _submitted(self, event: ev.HandedIn) -> None:
+    def _submitted(self, event: ev.MessageSubmitted) -> None:
         if self.facts.figures.classes[event.klass].in_turn and event.key:
             queue = self.queues.setdefault((event.relay, event.key), deque(maxlen=MAX_QUEUE_MESSAGES))
             queue.append(self.facts.messages[event.ref])
--- a/garnetrelay/rehearsal/clients.py
+++ b/garnetrelay/rehearsal/clients.py
@@ -232,7 +232,7 @@
         )
         if not message.again:
             self.observer.see(
-                ev.HandedIn(
+                ev.MessageSubmitted(
                     at,
                     since,
                     link.relay,
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -108,7 +108,7 @@
     bytes: int
 
 
-class HandedIn(Observed, frozen=True, gc=False, tag="handed-in"):
+class MessageSubmitted(Observed, frozen=True, gc=False, tag="handed-in"):
     """A client has submitted a message to a relay.
 
     Messages with the same ``lineage`` stand for one effect: each later one follows a refusal, which states that
@@ -271,7 +271,7 @@
     | EndpointExclusion
     | Starved
     | DiskUsed
-    | HandedIn
+    | MessageSubmitted
     | Answered
     | Unanswered
     | CallCame
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -81,7 +81,7 @@
 
     def _table(self) -> dict[type[ev.Observed], Callable[[Any, Second], None]]:
         return {
-            ev.HandedIn: self._handed_in,
+            ev.MessageSubmitted: self._handed_in,
             ev.Answered: self._taken_on,
             ev.Unanswered: self._unanswered,
             ev.CallCame: self._came,
@@ -101,7 +101,7 @@
             ev.RoutesAnnounced: lambda event, now: self._routes.update({route.name: route for route in event.routes}),
         }
 
-    def _handed_in(self, event: ev.HandedIn, now: Second) -> None:
+    def _handed_in(self, event: ev.MessageSubmitted, now: Second) -> None:
         now.handed_in += 1
         self.counts["handed in"] += 1
         self._asked[event.ref] = event.at
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -62,7 +62,7 @@
         answer: str | None = "ok",
     ) -> None:
         self.see(
-            ev.HandedIn,
+            ev.MessageSubmitted,
             at,
             relay=relay,
             ref=ref,
