--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -27,7 +27,7 @@
             ev.StatusNotified: self._status_notified,
             ev.EndpointExclusion: self._exclusion_changed,
             ev.RelayEnded: self._relay_ended,
-            ev.CallCame: self._sent,
+            ev.CallReceived: self._sent,
             ev.ProbeCame: self._sent,
             ev.ConnectFailed: self._sent,
         }
@@ -48,7 +48,7 @@
         for key in [key for key in self.unavailable if key[0] == event.relay]:
             del self.unavailable[key]
 
-    def _sent(self, arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed) -> None:
+    def _sent(self, arrival: ev.CallReceived | ev.ProbeCame | ev.ConnectFailed) -> None:
         for notification in (
             self.unavailable.get((arrival.relay, arrival.route)),
             self.excluded.get((arrival.relay, arrival.route)),
@@ -59,10 +59,10 @@
     def _check(
         self,
         notification: ev.StatusNotified | ev.EndpointExclusion,
-        arrival: ev.CallCame | ev.ProbeCame | ev.ConnectFailed,
+        arrival: ev.CallReceived | ev.ProbeCame | ev.ConnectFailed,
     ) -> None:
         first = arrival.since if isinstance(arrival, ev.ConnectFailed) else arrival.first
-        subject = arrival.ref if isinstance(arrival, ev.CallCame) else arrival.route
+        subject = arrival.ref if isinstance(arrival, ev.CallReceived) else arrival.route
         figures = self.facts.figures
         grace_end = notification.at + figures.drain_grace + figures.sockets_slack
         grace_end += self.facts.relay(arrival.relay).starvation_ns(notification.at, arrival.at)
@@ -70,7 +70,7 @@
             state = notification.status if isinstance(notification, ev.StatusNotified) else "out by hand"
             action = (
                 f"sent {subject}"
-                if isinstance(arrival, ev.CallCame)
+                if isinstance(arrival, ev.CallReceived)
                 else ("sent a probe" if isinstance(arrival, ev.ProbeCame) else "opened a connection")
             )
             self.verdict_log.report(
--- a/garnetrelay/rehearsal/checker/effects.py
+++ b/garnetrelay/rehearsal/checker/effects.py
@@ -20,13 +20,13 @@
     def handlers(self) -> Handlers:
         """The event types that this rule handles, each with its handler."""
         return {
-            ev.CallCame: self._call_arrived,
+            ev.CallReceived: self._call_arrived,
             ev.NoticeCame: self._refused,
             ev.Answered: self._refused,
             ev.Effect: self._effect,
         }
 
-    def _call_arrived(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallReceived) -> None:
         message = self.facts.messages.get(event.ref)
         if message is None:
             return
@@ -145,7 +145,7 @@
             )
 
     def _report(
-        self, fault: str, text: str, evidence: list[ev.Event], event: ev.CallCame | ev.NoticeCame | ev.Answered
+        self, fault: str, text: str, evidence: list[ev.Event], event: ev.CallReceived | ev.NoticeCame | ev.Answered
     ) -> None:
         self.verdict_log.report(2, fault, event.ref, event.relay, event.at, text, evidence)
 
--- a/garnetrelay/rehearsal/checker/ends.py
+++ b/garnetrelay/rehearsal/checker/ends.py
@@ -27,7 +27,7 @@
         return {
             ev.Answered: self._answered,
             ev.NoticeCame: self._notice,
-            ev.CallCame: self._call_arrived,
+            ev.CallReceived: self._call_arrived,
             ev.Unanswered: self._connection_closed,
             ev.RelayEnded: self._relay_ended,
             ev.DiskUsed: self._disk_used,
@@ -170,7 +170,7 @@
         latest += relay.starvation_ns(call.answered.at - SECOND, self.facts.now)
         return by > latest and (call.ended is None or call.ended.since > latest)
 
-    def _call_arrived(self, arrival: ev.CallCame) -> None:
+    def _call_arrived(self, arrival: ev.CallReceived) -> None:
         message = self.facts.messages.get(arrival.ref)
         if message is None:
             self.verdict_log.report(
--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -49,7 +49,7 @@
 class Call:
     """One attempt, as observed by its endpoint."""
 
-    arrival: ev.CallCame
+    arrival: ev.CallReceived
     life: int  # number of the relay process that sent it
     zone: str
     answered: ev.CallAnswered | None = None
@@ -151,7 +151,7 @@
             ev.MessageSubmitted: self._submitted,
             ev.Answered: self._answered,
             ev.Unanswered: self._unanswered,
-            ev.CallCame: self._call_arrived,
+            ev.CallReceived: self._call_arrived,
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
             ev.Effect: self._effect,
@@ -191,7 +191,7 @@
         if (message := self.messages.get(event.ref)) is not None and event.why != "closed":
             message.unanswered = event
 
-    def _call_arrived(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallReceived) -> None:
         route = self.routes.get(event.route)
         call = Call(event, self.relay(event.relay).life, "" if route is None else route.zone)
         self.calls[event.call] = call
--- a/garnetrelay/rehearsal/checker/order.py
+++ b/garnetrelay/rehearsal/checker/order.py
@@ -31,14 +31,14 @@
         """The event types that this rule handles, each with its handler; empty if no class is ordered."""
         if not any(klass.in_turn for klass in self.facts.figures.classes.values()):
             return {}
-        return {ev.MessageSubmitted: self._submitted, ev.CallCame: self._call_arrived}
+        return {ev.MessageSubmitted: self._submitted, ev.CallReceived: self._call_arrived}
 
     def _submitted(self, event: ev.MessageSubmitted) -> None:
         if self.facts.figures.classes[event.klass].in_turn and event.key:
             queue = self.queues.setdefault((event.relay, event.key), deque(maxlen=MAX_QUEUE_MESSAGES))
             queue.append(self.facts.messages[event.ref])
 
-    def _call_arrived(self, event: ev.CallCame) -> None:
+    def _call_arrived(self, event: ev.CallReceived) -> None:
         message = self.facts.messages.get(event.ref)
         if message is not None and message.klass.in_turn and message.submission.key:
             self.verdict_log.defer(event.at, functools.partial(self._check, message, self.facts.calls[event.call]))
@@ -64,7 +64,7 @@
             for attempt in other.calls:
                 self._check_pair(arrival, attempt)
 
-    def _check_pair(self, arrival: ev.CallCame, attempt: Call) -> None:
+    def _check_pair(self, arrival: ev.CallReceived, attempt: Call) -> None:
         if attempt.arrival.call >= arrival.call:
             return
         if attempt.ended_since is None or attempt.ended_since > arrival.at:
@@ -92,5 +92,5 @@
     def _accepted_before(self, message: Message, other: Message) -> bool:
         return message.answer is not None and message.accepted and message.answer.at < other.submission.at
 
-    def _report(self, fault: str, arrival: ev.CallCame, text: str, evidence: list[ev.Event]) -> None:
+    def _report(self, fault: str, arrival: ev.CallReceived, text: str, evidence: list[ev.Event]) -> None:
         self.verdict_log.report(5, fault, arrival.ref, arrival.relay, arrival.at, text, evidence)
--- a/garnetrelay/rehearsal/checker/returns.py
+++ b/garnetrelay/rehearsal/checker/returns.py
@@ -45,7 +45,7 @@
     # By relay and number of its process: the first failure that it saw.
     failures_seen: dict[tuple[str, int], ev.Event] = field(default_factory=dict)
     # Calls and probes of the current window, each with the number of the relay process.
-    arrivals: deque[tuple[ev.CallCame | ev.ProbeCame, int]] = field(default_factory=deque)
+    arrivals: deque[tuple[ev.CallReceived | ev.ProbeCame, int]] = field(default_factory=deque)
 
 
 class RecoveryLoadRule:
@@ -62,7 +62,7 @@
         return {
             ev.OutageBegan: self._outage_began,
             ev.OutageOver: self._outage_over,
-            ev.CallCame: self._arrived,
+            ev.CallReceived: self._arrived,
             ev.ProbeCame: self._probe_arrived,
             ev.ConnectFailed: self._connect_failed,
             ev.CallAnswered: self._call_answered,
@@ -99,7 +99,7 @@
         if scope is not None and scope.recovery is None:
             scope.failures_seen.setdefault((relay, self.facts.relay(relay).life), event)
 
-    def _arrived(self, arrival: ev.CallCame | ev.ProbeCame) -> None:
+    def _arrived(self, arrival: ev.CallReceived | ev.ProbeCame) -> None:
         if not self.scopes:
             return
         name = self.facts.scope(arrival.route)
--- a/garnetrelay/rehearsal/checker/waits.py
+++ b/garnetrelay/rehearsal/checker/waits.py
@@ -16,7 +16,7 @@
     """A wait that one process of a relay was told in the answer to a call."""
 
     answer: ev.CallAnswered
-    arrival: ev.CallCame
+    arrival: ev.CallReceived
     life: int  # number of the relay process that sent the call
     void: bool = False  # its connection ended so early that the relay may not have read it
 
@@ -36,7 +36,7 @@
         return {
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
-            ev.CallCame: self._sent,
+            ev.CallReceived: self._sent,
             ev.ProbeCame: self._sent,
         }
 
@@ -56,7 +56,7 @@
             certainly_read_at = wait.answer.at + self.facts.figures.wait_pass
             wait.void = event.since <= certainly_read_at + relay.starvation_ns(wait.answer.at, event.at)
 
-    def _sent(self, arrival: ev.CallCame | ev.ProbeCame) -> None:
+    def _sent(self, arrival: ev.CallReceived | ev.ProbeCame) -> None:
         if not self.waits:
             return
         waits = self.waits.get((arrival.relay, self.facts.scope(arrival.route)))
@@ -72,11 +72,11 @@
             if arrival.first > tolerance_end + relay.starvation_ns(answer.at, arrival.at):
                 self.verdict_log.defer(arrival.at, functools.partial(self._check, wait, arrival))
 
-    def _check(self, wait: Wait, arrival: ev.CallCame | ev.ProbeCame) -> None:
+    def _check(self, wait: Wait, arrival: ev.CallReceived | ev.ProbeCame) -> None:
         if wait.void:
             return
         answer = wait.answer
-        subject = arrival.ref if isinstance(arrival, ev.CallCame) else arrival.route
+        subject = arrival.ref if isinstance(arrival, ev.CallReceived) else arrival.route
         self.verdict_log.report(
             6,
             "sent-in-wait",
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -145,7 +145,7 @@
     why: str
 
 
-class CallCame(Observed, frozen=True, gc=False, tag="call-came"):
+class CallReceived(Observed, frozen=True, gc=False, tag="call-came"):
     """An endpoint has received a complete call, whose first byte arrived after ``first``."""
 
     call: int
@@ -274,7 +274,7 @@
     | MessageSubmitted
     | Answered
     | Unanswered
-    | CallCame
+    | CallReceived
     | CallAnswered
     | CallEnded
     | Effect
--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -96,7 +96,7 @@
             return
         ref = call.headers.get("x-request-id", "")
         call.number, call.came = next(self.partners.numbers), now
-        observer.see(ev.CallCame(now, since, call.number, self.relay, self.route, ref, call.first))
+        observer.see(ev.CallReceived(now, since, call.number, self.relay, self.route, ref, call.first))
         self.open[call.number] = call
         scope = self.partner.routes[self.route].scope
         fallen = scope.fallen
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -60,7 +60,7 @@
         self._asked: dict[str, int] = {}  # hand-ins without an answer yet
         self._routes: dict[str, ev.Route] = {}
         self._refs: dict[str, str] = {}
-        self._calls: dict[int, ev.CallCame] = {}
+        self._calls: dict[int, ev.CallReceived] = {}
         self._takers = self._table()
         self._classes = {c["name"]: n for n, c in enumerate(plan.settings["classes"])}
 
@@ -84,7 +84,7 @@
             ev.MessageSubmitted: self._handed_in,
             ev.Answered: self._taken_on,
             ev.Unanswered: self._unanswered,
-            ev.CallCame: self._came,
+            ev.CallReceived: self._came,
             ev.CallAnswered: self._answered,
             ev.CallEnded: self._ended,
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
@@ -129,7 +129,7 @@
         if event.why != "closed":
             self._asked.pop(event.ref, None)
 
-    def _came(self, event: ev.CallCame, now: Second) -> None:
+    def _came(self, event: ev.CallReceived, now: Second) -> None:
         route = self._routes.get(event.route)
         now.calls[event.route if route is None else ev.scope_of(route)] += 1
         self.counts["calls"] += 1
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -78,7 +78,7 @@
     def call(self, ref: str, at: float, route: str = "a1", relay: str = "r1", since: float | None = None) -> int:
         self.calls += 1
         self.see(
-            ev.CallCame,
+            ev.CallReceived,
             at,
             since,
             call=self.calls,
