--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -28,7 +28,7 @@
             ev.EndpointExclusion: self._exclusion_changed,
             ev.RelayEnded: self._relay_ended,
             ev.CallReceived: self._sent,
-            ev.ProbeCame: self._sent,
+            ev.ProbeReceived: self._sent,
             ev.ConnectFailed: self._sent,
         }
 
@@ -48,7 +48,7 @@
         for key in [key for key in self.unavailable if key[0] == event.relay]:
             del self.unavailable[key]
 
-    def _sent(self, arrival: ev.CallReceived | ev.ProbeCame | ev.ConnectFailed) -> None:
+    def _sent(self, arrival: ev.CallReceived | ev.ProbeReceived | ev.ConnectFailed) -> None:
         for notification in (
             self.unavailable.get((arrival.relay, arrival.route)),
             self.excluded.get((arrival.relay, arrival.route)),
@@ -59,7 +59,7 @@
     def _check(
         self,
         notification: ev.StatusNotified | ev.EndpointExclusion,
-        arrival: ev.CallReceived | ev.ProbeCame | ev.ConnectFailed,
+        arrival: ev.CallReceived | ev.ProbeReceived | ev.ConnectFailed,
     ) -> None:
         first = arrival.since if isinstance(arrival, ev.ConnectFailed) else arrival.first
         subject = arrival.ref if isinstance(arrival, ev.CallReceived) else arrival.route
@@ -71,7 +71,7 @@
             action = (
                 f"sent {subject}"
                 if isinstance(arrival, ev.CallReceived)
-                else ("sent a probe" if isinstance(arrival, ev.ProbeCame) else "opened a connection")
+                else ("sent a probe" if isinstance(arrival, ev.ProbeReceived) else "opened a connection")
             )
             self.verdict_log.report(
                 3,
--- a/garnetrelay/rehearsal/checker/returns.py
+++ b/garnetrelay/rehearsal/checker/returns.py
@@ -45,7 +45,7 @@
     # By relay and number of its process: the first failure that it saw.
     failures_seen: dict[tuple[str, int], ev.Event] = field(default_factory=dict)
     # Calls and probes of the current window, each with the number of the relay process.
-    arrivals: deque[tuple[ev.CallReceived | ev.ProbeCame, int]] = field(default_factory=deque)
+    arrivals: deque[tuple[ev.CallReceived | ev.ProbeReceived, int]] = field(default_factory=deque)
 
 
 class RecoveryLoadRule:
@@ -63,7 +63,7 @@
             ev.OutageBegan: self._outage_began,
             ev.OutageOver: self._outage_over,
             ev.CallReceived: self._arrived,
-            ev.ProbeCame: self._probe_arrived,
+            ev.ProbeReceived: self._probe_arrived,
             ev.ConnectFailed: self._connect_failed,
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
@@ -76,7 +76,7 @@
         if event.scope in self.scopes:
             self.scopes[event.scope].recovery = event
 
-    def _probe_arrived(self, event: ev.ProbeCame) -> None:
+    def _probe_arrived(self, event: ev.ProbeReceived) -> None:
         if event.status != 200:
             self._record_failure(event.relay, event.route, event)
         self._arrived(event)
@@ -99,7 +99,7 @@
         if scope is not None and scope.recovery is None:
             scope.failures_seen.setdefault((relay, self.facts.relay(relay).life), event)
 
-    def _arrived(self, arrival: ev.CallReceived | ev.ProbeCame) -> None:
+    def _arrived(self, arrival: ev.CallReceived | ev.ProbeReceived) -> None:
         if not self.scopes:
             return
         name = self.facts.scope(arrival.route)
--- a/garnetrelay/rehearsal/checker/waits.py
+++ b/garnetrelay/rehearsal/checker/waits.py
@@ -37,7 +37,7 @@
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
             ev.CallReceived: self._sent,
-            ev.ProbeCame: self._sent,
+            ev.ProbeReceived: self._sent,
         }
 
     def _call_answered(self, event: ev.CallAnswered) -> None:
@@ -56,7 +56,7 @@
             certainly_read_at = wait.answer.at + self.facts.figures.wait_pass
             wait.void = event.since <= certainly_read_at + relay.starvation_ns(wait.answer.at, event.at)
 
-    def _sent(self, arrival: ev.CallReceived | ev.ProbeCame) -> None:
+    def _sent(self, arrival: ev.CallReceived | ev.ProbeReceived) -> None:
         if not self.waits:
             return
         waits = self.waits.get((arrival.relay, self.facts.scope(arrival.route)))
@@ -72,7 +72,7 @@
             if arrival.first > tolerance_end + relay.starvation_ns(answer.at, arrival.at):
                 self.verdict_log.defer(arrival.at, functools.partial(self._check, wait, arrival))
 
-    def _check(self, wait: Wait, arrival: ev.CallReceived | ev.ProbeCame) -> None:
+    def _check(self, wait: Wait, arrival: ev.CallReceived | ev.ProbeReceived) -> None:
         if wait.void:
             return
         answer = wait.answer
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -183,7 +183,7 @@
     zone: str
 
 
-class ProbeCame(Observed, frozen=True, gc=False, tag="probe-came"):
+class ProbeReceived(Observed, frozen=True, gc=False, tag="probe-came"):
     """An endpoint has received a probe, and answered it with ``status`` at once or not at all (0)."""
 
     relay: str
@@ -278,7 +278,7 @@
     | CallAnswered
     | CallEnded
     | Effect
-    | ProbeCame
+    | ProbeReceived
     | ConnectFailed
     | NoticeCame
     | PlatformState
--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -88,7 +88,7 @@
         since = call.connection.not_before(self.clock.since)
         if call.method == "GET":
             status = self.partner.probe(now, self.route) if call.target in ("/-/healthy", "/-/load") else 404
-            observer.see(ev.ProbeCame(now, since, self.relay, self.route, status, call.first))
+            observer.see(ev.ProbeReceived(now, since, self.relay, self.route, status, call.first))
             if status:
                 load = self.partner.load(now, self.route)
                 body = b"x0=%.4f,x1=%.3f" % load if call.target == "/-/load" and load else b""
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -88,7 +88,7 @@
             ev.CallAnswered: self._answered,
             ev.CallEnded: self._ended,
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
-            ev.ProbeCame: lambda event, now: self.counts.update(("probes",)),
+            ev.ProbeReceived: lambda event, now: self.counts.update(("probes",)),
             ev.NoticeCame: self._notice,
             ev.RelayPassed: lambda event, now: self.upgrades.append(event),
             ev.RelaySignalled: lambda event, now: self.restarts.append(event),
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -291,7 +291,7 @@
     stream.see(ev.StatusNotified, 3100, relay="r1", route="a1", status="Ready")
     stream.served("again", 3200)
     stream.see(ev.StatusNotified, 3300, relay="r1", route="a2", status="Gone")
-    stream.see(ev.ProbeCame, 5000, relay="r1", route="a2", status=200, first=5000 * MS)
+    stream.see(ev.ProbeReceived, 5000, relay="r1", route="a2", status=200, first=5000 * MS)
     assert stream.verdicts() == [(3, "sent-to-draining", "a2")]
 
 
@@ -421,7 +421,7 @@
 
 def test_wait_applies_to_all_endpoints_of_a_partner_and_to_probes(stream: Stream) -> None:
     tell_wait(stream, "b1")
-    stream.see(ev.ProbeCame, 300, relay="r1", route="b2", status=200, first=300 * MS)
+    stream.see(ev.ProbeReceived, 300, relay="r1", route="b2", status=200, first=300 * MS)
     stream.served("m", 310, route="a1")
     assert stream.verdicts() == [(6, "sent-in-wait", "b2")]
 
