--- a/garnetrelay/rehearsal/checker/effects.py
+++ b/garnetrelay/rehearsal/checker/effects.py
@@ -21,7 +21,7 @@
         """The event types that this rule handles, each with its handler."""
         return {
             ev.CallReceived: self._call_arrived,
-            ev.NoticeCame: self._refused,
+            ev.NoticeReceived: self._refused,
             ev.Answered: self._refused,
             ev.Effect: self._effect,
         }
@@ -36,9 +36,9 @@
         # The end of an earlier attempt may still be unread in this iteration of the event loop.
         self.verdict_log.defer(event.at, functools.partial(self._check_call, self.facts.calls[event.call]))
 
-    def _refused(self, event: ev.NoticeCame | ev.Answered) -> None:
+    def _refused(self, event: ev.NoticeReceived | ev.Answered) -> None:
         message = self.facts.messages.get(event.ref)
-        refusal = event.result == "bounced" if isinstance(event, ev.NoticeCame) else event.answer != "ok"
+        refusal = event.result == "bounced" if isinstance(event, ev.NoticeReceived) else event.answer != "ok"
         if message is not None and refusal:
             self.verdict_log.defer(event.at, functools.partial(self._check_refusal, message, event))
 
@@ -108,10 +108,10 @@
                     arrival,
                 )
 
-    def _check_refusal(self, message: Message, refusal: ev.NoticeCame | ev.Answered) -> None:
+    def _check_refusal(self, message: Message, refusal: ev.NoticeReceived | ev.Answered) -> None:
         if message.klass.repeat == "safe" or message.klass.repeat == "keyed" and not message.klass.by_zone:
             return
-        if message.answer is None and isinstance(refusal, ev.NoticeCame):
+        if message.answer is None and isinstance(refusal, ev.NoticeReceived):
             return  # the client had disconnected without an answer, so it does not act on the notice
         for call in message.calls:
             if call.arrival.since < refusal.at and not call.never_ran:
@@ -145,7 +145,7 @@
             )
 
     def _report(
-        self, fault: str, text: str, evidence: list[ev.Event], event: ev.CallReceived | ev.NoticeCame | ev.Answered
+        self, fault: str, text: str, evidence: list[ev.Event], event: ev.CallReceived | ev.NoticeReceived | ev.Answered
     ) -> None:
         self.verdict_log.report(2, fault, event.ref, event.relay, event.at, text, evidence)
 
--- a/garnetrelay/rehearsal/checker/ends.py
+++ b/garnetrelay/rehearsal/checker/ends.py
@@ -26,7 +26,7 @@
         """The event types that this rule handles, each with its handler."""
         return {
             ev.Answered: self._answered,
-            ev.NoticeCame: self._notice,
+            ev.NoticeReceived: self._notice,
             ev.CallReceived: self._call_arrived,
             ev.Unanswered: self._connection_closed,
             ev.RelayEnded: self._relay_ended,
@@ -132,7 +132,7 @@
                 [message.submission, *_answer_evidence(message), first_notice],
             )
 
-    def _notice(self, notice: ev.NoticeCame) -> None:
+    def _notice(self, notice: ev.NoticeReceived) -> None:
         message = self.facts.messages.get(notice.ref)
         if message is None:
             return
--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -88,7 +88,7 @@
     answer: ev.Answered | None = None
     unanswered: ev.Unanswered | None = None
     calls: list[Call] = field(default_factory=list)
-    notices: list[ev.NoticeCame] = field(default_factory=list)
+    notices: list[ev.NoticeReceived] = field(default_factory=list)
     machine_lost: bool = False
 
     @property
@@ -155,7 +155,7 @@
             ev.CallAnswered: self._call_answered,
             ev.CallEnded: self._call_ended,
             ev.Effect: self._effect,
-            ev.NoticeCame: self._notice,
+            ev.NoticeReceived: self._notice,
         }
 
     def _routes_announced(self, event: ev.RoutesAnnounced) -> None:
@@ -210,7 +210,7 @@
         if (found := self.calls.get(event.call)) is not None:
             found.effect = event
 
-    def _notice(self, event: ev.NoticeCame) -> None:
+    def _notice(self, event: ev.NoticeReceived) -> None:
         if (message := self.messages.get(event.ref)) is not None:
             message.notices.append(event)
 
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -199,7 +199,7 @@
     route: str
 
 
-class NoticeCame(Observed, frozen=True, gc=False, tag="notice-came"):
+class NoticeReceived(Observed, frozen=True, gc=False, tag="notice-came"):
     """The platform has read a notice. The relay repeats a notice that is not ``acknowledged``."""
 
     relay: str
@@ -280,7 +280,7 @@
     | Effect
     | ProbeReceived
     | ConnectFailed
-    | NoticeCame
+    | NoticeReceived
     | PlatformState
     | StatusNotified
     | OutageBegan
--- a/garnetrelay/rehearsal/register.py
+++ b/garnetrelay/rehearsal/register.py
@@ -331,7 +331,7 @@
             return
         taken = self.notices == "taken"
         for notice in notices:
-            self.observer.see(ev.NoticeCame(at, since, side.relay, notice.ref, notice.result, notice.wait_ms, taken))
+            self.observer.see(ev.NoticeReceived(at, since, side.relay, notice.ref, notice.result, notice.wait_ms, taken))
         if self.notices == "refused":
             call.answer(503)
         elif taken:
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -89,7 +89,7 @@
             ev.CallEnded: self._ended,
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
             ev.ProbeReceived: lambda event, now: self.counts.update(("probes",)),
-            ev.NoticeCame: self._notice,
+            ev.NoticeReceived: self._notice,
             ev.RelayPassed: lambda event, now: self.upgrades.append(event),
             ev.RelaySignalled: lambda event, now: self.restarts.append(event),
             ev.Step: lambda event, now: self.steps.append(event),
@@ -139,7 +139,7 @@
         if self._calls.pop(event.call, None) is not None:
             self.counts[f"calls without an answer, ended by the {event.by}"] += 1
 
-    def _notice(self, event: ev.NoticeCame, now: Second) -> None:
+    def _notice(self, event: ev.NoticeReceived, now: Second) -> None:
         if event.acknowledged:
             now.ended[event.result] += 1
             self.counts[f"notices, {event.result}"] += 1
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -101,7 +101,7 @@
         self.see(ev.CallEnded, at, since, call=call, by=by)
 
     def notice(self, ref: str, at: float, result: str = "dead", relay: str = "r1", since: float | None = None) -> None:
-        self.see(ev.NoticeCame, at, since, relay=relay, ref=ref, result=result, wait_ms=0, acknowledged=True)
+        self.see(ev.NoticeReceived, at, since, relay=relay, ref=ref, result=result, wait_ms=0, acknowledged=True)
 
     def verdicts(self, at: float = 60_000) -> list[tuple[int, str, str]]:
         self.see(ev.RunEnded, at + 1)
