--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -71,7 +71,7 @@
     planned: bool
 
 
-class RelayPassed(Observed, frozen=True, gc=False, tag="relay-passed"):
+class RelayHandover(Observed, frozen=True, gc=False, tag="relay-passed"):
     """A handover of a relay to a new process has ended.
 
     ``how`` is its outcome: ``well`` if the new process reported that it serves. ``began`` is when the handover was
@@ -267,7 +267,7 @@
     | RelayReady
     | RelaySignalled
     | RelayEnded
-    | RelayPassed
+    | RelayHandover
     | EndpointExclusion
     | Starved
     | DiskUsed
--- a/garnetrelay/rehearsal/relays.py
+++ b/garnetrelay/rehearsal/relays.py
@@ -145,7 +145,7 @@
             if watching is not None:
                 await watching
         at, since = self.observer.read()
-        self.observer.see(ev.RelayPassed(at, since, self.name, fault or "well", began))
+        self.observer.see(ev.RelayHandover(at, since, self.name, fault or "well", began))
 
     async def _hears_yes(self, new: asyncio.subprocess.Process, port: int) -> None:
         async with asyncio.timeout(START_TIME):
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -55,7 +55,7 @@
         self.most_held = 0
         self.starved: dict[str, int] = {}
         self.disk: dict[str, int] = {}
-        self.upgrades: list[ev.RelayPassed] = []
+        self.upgrades: list[ev.RelayHandover] = []
         self.answers: dict[str, array[int]] = {}  # by relay: when a hand-in was written, and its answer's time, in turn
         self._asked: dict[str, int] = {}  # hand-ins without an answer yet
         self._routes: dict[str, ev.Route] = {}
@@ -90,7 +90,7 @@
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
             ev.ProbeReceived: lambda event, now: self.counts.update(("probes",)),
             ev.NoticeReceived: self._notice,
-            ev.RelayPassed: lambda event, now: self.upgrades.append(event),
+            ev.RelayHandover: lambda event, now: self.upgrades.append(event),
             ev.RelaySignalled: lambda event, now: self.restarts.append(event),
             ev.Step: lambda event, now: self.steps.append(event),
             ev.FellOver: lambda event, now: self.fell.append(event),
