--- a/garnetrelay/cli/rehearse.py
+++ b/garnetrelay/cli/rehearse.py
@@ -11,7 +11,7 @@
 from rich.console import Console
 
 from garnetrelay.rehearsal import conductor, events, plan, scenario
-from garnetrelay.rehearsal.checker import Checker, Figures
+from garnetrelay.rehearsal.checker import Checker, RuleLimits
 from garnetrelay.rehearsal.relays import StartError
 from garnetrelay.rehearsal.report import live, machine
 
@@ -97,7 +97,7 @@
     """Prints the verdicts on a recording; the exit status."""
     try:
         header, recorded_events = events.read_recording(path)
-        checker = Checker(msgspec.json.decode(bytes(header.figures), type=Figures))
+        checker = Checker(msgspec.json.decode(bytes(header.figures), type=RuleLimits))
         count = 0
         for event in recorded_events:
             checker.take(event)
--- a/garnetrelay/rehearsal/checker/__init__.py
+++ b/garnetrelay/rehearsal/checker/__init__.py
@@ -13,19 +13,19 @@
 from garnetrelay.rehearsal.checker.effects import EffectRule
 from garnetrelay.rehearsal.checker.ends import FinalAnswerRule
 from garnetrelay.rehearsal.checker.facts import Facts
-from garnetrelay.rehearsal.checker.figures import Figures, figures_of
+from garnetrelay.rehearsal.checker.figures import RuleLimits, figures_of
 from garnetrelay.rehearsal.checker.order import KeyOrderRule
 from garnetrelay.rehearsal.checker.returns import RecoveryLoadRule
 from garnetrelay.rehearsal.checker.verdicts import RULES, Verdict, VerdictLog
 from garnetrelay.rehearsal.checker.waits import WaitRule
 
-__all__ = ["RULES", "Checker", "Figures", "Verdict", "figures_of"]
+__all__ = ["RULES", "Checker", "RuleLimits", "Verdict", "figures_of"]
 
 
 class Checker:
     """Processes events in the order in which they were observed, and adds rule violations to ``verdicts``."""
 
-    def __init__(self, figures: Figures) -> None:
+    def __init__(self, figures: RuleLimits) -> None:
         self.facts = Facts(figures)
         self.verdict_log = VerdictLog()
         self.final_answers = FinalAnswerRule(self.facts, self.verdict_log)
--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.rehearsal import events as ev
-from garnetrelay.rehearsal.checker.figures import SECOND, ClassFigures, Figures
+from garnetrelay.rehearsal.checker.figures import SECOND, ClassFigures, RuleLimits
 from garnetrelay.rehearsal.checker.verdicts import Handlers
 
 REFUSAL_STATUSES = frozenset((429, 503, 504, 410))  # these answers state that the call had no effect
@@ -116,7 +116,7 @@
 class Facts:
     """The state derived from all events so far."""
 
-    figures: Figures
+    figures: RuleLimits
     now: int = 0
     relays: dict[str, RelayFacts] = field(default_factory=dict)
     routes: dict[str, ev.Route] = field(default_factory=dict)
--- a/garnetrelay/rehearsal/checker/figures.py
+++ b/garnetrelay/rehearsal/checker/figures.py
@@ -20,7 +20,7 @@
     in_turn: bool
 
 
-class Figures(msgspec.Struct, frozen=True):
+class RuleLimits(msgspec.Struct, frozen=True):
     """The limits that a run is checked against. Times in nanoseconds; the field names are stored in recordings."""
 
     classes: dict[str, ClassFigures]
@@ -38,10 +38,10 @@
     heard: int = SECOND // 2  # after this time a written answer has been read, unless the relay was starved
 
 
-def figures_of(settings: dict[str, Any], disk_bytes: int) -> Figures:
+def figures_of(settings: dict[str, Any], disk_bytes: int) -> RuleLimits:
     """Build the limits from the settings that a relay receives."""
     rules = settings["rules"]
-    return Figures(
+    return RuleLimits(
         classes={
             c["name"]: ClassFigures(
                 repeat=REPEAT_BY_IDEMPOTENCY[c["idempotency"]],
--- a/garnetrelay/rehearsal/checker/returns.py
+++ b/garnetrelay/rehearsal/checker/returns.py
@@ -1,6 +1,6 @@
 """Rule 4: a partner that is cold after an outage is not overloaded by relays that saw it fail.
 
-Load is counted over a sliding window (``Figures.fall``). The limit is a multiple (``Figures.fall_multiple``) of the
+Load is counted over a sliding window (``RuleLimits.fall``). The limit is a multiple (``RuleLimits.fall_multiple``) of the
 partner's capacity at that moment, plus one standard deviation of a Poisson count of that size, at least two calls,
 for random variation. Only calls that certainly arrived within one window are counted together. The rule is broken if
 at least two thirds of them came from relays whose current process saw a call or probe to the partner fail or be
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -7,13 +7,13 @@
 import pytest
 
 from garnetrelay.rehearsal import events as ev
-from garnetrelay.rehearsal.checker import Checker, Figures
+from garnetrelay.rehearsal.checker import Checker, RuleLimits
 from garnetrelay.rehearsal.checker.figures import ClassFigures
 from garnetrelay.rehearsal.checker.returns import max_calls
 
 MS = 1_000_000
 S = 1_000_000_000
-FIGURES = Figures(
+FIGURES = RuleLimits(
     classes={
         "safe": ClassFigures("safe", False, 0, False),
         "keyed": ClassFigures("keyed", True, 6 * S, False),
