--- a/garnetrelay/rehearsal/checker/__init__.py
+++ b/garnetrelay/rehearsal/checker/__init__.py
@@ -13,13 +13,13 @@
 from garnetrelay.rehearsal.checker.effects import EffectRule
 from garnetrelay.rehearsal.checker.ends import FinalAnswerRule
 from garnetrelay.rehearsal.checker.facts import Facts
-from garnetrelay.rehearsal.checker.figures import RuleLimits, figures_of
+from garnetrelay.rehearsal.checker.figures import RuleLimits, limits_from_settings
 from garnetrelay.rehearsal.checker.order import KeyOrderRule
 from garnetrelay.rehearsal.checker.returns import RecoveryLoadRule
 from garnetrelay.rehearsal.checker.verdicts import RULES, Verdict, VerdictLog
 from garnetrelay.rehearsal.checker.waits import WaitRule
 
-__all__ = ["RULES", "Checker", "RuleLimits", "Verdict", "figures_of"]
+__all__ = ["RULES", "Checker", "RuleLimits", "Verdict", "limits_from_settings"]
 
 
 class Checker:
--- a/garnetrelay/rehearsal/checker/figures.py
+++ b/garnetrelay/rehearsal/checker/figures.py
@@ -38,7 +38,7 @@
     heard: int = SECOND // 2  # after this time a written answer has been read, unless the relay was starved
 
 
-def figures_of(settings: dict[str, Any], disk_bytes: int) -> RuleLimits:
+def limits_from_settings(settings: dict[str, Any], disk_bytes: int) -> RuleLimits:
     """Build the limits from the settings that a relay receives."""
     rules = settings["rules"]
     return RuleLimits(
--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from garnetrelay.rehearsal import events as ev
-from garnetrelay.rehearsal.checker import Checker, Verdict, figures_of
+from garnetrelay.rehearsal.checker import Checker, Verdict, limits_from_settings
 from garnetrelay.rehearsal.clients import Crowd
 from garnetrelay.rehearsal.clock import Clock, run_watched
 from garnetrelay.rehearsal.links.script import Move
@@ -66,7 +66,7 @@
     ) -> None:
         self.scenario = scenario
         self.plan = plan
-        figures = figures_of(plan.settings, int(plan.limits["disk_mb"] * 1_000_000))
+        figures = limits_from_settings(plan.settings, int(plan.limits["disk_mb"] * 1_000_000))
         self.checker = Checker(figures)
         self.tally = Tally(plan)
         header = ev.Header(ev.VERSION, msgspec.Raw(msgspec.json.encode(figures)), plan.scenario, plan.seed)
