--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -1,4 +1,4 @@
-"""RuleLimits of a run, from its events alone: service, counts by second, what each partner was sent. No I/O."""
+"""Figures of a run, from its events alone: service, counts by second, what each partner was sent. No I/O."""
 
 from __future__ import annotations
 
