--- a/garnetrelay/rehearsal/checker/__init__.py
+++ b/garnetrelay/rehearsal/checker/__init__.py
@@ -11,11 +11,11 @@
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker.drains import DrainRule
 from garnetrelay.rehearsal.checker.effects import EffectRule
-from garnetrelay.rehearsal.checker.ends import FinalAnswerRule
 from garnetrelay.rehearsal.checker.facts import Facts
-from garnetrelay.rehearsal.checker.figures import RuleLimits, limits_from_settings
+from garnetrelay.rehearsal.checker.final_answers import FinalAnswerRule
+from garnetrelay.rehearsal.checker.limits import RuleLimits, limits_from_settings
 from garnetrelay.rehearsal.checker.order import KeyOrderRule
-from garnetrelay.rehearsal.checker.returns import RecoveryLoadRule
+from garnetrelay.rehearsal.checker.recovery_load import RecoveryLoadRule
 from garnetrelay.rehearsal.checker.verdicts import RULES, Verdict, VerdictLog
 from garnetrelay.rehearsal.checker.waits import WaitRule
 
@@ -25,8 +25,8 @@
 class Checker:
     """Processes events in the order in which they were observed, and adds rule violations to ``verdicts``."""
 
-    def __init__(self, figures: RuleLimits) -> None:
-        self.facts = Facts(figures)
+    def __init__(self, limits: RuleLimits) -> None:
+        self.facts = Facts(limits)
         self.verdict_log = VerdictLog()
         self.final_answers = FinalAnswerRule(self.facts, self.verdict_log)
         self._fact_handlers = self.facts.handlers
--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -63,8 +63,8 @@
     ) -> None:
         first = arrival.since if isinstance(arrival, ev.ConnectFailed) else arrival.first
         subject = arrival.ref if isinstance(arrival, ev.CallReceived) else arrival.route
-        figures = self.facts.figures
-        grace_end = notification.at + figures.drain_grace + figures.sockets_slack
+        limits = self.facts.limits
+        grace_end = notification.at + limits.drain_grace + limits.sockets_slack
         grace_end += self.facts.relay(arrival.relay).starvation_ns(notification.at, arrival.at)
         if first > grace_end:
             state = notification.status if isinstance(notification, ev.StatusNotified) else "out by hand"
--- a/garnetrelay/rehearsal/checker/effects.py
+++ b/garnetrelay/rehearsal/checker/effects.py
@@ -61,11 +61,11 @@
                     [*other.evidence(), arrival],
                     arrival,
                 )
-        if len(message.calls) > self.facts.figures.most_tries and message.calls[-1] is call:
+        if len(message.calls) > self.facts.limits.most_tries and message.calls[-1] is call:
             self._report(
                 "too-many",
                 f"{arrival.ref} was sent {len(message.calls)} times, more than the limit of "
-                f"{self.facts.figures.most_tries} attempts",
+                f"{self.facts.limits.most_tries} attempts",
                 [arrival],
                 arrival,
             )
@@ -99,7 +99,7 @@
                     arrival,
                 )
             elapsed = arrival.since - first.arrival.at
-            if elapsed > klass.window + self.facts.figures.sockets_slack:
+            if elapsed > klass.window + self.facts.limits.sockets_slack:
                 self._report(
                     "after-window",
                     f"keyed {arrival.ref} arrived at {arrival.route} {seconds(elapsed)} after an "
--- a/garnetrelay/rehearsal/checker/facts.py
+++ b/garnetrelay/rehearsal/checker/facts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from garnetrelay.rehearsal import events as ev
-from garnetrelay.rehearsal.checker.figures import SECOND, ClassFigures, RuleLimits
+from garnetrelay.rehearsal.checker.limits import SECOND, ClassLimits, RuleLimits
 from garnetrelay.rehearsal.checker.verdicts import Handlers
 
 REFUSAL_STATUSES = frozenset((429, 503, 504, 410))  # these answers state that the call had no effect
@@ -82,7 +82,7 @@
     """One message submitted by a client."""
 
     submission: ev.MessageSubmitted
-    klass: ClassFigures
+    klass: ClassLimits
     life: int  # number of the relay process that it was submitted to
     sequence: int  # position among all submitted messages
     answer: ev.Answered | None = None
@@ -116,7 +116,7 @@
 class Facts:
     """The state derived from all events so far."""
 
-    figures: RuleLimits
+    limits: RuleLimits
     now: int = 0
     relays: dict[str, RelayFacts] = field(default_factory=dict)
     routes: dict[str, ev.Route] = field(default_factory=dict)
@@ -216,7 +216,7 @@
 
     def _submitted(self, event: ev.MessageSubmitted) -> None:
         self.message_count += 1
-        message = Message(event, self.figures.classes[event.klass], self.relay(event.relay).life, self.message_count)
+        message = Message(event, self.limits.classes[event.klass], self.relay(event.relay).life, self.message_count)
         self.messages[event.ref] = message
         self.lineages.setdefault(event.lineage, []).append(message)
         self._expiries.append((event.at + event.patience + RETENTION_NS, event.ref))
--- a/garnetrelay/rehearsal/checker/ends.py
+++ b/garnetrelay/rehearsal/checker/final_answers.py
@@ -6,7 +6,7 @@
 
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker.facts import Call, Facts, Message
-from garnetrelay.rehearsal.checker.figures import SECOND
+from garnetrelay.rehearsal.checker.limits import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
 STARVATION_LOOKBACK_NS = 2 * SECOND  # starvation this long before a deadline can still delay the final answer
@@ -51,7 +51,7 @@
             )
 
     def _disk_used(self, event: ev.DiskUsed) -> None:
-        max_bytes = self.facts.figures.disk_bytes
+        max_bytes = self.facts.limits.disk_bytes
         if event.bytes > max_bytes:
             self.verdict_log.report(
                 0,
@@ -65,8 +65,8 @@
 
     def due_at(self, message: Message) -> int:
         """The time by which a message must end, not counting starvation and restarts."""
-        figures = self.facts.figures
-        return message.submission.at + message.submission.patience + figures.answer_slack + figures.sockets_slack
+        limits = self.facts.limits
+        return message.submission.at + message.submission.patience + limits.answer_slack + limits.sockets_slack
 
     def _extended_due(self, message: Message, due: int, by: int) -> int | None:
         """The due time, extended for a restart, for refused notices and for starvation up to ``by``.
@@ -74,16 +74,16 @@
         None if it is not known yet.
         """
         relay = self.facts.relay(message.submission.relay)
-        figures = self.facts.figures
+        limits = self.facts.limits
         if relay.signalled is not None and relay.signalled.at <= due:
             return None  # the relay is down or shutting down
         if relay.refusing_notices_since is not None and relay.refusing_notices_since <= due:
             return None
         latest = due
         if relay.life != message.life or relay.ready_at > message.submission.at:
-            latest = max(latest, relay.ready_at + figures.restart_grace)
+            latest = max(latest, relay.ready_at + limits.restart_grace)
         if relay.accepting_notices_since > message.submission.at:
-            latest = max(latest, relay.accepting_notices_since + figures.platform_grace)
+            latest = max(latest, relay.accepting_notices_since + limits.platform_grace)
         return latest + relay.starvation_ns(min(due, latest) - STARVATION_LOOKBACK_NS, by)
 
     def _check_end(self, message: Message) -> None:
@@ -166,7 +166,7 @@
             return False
         if relay.signalled is not None:
             return False
-        latest = call.answered.at + self.facts.figures.heard
+        latest = call.answered.at + self.facts.limits.heard
         latest += relay.starvation_ns(call.answered.at - SECOND, self.facts.now)
         return by > latest and (call.ended is None or call.ended.since > latest)
 
--- a/garnetrelay/rehearsal/checker/figures.py
+++ b/garnetrelay/rehearsal/checker/limits.py
@@ -11,7 +11,7 @@
 REPEAT_BY_IDEMPOTENCY = {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"}
 
 
-class ClassFigures(msgspec.Struct, frozen=True):
+class ClassLimits(msgspec.Struct, frozen=True):
     """The settings of one class of message. Times in nanoseconds."""
 
     repeat: str  # safe, keyed or unsafe
@@ -23,7 +23,7 @@
 class RuleLimits(msgspec.Struct, frozen=True):
     """The limits that a run is checked against. Times in nanoseconds; the field names are stored in recordings."""
 
-    classes: dict[str, ClassFigures]
+    classes: dict[str, ClassLimits]
     answer_slack: int
     drain_grace: int
     fall: int
@@ -43,7 +43,7 @@
     rules = settings["rules"]
     return RuleLimits(
         classes={
-            c["name"]: ClassFigures(
+            c["name"]: ClassLimits(
                 repeat=REPEAT_BY_IDEMPOTENCY[c["idempotency"]],
                 by_zone=c.get("keyScope", "all") != "all",
                 window=int(c.get("repeatWindow", 0)),
--- a/garnetrelay/rehearsal/checker/order.py
+++ b/garnetrelay/rehearsal/checker/order.py
@@ -12,7 +12,7 @@
 
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker.facts import Call, Facts, Message
-from garnetrelay.rehearsal.checker.figures import SECOND
+from garnetrelay.rehearsal.checker.limits import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
 MAX_QUEUE_MESSAGES = 256  # of one key, kept for comparison
@@ -29,12 +29,12 @@
     @property
     def handlers(self) -> Handlers:
         """The event types that this rule handles, each with its handler; empty if no class is ordered."""
-        if not any(klass.in_turn for klass in self.facts.figures.classes.values()):
+        if not any(klass.in_turn for klass in self.facts.limits.classes.values()):
             return {}
         return {ev.MessageSubmitted: self._submitted, ev.CallReceived: self._call_arrived}
 
     def _submitted(self, event: ev.MessageSubmitted) -> None:
-        if self.facts.figures.classes[event.klass].in_turn and event.key:
+        if self.facts.limits.classes[event.klass].in_turn and event.key:
             queue = self.queues.setdefault((event.relay, event.key), deque(maxlen=MAX_QUEUE_MESSAGES))
             queue.append(self.facts.messages[event.ref])
 
@@ -79,13 +79,13 @@
             gap = arrival.at - attempt.ended.since
             # A relay counts from its decision; it closes the connection in the next iteration of its event loop.
             starvation = self.facts.relay(arrival.relay).starvation_ns(attempt.ended.since - SECOND, arrival.at)
-            if gap < self.facts.figures.turn_gap - self.facts.figures.sockets_slack - starvation:
+            if gap < self.facts.limits.turn_gap - self.facts.limits.sockets_slack - starvation:
                 self._report(
                     "no-rest",
                     arrival,
                     f"{arrival.ref} arrived at {arrival.route} {seconds(gap)} after an attempt "
                     f"for {attempt.arrival.ref} of the same key ended without an answer; the required gap is "
-                    f"{seconds(self.facts.figures.turn_gap)}",
+                    f"{seconds(self.facts.limits.turn_gap)}",
                     [*attempt.evidence(), arrival],
                 )
 
--- a/garnetrelay/rehearsal/checker/returns.py
+++ b/garnetrelay/rehearsal/checker/recovery_load.py
@@ -15,7 +15,7 @@
 
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker.facts import Facts
-from garnetrelay.rehearsal.checker.figures import SECOND
+from garnetrelay.rehearsal.checker.limits import SECOND
 from garnetrelay.rehearsal.checker.verdicts import Handlers, VerdictLog, seconds
 
 MIN_INFORMED_SHARE = 2 / 3  # of the calls, from relays that saw the outage
@@ -106,15 +106,15 @@
         scope = self.scopes.get(name)
         if scope is None or scope.recovery is None or arrival.since < scope.recovery.at:
             return
-        recovery, figures = scope.recovery, self.facts.figures
-        if arrival.at > recovery.at + recovery.ramp + figures.fall:
+        recovery, limits = scope.recovery, self.facts.limits
+        if arrival.at > recovery.at + recovery.ramp + limits.fall:
             del self.scopes[name]
             return
         life = self.facts.relay(arrival.relay).life
         scope.arrivals.append((arrival, life))
-        while scope.arrivals[0][0].since < arrival.at - figures.fall:
+        while scope.arrivals[0][0].since < arrival.at - limits.fall:
             scope.arrivals.popleft()
-        max_count = max_calls(recovery, arrival.at, figures.fall, figures.fall_multiple)
+        max_count = max_calls(recovery, arrival.at, limits.fall, limits.fall_multiple)
         if len(scope.arrivals) <= max_count:
             return
         informed = [
@@ -130,7 +130,7 @@
             ", ".join(relays),
             arrival.at,
             f"{name} recovered at {seconds(recovery.at)} and can serve {capacity(recovery, arrival.at):.1f} calls "
-            f"a second; {len(scope.arrivals)} arrived within {seconds(figures.fall)}, {len(informed)} of them from "
+            f"a second; {len(scope.arrivals)} arrived within {seconds(limits.fall)}, {len(informed)} of them from "
             f"{' and '.join(relays)}, which had seen it fail",
             [
                 scope.began,
--- a/garnetrelay/rehearsal/checker/waits.py
+++ b/garnetrelay/rehearsal/checker/waits.py
@@ -53,7 +53,7 @@
         wait = self.by_call.pop(event.call, None)
         if wait is not None:
             relay = self.facts.relay(wait.arrival.relay)
-            certainly_read_at = wait.answer.at + self.facts.figures.wait_pass
+            certainly_read_at = wait.answer.at + self.facts.limits.wait_pass
             wait.void = event.since <= certainly_read_at + relay.starvation_ns(wait.answer.at, event.at)
 
     def _sent(self, arrival: ev.CallReceived | ev.ProbeReceived) -> None:
@@ -66,7 +66,7 @@
         while waits and waits[0].answer.at + waits[0].answer.wait < arrival.since and waits[0].life <= relay.life:
             self.by_call.pop(waits.popleft().answer.call, None)
         for wait in waits:
-            answer, tolerance_end = wait.answer, wait.answer.at + self.facts.figures.wait_pass
+            answer, tolerance_end = wait.answer, wait.answer.at + self.facts.limits.wait_pass
             if wait.life != relay.life or arrival.at >= answer.at + answer.wait:
                 continue  # the wait has ended, or does not apply to a restarted relay
             if arrival.first > tolerance_end + relay.starvation_ns(answer.at, arrival.at):
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -8,17 +8,17 @@
 
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker import Checker, RuleLimits
-from garnetrelay.rehearsal.checker.figures import ClassFigures
-from garnetrelay.rehearsal.checker.returns import max_calls
+from garnetrelay.rehearsal.checker.limits import ClassLimits
+from garnetrelay.rehearsal.checker.recovery_load import max_calls
 
 MS = 1_000_000
 S = 1_000_000_000
-FIGURES = RuleLimits(
+LIMITS = RuleLimits(
     classes={
-        "safe": ClassFigures("safe", False, 0, False),
-        "keyed": ClassFigures("keyed", True, 6 * S, False),
-        "unsafe": ClassFigures("unsafe", False, 0, False),
-        "turn": ClassFigures("safe", False, 0, True),
+        "safe": ClassLimits("safe", False, 0, False),
+        "keyed": ClassLimits("keyed", True, 6 * S, False),
+        "unsafe": ClassLimits("unsafe", False, 0, False),
+        "turn": ClassLimits("safe", False, 0, True),
     },
     answer_slack=250 * MS,
     drain_grace=S,
@@ -40,7 +40,7 @@
     """Passes events to a checker in order. Times are in milliseconds."""
 
     def __init__(self) -> None:
-        self.checker = Checker(FIGURES)
+        self.checker = Checker(LIMITS)
         self.calls = 0
         self.see(ev.RoutesAnnounced, 0, routes=ROUTES)
         for relay in ("r1", "r2"):
