--- a/garnetrelay/rehearsal/checker/drains.py
+++ b/garnetrelay/rehearsal/checker/drains.py
@@ -67,7 +67,7 @@
         grace_end = notification.at + limits.drain_grace + limits.sockets_slack
         grace_end += self.facts.relay(arrival.relay).starvation_ns(notification.at, arrival.at)
         if first > grace_end:
-            state = notification.status if isinstance(notification, ev.StatusNotified) else "out by hand"
+            state = notification.status if isinstance(notification, ev.StatusNotified) else "excluded by operators"
             action = (
                 f"sent {subject}"
                 if isinstance(arrival, ev.CallReceived)
--- a/garnetrelay/rehearsal/events.py
+++ b/garnetrelay/rehearsal/events.py
@@ -75,7 +75,7 @@
     """A handover of a relay to a new process has ended.
 
     ``how`` is its outcome: ``well`` if the new process reported that it serves. ``began`` is when the handover was
-    started. Both processes count as one relay with the same ``life``.
+    started. Both processes count as one process of the relay.
     """
 
     relay: str
