--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -88,7 +88,7 @@
         since = call.connection.not_before(self.clock.since)
         if call.method == "GET":
             status = self.partner.probe(now, self.route) if call.target in ("/-/healthy", "/-/load") else 404
-            observer.see(ev.ProbeCame(now, since, self.relay, self.route, status, call.first))
+            observer.see(ev.ProbeReceived(now, since, self.relay, self.route, status, call.first))
             if status:
                 load = self.partner.load(now, self.route)
                 body = b"x0=%.4f,x1=%.3f" % load if call.target == "/-/load" and load else b""
@@ -96,7 +96,7 @@
             return
         ref = call.headers.get("x-request-id", "")
         call.number, call.came = next(self.partners.numbers), now
-        observer.see(ev.CallCame(now, since, call.number, self.relay, self.route, ref, call.first))
+        observer.see(ev.CallReceived(now, since, call.number, self.relay, self.route, ref, call.first))
         self.open[call.number] = call
         scope = self.partner.routes[self.route].scope
         fallen = scope.fallen
@@ -208,7 +208,7 @@
     def _tell_world(self) -> None:
         at, since = self.observer.did()
         self.observer.see(
-            ev.World(
+            ev.RoutesAnnounced(
                 at,
                 since,
                 tuple(
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -55,12 +55,12 @@
         self.most_held = 0
         self.starved: dict[str, int] = {}
         self.disk: dict[str, int] = {}
-        self.upgrades: list[ev.RelayPassed] = []
+        self.upgrades: list[ev.RelayHandover] = []
         self.answers: dict[str, array[int]] = {}  # by relay: when a hand-in was written, and its answer's time, in turn
         self._asked: dict[str, int] = {}  # hand-ins without an answer yet
         self._routes: dict[str, ev.Route] = {}
         self._refs: dict[str, str] = {}
-        self._calls: dict[int, ev.CallCame] = {}
+        self._calls: dict[int, ev.CallReceived] = {}
         self._takers = self._table()
         self._classes = {c["name"]: n for n, c in enumerate(plan.settings["classes"])}
 
@@ -81,16 +81,16 @@
 
     def _table(self) -> dict[type[ev.Observed], Callable[[Any, Second], None]]:
         return {
-            ev.HandedIn: self._handed_in,
+            ev.MessageSubmitted: self._handed_in,
             ev.Answered: self._taken_on,
             ev.Unanswered: self._unanswered,
-            ev.CallCame: self._came,
+            ev.CallReceived: self._came,
             ev.CallAnswered: self._answered,
             ev.CallEnded: self._ended,
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
-            ev.ProbeCame: lambda event, now: self.counts.update(("probes",)),
-            ev.NoticeCame: self._notice,
-            ev.RelayPassed: lambda event, now: self.upgrades.append(event),
+            ev.ProbeReceived: lambda event, now: self.counts.update(("probes",)),
+            ev.NoticeReceived: self._notice,
+            ev.RelayHandover: lambda event, now: self.upgrades.append(event),
             ev.RelaySignalled: lambda event, now: self.restarts.append(event),
             ev.Step: lambda event, now: self.steps.append(event),
             ev.FellOver: lambda event, now: self.fell.append(event),
@@ -98,10 +98,10 @@
             ev.OutageOver: self._outage_over,
             ev.Starved: lambda event, now: self.starved.update({event.relay: event.waited}),
             ev.DiskUsed: self._disk_used,
-            ev.World: lambda event, now: self._routes.update({route.name: route for route in event.routes}),
+            ev.RoutesAnnounced: lambda event, now: self._routes.update({route.name: route for route in event.routes}),
         }
 
-    def _handed_in(self, event: ev.HandedIn, now: Second) -> None:
+    def _handed_in(self, event: ev.MessageSubmitted, now: Second) -> None:
         now.handed_in += 1
         self.counts["handed in"] += 1
         self._asked[event.ref] = event.at
@@ -129,7 +129,7 @@
         if event.why != "closed":
             self._asked.pop(event.ref, None)
 
-    def _came(self, event: ev.CallCame, now: Second) -> None:
+    def _came(self, event: ev.CallReceived, now: Second) -> None:
         route = self._routes.get(event.route)
         now.calls[event.route if route is None else ev.scope_of(route)] += 1
         self.counts["calls"] += 1
@@ -139,7 +139,7 @@
         if self._calls.pop(event.call, None) is not None:
             self.counts[f"calls without an answer, ended by the {event.by}"] += 1
 
-    def _notice(self, event: ev.NoticeCame, now: Second) -> None:
+    def _notice(self, event: ev.NoticeReceived, now: Second) -> None:
         if event.acknowledged:
             now.ended[event.result] += 1
             self.counts[f"notices, {event.result}"] += 1
