--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -89,7 +89,9 @@
         self._step("words told", self._quiet)
 
     def _quiet(self) -> bool:
-        return not any(node.members is not None and len(node.members.local_view.spreading) for node in self.world.live())
+        return not any(
+            node.members is not None and len(node.members.local_view.dissemination) for node in self.world.live()
+        )
 
     def _step(self, step: str, done: Callable[[], bool] | None, seconds: int = PATIENCE) -> None:
         world = self.world
--- a/garnetrelay/fleet/members/dissemination.py
+++ b/garnetrelay/fleet/members/dissemination.py
@@ -9,7 +9,7 @@
 from garnetrelay.fleet.members.claims import Claim
 
 
-class Spreading:
+class DisseminationQueue:
     """Words on their way, in rows by how often each has been told."""
 
     def __init__(self) -> None:
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -116,7 +116,7 @@
         on their way, and those on members that failed. With few changes, or few members, it is less than a period."""
         local_view = self._local_view
         failed = sum(member.claim.status is Status.FAILED for member in local_view.table.gone.values())
-        size = (len(local_view.spreading) + failed) * self._outgoing.sender.size()
+        size = (len(local_view.dissemination) + failed) * self._outgoing.sender.size()
         return size * self._settings.probe_interval // self._settings.max_frame_bytes
 
     # ---- what is told
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from garnetrelay.fleet.members.claims import Claim, Identity, SocketAddress, Status
-from garnetrelay.fleet.members.dissemination import Spreading
+from garnetrelay.fleet.members.dissemination import DisseminationQueue
 from garnetrelay.fleet.members.effects import Effect, LogLine, StoreLife
 from garnetrelay.fleet.members.local_member import Answer, LocalMember
 from garnetrelay.fleet.members.settings import Settings
@@ -38,7 +38,7 @@
         self.settings = settings
         self.local = LocalMember(own)
         self.table = Table(settings.max_members)
-        self.spreading = Spreading()
+        self.dissemination = DisseminationQueue()
         self.suspects: dict[str, None] = {}  # names, the longest suspected first
         self.counters = Counters()
         self.told_by: SocketAddress | None = None  # who said that this life has ended
@@ -91,9 +91,9 @@
         if change is Change.AGAIN:
             assert member.suspicion is not None
             if len(member.suspicion.by) <= self.settings.confirmations:
-                self.spreading.tell(claim)
+                self.dissemination.tell(claim)
             return Answer.NOTHING
-        self.spreading.tell(claim)
+        self.dissemination.tell(claim)
         if claim.status is Status.SUSPECT:
             member.suspicion = Suspicion(now, self.count)
             self.suspects[claim.name] = None
@@ -161,7 +161,7 @@
         """The folder has the life that was wanted: whether this relay goes on in it."""
         if not self.local.kept(life):
             return False
-        self.spreading.tell(self.local.claim)
+        self.dissemination.tell(self.local.claim)
         self._note(f"goes on as {self.local.claim.said()}", logging.WARNING)
         return True
 
@@ -174,17 +174,17 @@
         answer = self.local.hear(claim)
         if answer is Answer.REFUTED:
             self.counters.refuted += 1
-            self.spreading.tell(self.local.claim)
+            self.dissemination.tell(self.local.claim)
             self._note(f"was {claim.said()}: speaks up as {self.local.claim.said()}")
         elif answer is Answer.OLD:
-            self.spreading.tell(self.local.claim)
+            self.dissemination.tell(self.local.claim)
         elif answer is Answer.WANTED:
-            self.spreading.drop(claim.name)
+            self.dissemination.drop(claim.name)
             self.told_by = source
             self._note(f"is {claim.said()}: goes on in life {self.local.wanted} once that is kept", logging.WARNING)
             self._effects.append(StoreLife(self.local.wanted))
         elif answer is Answer.ASIDE:
-            self.spreading.drop(claim.name)
+            self.dissemination.drop(claim.name)
             self._note(
                 f"another process at {claim.address} has this name: {claim.said()}; standing aside until that life "
                 "has ended",
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -44,7 +44,7 @@
     def news(self, room: int, to: str) -> list[Claim]:
         """The claims that are spread with the next frame to a member, in so much room (bytes)."""
         limit = self._settings.repeats * self._settings.scale(self._local_view.count)
-        return self._local_view.spreading.take(room, limit, to)
+        return self._local_view.dissemination.take(room, limit, to)
 
     def summary(self) -> fr.Summary:
         """This relay's view, in short."""
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from garnetrelay.fleet.members.claims import Claim, Status
-from garnetrelay.fleet.members.dissemination import Spreading
+from garnetrelay.fleet.members.dissemination import DisseminationQueue
 from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.frames import Ping
 from garnetrelay.fleet.members.protocol import Membership
@@ -130,12 +130,12 @@
 
 
 def test_a_word_is_told_so_often_and_a_newer_one_from_the_beginning() -> None:
-    spreading, old = Spreading(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
-    spreading.tell(old)
-    assert [spreading.take(1000, 3) for _ in range(2)] == [[old], [old]]
+    dissemination, old = DisseminationQueue(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
+    dissemination.tell(old)
+    assert [dissemination.take(1000, 3) for _ in range(2)] == [[old], [old]]
     new = old.judged(Status.SUSPECT, "b")
-    spreading.tell(new)
-    assert [spreading.take(1000, 3) for _ in range(4)] == [[new], [new], [new], []] and len(spreading) == 0
+    dissemination.tell(new)
+    assert [dissemination.take(1000, 3) for _ in range(4)] == [[new], [new], [new], []] and len(dissemination) == 0
 
 
 def test_who_is_suspected_is_asked_by_all_that_hold_it_for_so() -> None:
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -38,7 +38,7 @@
     assert world.run(60 * SECOND, world.one_view)
     assert world.run(
         world.now + 120 * SECOND,
-        lambda: not any(node.members is not None and len(node.members.local_view.spreading) for node in world.live()),
+        lambda: not any(node.members is not None and len(node.members.local_view.dissemination) for node in world.live()),
     )
     return world, meter
 
