--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -20,24 +20,24 @@
 
 FILE = "fleet"
 VERSION = 1
-MOST_PLACES = 16
-MOST_BYTES = 2048  # of four blocks; old and new take FLEET_FILE of ``config/deployment.py``
+MAX_ADDRESSES = 16
+MAX_FILE_BYTES = 2048  # of four blocks; old and new take FLEET_FILE of ``config/deployment.py``
 
 
-class Kept(msgspec.Struct, frozen=True):
+class StoredLife(msgspec.Struct, frozen=True):
     """What outlasts a process: its life, and where some others heard."""
 
     life: Life
     places: list[tuple[str, int]] = []
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: StoredLife) -> bytes:
     """A file's content."""
     body = msgspec.json.encode(kept)
     return b"garnetrelay fleet %d %08x\n" % (VERSION, zlib.crc32(body)) + body
 
 
-def decode(data: bytes) -> Kept:
+def decode(data: bytes) -> StoredLife:
     """What it keeps; ValueError with the reason where it can't be read."""
     head, _, body = data.partition(b"\n")
     words = head.split()
@@ -47,7 +47,7 @@
         raise ValueError(f"of version {words[2][:10]!r}, not {VERSION}")
     if words[3] != b"%08x" % zlib.crc32(body):
         raise ValueError("damaged")
-    return msgspec.json.decode(body, type=Kept)
+    return msgspec.json.decode(body, type=StoredLife)
 
 
 class LifeFile:
@@ -57,7 +57,7 @@
         self._folder = Folder(folder)
         self._sync = sync
 
-    def read(self) -> Kept | None:
+    def read(self) -> StoredLife | None:
         """What an earlier life kept; None where there is nothing that can be read."""
         if FILE not in self._folder.names():
             return None
@@ -67,7 +67,7 @@
             log.error("fleet: the life number can't be read, the others will tell it: %s", error)
             return None
 
-    def keep(self, life: int, places: list[SocketAddress]) -> None:
+    def store(self, life: int, places: list[SocketAddress]) -> None:
         """Put a life on record; OSError where it can't be."""
-        kept = Kept(life, [(place.host, place.port) for place in places[:MOST_PLACES]])
+        kept = StoredLife(life, [(place.host, place.port) for place in places[:MAX_ADDRESSES]])
         self._folder.replace(FILE, encode(kept), self._sync)
--- a/garnetrelay/fleet/members/digests.py
+++ b/garnetrelay/fleet/members/digests.py
@@ -17,10 +17,10 @@
 
 from garnetrelay.fleet.members.claims import Claim, Status
 
-BUCKET = 16  # names in one, about
-MOST_BUCKETS = 64
+NAMES_PER_BUCKET = 16  # names in one, about
+MAX_BUCKETS = 64
 DIGEST = struct.Struct(">Q")  # of a bucket
-MOST_BYTES = MOST_BUCKETS * DIGEST.size
+MAX_DIGESTS_BYTES = MAX_BUCKETS * DIGEST.size
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -28,7 +28,7 @@
 def buckets_for(names: int) -> int:
     """How many buckets for so many names: a power of two."""
     buckets = 1
-    while buckets * BUCKET < names and buckets < MOST_BUCKETS:
+    while buckets * NAMES_PER_BUCKET < names and buckets < MAX_BUCKETS:
         buckets *= 2
     return buckets
 
@@ -36,7 +36,7 @@
 def valid(digests: bytes) -> bool:
     """Whether they are of a number of buckets that there may be; none is one."""
     buckets, rest = divmod(len(digests), DIGEST.size)
-    return not rest and buckets <= MOST_BUCKETS and buckets & (buckets - 1) == 0
+    return not rest and buckets <= MAX_BUCKETS and buckets & (buckets - 1) == 0
 
 
 @functools.lru_cache(8192)  # the words of 1,000 members are asked for with every exchange
@@ -62,7 +62,7 @@
     return b"".join(DIGEST.pack(each) for each in sums)
 
 
-def differing(ours: bytes, theirs: bytes) -> set[int]:
+def differing_buckets(ours: bytes, theirs: bytes) -> set[int]:
     """The buckets in which two relays hold other words; both are of as many buckets."""
     return {
         bucket
@@ -76,10 +76,10 @@
     relay of before, which tells all that it holds."""
     known = {claim.name: hash_of(claim) for claim in told}
     claims = [claim for claim in held if known.get(claim.name) != hash_of(claim)]
-    return unlike(claims, ours, theirs) if theirs else claims
+    return in_differing_buckets(claims, ours, theirs) if theirs else claims
 
 
-def unlike(held: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
+def in_differing_buckets(held: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
     """The words of the buckets in which the other holds others."""
-    buckets, others = len(ours) // DIGEST.size, differing(ours, theirs)
+    buckets, others = len(ours) // DIGEST.size, differing_buckets(ours, theirs)
     return [claim for claim in held if bucket_of(claim.name, buckets) in others]
--- a/garnetrelay/fleet/members/dissemination.py
+++ b/garnetrelay/fleet/members/dissemination.py
@@ -13,45 +13,45 @@
     """Words on their way, in rows by how often each has been told."""
 
     def __init__(self) -> None:
-        self._rows: list[dict[str, Claim]] = []
-        self._row_of: dict[str, int] = {}
+        self._by_transmissions: list[dict[str, Claim]] = []
+        self._transmissions_of: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._row_of)
+        return len(self._transmissions_of)
 
-    def tell(self, claim: Claim) -> None:
+    def add(self, claim: Claim) -> None:
         """Tell a word from the beginning."""
-        self.drop(claim.name)
+        self.remove(claim.name)
         self._put(claim, 0)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Tell nothing of a name any more."""
-        row = self._row_of.pop(name, None)
-        if row is not None:
-            del self._rows[row][name]
+        transmissions = self._transmissions_of.pop(name, None)
+        if transmissions is not None:
+            del self._by_transmissions[transmissions][name]
 
-    def take(self, room: int, limit: int, but: str = "") -> list[Claim]:
+    def take(self, free_bytes: int, max_transmissions: int, exclude: str = "") -> list[Claim]:
         """Words for one frame with so much room (bytes), none of them on ``but``; each is told ``limit`` times."""
         taken: list[tuple[Claim, int]] = []
-        for row, waiting in enumerate(self._rows):
+        for transmissions, waiting in enumerate(self._by_transmissions):
             for claim in waiting.values():
                 size = claim.size()
-                if size > room:
+                if size > free_bytes:
                     break
-                if claim.name != but:
-                    taken.append((claim, row))
-                    room -= size
-            if room < 64:
+                if claim.name != exclude:
+                    taken.append((claim, transmissions))
+                    free_bytes -= size
+            if free_bytes < 64:
                 break
-        for claim, row in taken:
-            del self._rows[row][claim.name]
-            del self._row_of[claim.name]
-            if row + 1 < limit:
-                self._put(claim, row + 1)
+        for claim, transmissions in taken:
+            del self._by_transmissions[transmissions][claim.name]
+            del self._transmissions_of[claim.name]
+            if transmissions + 1 < max_transmissions:
+                self._put(claim, transmissions + 1)
         return [claim for claim, _ in taken]
 
-    def _put(self, claim: Claim, row: int) -> None:
-        while len(self._rows) <= row:
-            self._rows.append({})
-        self._rows[row][claim.name] = claim
-        self._row_of[claim.name] = row
+    def _put(self, claim: Claim, transmissions: int) -> None:
+        while len(self._by_transmissions) <= transmissions:
+            self._by_transmissions.append({})
+        self._by_transmissions[transmissions][claim.name] = claim
+        self._transmissions_of[claim.name] = transmissions
--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -13,7 +13,7 @@
 class SendFrame:
     """A datagram."""
 
-    place: SocketAddress
+    address: SocketAddress
     frame: Frame
     version: int
 
@@ -22,7 +22,7 @@
 class StartExchange:
     """A full exchange with whoever hears there."""
 
-    place: SocketAddress
+    address: SocketAddress
 
 
 @dataclass(frozen=True, slots=True)
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.members.settings import Settings
 
 BULK_PERIODS = 2  # more news than so many full frames is more than frames can carry in good time
-JOIN_GAPS = 6  # the gap between two tries to join doubles up to 2 ** 6 times a fifth of a period
+MAX_JOIN_DOUBLINGS = 6  # the gap between two tries to join doubles up to 2 ** 6 times a fifth of a period
 
 
 class Exchanges:
@@ -45,12 +45,12 @@
         self._draw = draw
         self._seeds = seeds
         self._join_tries = 0
-        self._first: SocketAddress | None = None  # who is to be asked in the next turn
+        self._next_address: SocketAddress | None = None  # who is to be asked in the next turn
         self._repair_at = now
 
     # ---- when, and with whom
 
-    def stop_until(self, moment: int) -> None:
+    def postpone_until(self, moment: int) -> None:
         """No exchange in turn before that moment."""
         self.next_at = moment
 
@@ -58,59 +58,59 @@
         """Try the next seed, if it is time; with each round over all of them the gap doubles."""
         if not self._seeds or now < self.join_at:
             return
-        place = self._seeds[self._join_tries % len(self._seeds)]
+        address = self._seeds[self._join_tries % len(self._seeds)]
         self._join_tries += 1
-        gap = self._settings.probe_interval // 5 << min(JOIN_GAPS, self._join_tries // len(self._seeds))
+        gap = self._settings.probe_interval // 5 << min(MAX_JOIN_DOUBLINGS, self._join_tries // len(self._seeds))
         self.join_at = now + gap // 2 + self._draw.randrange(gap)
-        self._effects.append(StartExchange(place))
+        self._effects.append(StartExchange(address))
 
-    def take_turn(self, now: int) -> None:
+    def start_due(self, now: int) -> None:
         """Begin the one that is due, if it is time."""
         if now < self.next_at:
             return
         gap = self._settings.exchange_gap(self._local_view.count)
         self.next_at = now + gap // 2 + self._draw.randrange(gap)
-        place = self._first or self._anybody()
-        self._first = None
-        if place is not None and self._local_view.local.active:
-            self._effects.append(StartExchange(place))
+        address = self._next_address or self._random_address()
+        self._next_address = None
+        if address is not None and self._local_view.local.active:
+            self._effects.append(StartExchange(address))
 
-    def repair(self, now: int, place: SocketAddress, changed_at: int) -> None:
+    def repair(self, now: int, address: SocketAddress, changed_at: int) -> None:
         """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
         when this relay's view last changed."""
-        pause, bulk = self._settings.calm_after(self._local_view.count), self._bulk()
-        if bulk > BULK_PERIODS * self._settings.probe_interval:
-            pause = bulk
-            if now - self._repair_at > bulk:  # it has just begun, and many see it at the same time
-                self._repair_at = now + self._draw.randrange(bulk)
-        elif now - changed_at < pause:
+        backoff, transfer_time = self._settings.settle_time(self._local_view.count), self._bulk_transfer_time()
+        if transfer_time > BULK_PERIODS * self._settings.probe_interval:
+            backoff = transfer_time
+            if now - self._repair_at > transfer_time:  # it has just begun, and many see it at the same time
+                self._repair_at = now + self._draw.randrange(transfer_time)
+        elif now - changed_at < backoff:
             return
         if now < self._repair_at:
             return
-        self._repair_at = now + pause
-        self._effects.append(StartExchange(place))
+        self._repair_at = now + backoff
+        self._effects.append(StartExchange(address))
 
     def after_new_life(self, now: int, told_by: SocketAddress | None) -> None:
         """This relay goes on in a new life: an exchange with who said that the last had ended, or with anybody. At once
         where little has changed; else at a moment of its own, since many will want to at the same time."""
-        place = told_by or self._anybody()
-        if place is None:
+        address = told_by or self._random_address()
+        if address is None:
             return
-        bulk = self._bulk()
-        if bulk <= BULK_PERIODS * self._settings.probe_interval:
-            self._effects.append(StartExchange(place))
+        transfer_time = self._bulk_transfer_time()
+        if transfer_time <= BULK_PERIODS * self._settings.probe_interval:
+            self._effects.append(StartExchange(address))
             return
-        self.next_at = now + self._draw.randrange(bulk)
-        self._repair_at = now + bulk
-        self._first = place
+        self.next_at = now + self._draw.randrange(transfer_time)
+        self._repair_at = now + transfer_time
+        self._next_address = address
 
-    def _anybody(self) -> SocketAddress | None:
+    def _random_address(self) -> SocketAddress | None:
         members = self._local_view.table.members
         if members:
             return members[self._draw.choice(list(members))].claim.address
         return self._draw.choice(self._seeds) if self._seeds else None
 
-    def _bulk(self) -> int:
+    def _bulk_transfer_time(self) -> int:
         """For how long full exchanges have to pause so that they take no more than frames may: two full ones a period,
         since for each exchange that a relay begins it answers one. The words that are probably news to another are those
         on their way, and those on members that failed. With few changes, or few members, it is less than a period."""
@@ -134,7 +134,7 @@
         """What this relay holds and the other does not, with a question of its own."""
         claims, ours = list(self._local_view.table.claims()), self.digests_like(hello.digests)
         if ours:
-            claims = digests.unlike(claims, ours, hello.digests)
+            claims = digests.in_differing_buckets(claims, ours, hello.digests)
         return self._whole(hello.number, self._draw.getrandbits(62), claims, ours)
 
     def answer_whole(self, whole: fr.Whole, ours: bytes) -> fr.Whole:
--- a/garnetrelay/fleet/members/frames.py
+++ b/garnetrelay/fleet/members/frames.py
@@ -35,14 +35,14 @@
 
 Number = Annotated[int, Meta(ge=0, le=1 << 62)]
 Age = Annotated[int, Meta(ge=-1, le=MAX_AGE_MS)]
-Digests = Annotated[bytes, Meta(max_length=digests.MOST_BYTES)]
+Digests = Annotated[bytes, Meta(max_length=digests.MAX_DIGESTS_BYTES)]
 
 
 class Observation(NamedTuple):
     """That a member was there: 48 bits of its name and life hashed, the age at most (milliseconds), 32 bits of its view
     then."""
 
-    whom: int
+    short_hash: int
     age: int
     view: int
 
@@ -50,7 +50,12 @@
 def pack_observations(observations: Iterable[Observation]) -> bytes:
     """12 bytes each: 6 of the member, 2 of the age in steps of 20 ms (rounded up), 4 of the view."""
     pack = OBSERVATION.pack
-    return b"".join([pack(whom >> 16, whom & 0xFFFF, -(-age // AGE_STEP_MS), view) for whom, age, view in observations])
+    return b"".join(
+        [
+            pack(short_hash >> 16, short_hash & 0xFFFF, -(-age // AGE_STEP_MS), view)
+            for short_hash, age, view in observations
+        ]
+    )
 
 
 def unpack_observations(data: bytes) -> list[Observation]:
@@ -176,7 +181,7 @@
         self.highest = highest
         self.seen = 1 if highest >= 0 else 0
 
-    def take(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
         """Whether it is new; it counts as seen from now on."""
         ahead = number - self.highest
         if ahead > 0:
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -19,14 +19,14 @@
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 
 
-class Answer(Enum):
+class SelfClaimResult(Enum):
     """What follows from a word on oneself."""
 
     NOTHING = auto()
     REFUTED = auto()  # the new incarnation is to be told
-    OLD = auto()  # an earlier life of the name: the present one is to be told
-    WANTED = auto()  # the next life is to be kept
-    ASIDE = auto()  # another process has the name
+    OUTDATED_LIFE = auto()  # an earlier life of the name: the present one is to be told
+    NEEDS_NEW_LIFE = auto()  # the next life is to be kept
+    NAME_TAKEN = auto()  # another process has the name
 
 
 class LocalMember:
@@ -36,41 +36,41 @@
         self.claim = claim
         self.active = True
         self.left = False
-        self.wanted = 0  # a life that is to be kept
-        self.aside: Claim | None = None  # who has the name
+        self.wanted_life = 0  # a life that is to be kept
+        self.name_holder: Claim | None = None  # who has the name
         self._same_process = True
 
-    def hear(self, claim: Claim) -> Answer:
+    def apply_claim(self, claim: Claim) -> SelfClaimResult:
         """A word of another on this name."""
         own = self.claim
         if self.left:
-            return Answer.NOTHING
+            return SelfClaimResult.NOTHING
         if claim.identity == own.identity:
             if claim.final or claim.incarnation >= MAX_INCARNATION:
-                return self._want(claim, True)
+                return self._request_life(claim, True)
             if claim.incarnation > own.incarnation or (
                 claim.status is Status.SUSPECT and claim.incarnation == own.incarnation
             ):
                 self.claim = msgspec.structs.replace(own, incarnation=claim.incarnation + 1)
-                return Answer.REFUTED
-            return Answer.NOTHING
+                return SelfClaimResult.REFUTED
+            return SelfClaimResult.NOTHING
         if claim.identity < own.identity:
-            return Answer.NOTHING if claim.final else Answer.OLD
+            return SelfClaimResult.NOTHING if claim.final else SelfClaimResult.OUTDATED_LIFE
         if claim.final:
-            return self._want(claim, False)
-        if self.wanted > claim.life:
-            return Answer.NOTHING
-        news = self.aside is None or self.aside.identity != claim.identity
-        self.aside, self.active = claim, False
-        return Answer.ASIDE if news else Answer.NOTHING
-
-    def kept(self, life: int) -> bool:
+            return self._request_life(claim, False)
+        if self.wanted_life > claim.life:
+            return SelfClaimResult.NOTHING
+        is_new = self.name_holder is None or self.name_holder.identity != claim.identity
+        self.name_holder, self.active = claim, False
+        return SelfClaimResult.NAME_TAKEN if is_new else SelfClaimResult.NOTHING
+
+    def life_stored(self, life: int) -> bool:
         """The folder has the life that was wanted: whether this relay goes on in it."""
-        if life != self.wanted or self.left:
+        if life != self.wanted_life or self.left:
             return False
         born = self.claim.born if self._same_process else life
         self.claim = msgspec.structs.replace(self.claim, life=life, born=born, incarnation=0)
-        self.wanted, self.aside, self.active = 0, None, True
+        self.wanted_life, self.name_holder, self.active = 0, None, True
         return True
 
     def leave(self) -> Claim:
@@ -78,9 +78,9 @@
         self.left, self.active = True, False
         return self.claim.judged(Status.LEFT, "")
 
-    def _want(self, ended: Claim, same: bool) -> Answer:
-        if self.wanted > ended.life or ended.life >= MAX_LIFE:
-            return Answer.NOTHING
-        self._same_process = same and (self._same_process or not self.wanted)
-        self.wanted, self.active, self.aside = ended.life + 1, False, None
-        return Answer.WANTED
+    def _request_life(self, ended: Claim, same: bool) -> SelfClaimResult:
+        if self.wanted_life > ended.life or ended.life >= MAX_LIFE:
+            return SelfClaimResult.NOTHING
+        self._same_process = same and (self._same_process or not self.wanted_life)
+        self.wanted_life, self.active, self.name_holder = ended.life + 1, False, None
+        return SelfClaimResult.NEEDS_NEW_LIFE
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -11,7 +11,7 @@
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.settings import Settings
 
-FIXED = 96  # bytes of a frame besides its sender's claim, its claims and its words, at most
+FIXED_FRAME_BYTES = 96  # bytes of a frame besides its sender's claim, its claims and its words, at most
 
 
 class Outgoing:
@@ -37,26 +37,26 @@
         """The version of frames that is spoken with a member."""
         return min(claim.speaks, self._settings.versions)
 
-    def room(self) -> int:
+    def free_bytes(self) -> int:
         """Bytes in a frame for claims and words."""
-        return self._settings.max_frame_bytes - fr.HEADER_BYTES - FIXED - self.sender.size()
+        return self._settings.max_frame_bytes - fr.HEADER_BYTES - FIXED_FRAME_BYTES - self.sender.size()
 
-    def news(self, room: int, to: str) -> list[Claim]:
+    def piggyback_claims(self, free_bytes: int, to: str) -> list[Claim]:
         """The claims that are spread with the next frame to a member, in so much room (bytes)."""
-        limit = self._settings.repeats * self._settings.scale(self._local_view.count)
-        return self._local_view.dissemination.take(room, limit, to)
+        limit = self._settings.retransmit_multiplier * self._settings.log_scale(self._local_view.count)
+        return self._local_view.dissemination.take(free_bytes, limit, to)
 
     def summary(self) -> fr.Summary:
         """This relay's view, in short."""
         return fr.Summary(self._local_view.view, self._local_view.count)
 
-    def tell(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
+    def send(self, address: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram."""
-        self._effects.append(SendFrame(place, frame, version))
+        self._effects.append(SendFrame(address, frame, version))
 
     def ping(
         self,
-        place: SocketAddress,
+        address: SocketAddress,
         version: int,
         number: int,
         claims: Sequence[Claim] = (),
@@ -72,8 +72,8 @@
             origin=origin,
             summary=summary,
         )
-        self.tell(place, ping, version)
+        self.send(address, ping, version)
 
-    def note(self, text: str, level: int = logging.INFO) -> None:
+    def log(self, text: str, level: int = logging.INFO) -> None:
         """A line for the log."""
         self._effects.append(LogLine(text, level))
--- a/garnetrelay/fleet/members/pending_requests.py
+++ b/garnetrelay/fleet/members/pending_requests.py
@@ -14,92 +14,92 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Identity, SocketAddress
 
-MOST_QUESTIONS = 512  # open at once
-MOST_STRANGERS = 128  # of them to those whose life is not known
+MAX_PENDING_REQUESTS = 512  # open at once
+MAX_PENDING_TO_UNKNOWN = 128  # of them to those whose life is not known
 
 
-class Why(Enum):
+class Purpose(Enum):
     """Why a question was asked."""
 
     PROBE = auto()
-    FOR_OTHER = auto()
-    STRANGER = auto()
-    KNOCK = auto()
+    INDIRECT_PROBE = auto()
+    UNKNOWN_MEMBER = auto()
+    CONTACT = auto()
 
 
 @dataclass(slots=True)
-class Question:
+class PendingRequest:
     """One that waits for its answer."""
 
-    why: Why
-    at: int
-    until: int
-    name: str = ""
+    purpose: Purpose
+    sent_at: int
+    expires_at: int
+    target: str = ""
     identity: Identity = Identity(0, 0)
-    origin: SocketAddress | None = None  # who wants to know
-    origin_number: int = 0
-    origin_version: int = 1
+    requester: SocketAddress | None = None  # who wants to know
+    requester_number: int = 0
+    requester_version: int = 1
     nack_at: int | None = None  # the origin hears by then that nothing has come
 
 
-class Questions:
+class PendingRequests:
     """All that are open."""
 
     def __init__(self, draw: random.Random) -> None:
         self._draw = draw
-        self._open: dict[int, Question] = {}
-        self._strangers: dict[SocketAddress, int] = {}
+        self._open: dict[int, PendingRequest] = {}
+        self._to_unknown: dict[SocketAddress, int] = {}
 
-    def ask(self, question: Question) -> int | None:
+    def add(self, request: PendingRequest) -> int | None:
         """A number to ask by; None where too many are open."""
-        if len(self._open) >= MOST_QUESTIONS:
+        if len(self._open) >= MAX_PENDING_REQUESTS:
             return None
         number = self._draw.getrandbits(62)
-        self._open[number] = question
+        self._open[number] = request
         return number
 
-    def ask_stranger(self, question: Question, place: SocketAddress) -> int | None:
+    def add_for_unknown(self, request: PendingRequest, address: SocketAddress) -> int | None:
         """The same of someone whose life is not known: one at a time to a place."""
-        if place in self._strangers or len(self._strangers) >= MOST_STRANGERS:
+        if address in self._to_unknown or len(self._to_unknown) >= MAX_PENDING_TO_UNKNOWN:
             return None
-        number = self.ask(question)
+        number = self.add(request)
         if number is not None:
-            self._strangers[place] = number
+            self._to_unknown[address] = number
         return number
 
-    def answered(self, frame: fr.AnyFrame, source: SocketAddress) -> Question | None:
+    def match_answer(self, frame: fr.AnyFrame, source: SocketAddress) -> PendingRequest | None:
         """The question that a frame answers, if it was asked of that sender."""
-        question = self._open.get(frame.number)
-        if question is None:
+        request = self._open.get(frame.number)
+        if request is None:
             return None
         if isinstance(frame, fr.Ack):
-            if question.name and question.name != frame.sender.name:
+            if request.target and request.target != frame.sender.name:
                 return None
             self.close(frame.number)
-            if self._strangers.get(source) == frame.number:
-                del self._strangers[source]
-            return question
+            if self._to_unknown.get(source) == frame.number:
+                del self._to_unknown[source]
+            return request
         # Several ask for this relay: the question stays open until its probe ends.
-        return question if isinstance(frame, fr.Vouch | fr.Nack) and question.why is Why.PROBE else None
+        return request if isinstance(frame, fr.Vouch | fr.Nack) and request.purpose is Purpose.PROBE else None
 
     def close(self, number: int) -> None:
         """Forget a question: an answer to it counts for nothing from now on."""
         self._open.pop(number, None)
 
-    def unanswered(self, now: int) -> Iterator[Question]:
+    def expire(self, now: int) -> Iterator[PendingRequest]:
         """Those whose origin is to hear now that nothing has come; those whose time is over go."""
-        over = []
-        for number, question in self._open.items():
-            if question.nack_at is not None and now >= question.nack_at:
-                question.nack_at = None
-                yield question
-            if now >= question.until:
-                over.append(number)
-        for number in over:
+        expired = []
+        for number, request in self._open.items():
+            if request.nack_at is not None and now >= request.nack_at:
+                request.nack_at = None
+                yield request
+            if now >= request.expires_at:
+                expired.append(number)
+        for number in expired:
             del self._open[number]
-        if over and self._strangers:
-            self._strangers = {place: number for place, number in self._strangers.items() if number in self._open}
+        if expired and self._to_unknown:
+            self._to_unknown = {address: number for address, number in self._to_unknown.items() if number in self._open}
 
-    def next_at(self) -> int | None:
+    def next_nack_at(self) -> int | None:
         """When somebody is to hear that nothing has come."""
-        return min((question.nack_at for question in self._open.values() if question.nack_at is not None), default=None)
+        return min((request.nack_at for request in self._open.values() if request.nack_at is not None), default=None)
--- a/garnetrelay/fleet/members/probe_order.py
+++ b/garnetrelay/fleet/members/probe_order.py
@@ -12,45 +12,45 @@
 from collections.abc import Collection, Iterable
 
 
-class Rounds:
+class ProbeOrder:
     """The order in which members are probed, and that in which their words are told."""
 
     def __init__(self, draw: random.Random) -> None:
         self._draw = draw
-        self._order: list[str] = []  # the rest of this round, the next one last
-        self._telling: deque[str] = deque()
+        self._remaining: list[str] = []  # the rest of this round, the next one last
+        self._report_order: deque[str] = deque()
 
     def __len__(self) -> int:
-        return len(self._telling)
+        return len(self._report_order)
 
-    def enter(self, name: str) -> None:
+    def add(self, name: str) -> None:
         """A newcomer."""
-        self._order.insert(self._draw.randint(0, len(self._order)), name)
-        self._telling.append(name)
+        self._remaining.insert(self._draw.randint(0, len(self._remaining)), name)
+        self._report_order.append(name)
 
-    def again(self, name: str) -> None:
+    def put_back(self, name: str) -> None:
         """Its probe came to nothing by this relay's own fault."""
-        self._order.append(name)
+        self._remaining.append(name)
 
-    def choose(self, members: Collection[str]) -> str | None:
+    def next_target(self, members: Collection[str]) -> str | None:
         """The next of the round; a new round is shuffled."""
         for _ in range(2):
-            while self._order:
-                name = self._order.pop()
+            while self._remaining:
+                name = self._remaining.pop()
                 if name in members:
                     return name
-            self._order = list(members)
-            self._draw.shuffle(self._order)
-            self._telling = deque(self._draw.sample(self._order, len(self._order)))
+            self._remaining = list(members)
+            self._draw.shuffle(self._remaining)
+            self._report_order = deque(self._draw.sample(self._remaining, len(self._remaining)))
         return None
 
-    def told_next(self, most: int) -> list[str]:
+    def next_to_report(self, limit: int) -> list[str]:
         """Whose words are weighed for the next frame."""
-        found = list(itertools.islice(self._telling, most))
-        self._telling.rotate(-len(found))
+        found = list(itertools.islice(self._report_order, limit))
+        self._report_order.rotate(-len(found))
         return found
 
-    def sample(self, names: Iterable[str], most: int) -> list[str]:
+    def sample(self, names: Iterable[str], limit: int) -> list[str]:
         """Some of them."""
         found = list(names)
-        return self._draw.sample(found, min(most, len(found)))
+        return self._draw.sample(found, min(limit, len(found)))
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -22,18 +22,18 @@
 from garnetrelay.fleet.members.effects import Effect, StoreLife
 from garnetrelay.fleet.members.exchanges import Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
-from garnetrelay.fleet.members.local_member import Answer, LocalMember
+from garnetrelay.fleet.members.local_member import LocalMember, SelfClaimResult
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
-from garnetrelay.fleet.members.pending_requests import Question, Questions, Why
-from garnetrelay.fleet.members.probe_order import Rounds
-from garnetrelay.fleet.members.probing import Probing
+from garnetrelay.fleet.members.pending_requests import PendingRequest, PendingRequests, Purpose
+from garnetrelay.fleet.members.probe_order import ProbeOrder
+from garnetrelay.fleet.members.probing import Prober
 from garnetrelay.fleet.members.settings import MS, Settings
-from garnetrelay.fleet.members.table import Member, Path, Table
+from garnetrelay.fleet.members.table import LinkState, Member, Table
 from garnetrelay.fleet.members.view import FleetView
-from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts
+from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts
 
-LEAVE_TOLD = 8  # members that hear of a leaving at first hand
+MAX_LEAVE_NOTICES = 8  # members that hear of a leaving at first hand
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     frames: Counter[str] = field(default_factory=Counter)  # taken, by kind
     refused: Counter[str] = field(default_factory=Counter)  # by cause
-    slept: int = 0
+    pauses: int = 0
 
 
 class Membership:
@@ -59,28 +59,28 @@
     ) -> None:
         self.settings = settings
         self._effects: list[Effect] = []
-        self._rounds = Rounds(draw)
-        self.local_view = LocalView(own, settings, self._effects, self._rounds.enter)
+        self._probe_order = ProbeOrder(draw)
+        self.local_view = LocalView(own, settings, self._effects, self._probe_order.add)
         self.outgoing = Outgoing(self.local_view, settings, self._effects, sequence)
-        self.doubt = Doubt(now)
+        self.condition_tracker = ConditionTracker(now)
         self.counters = Counters()
         self.seeds = [seed for seed in seeds if seed != own.address]
         self.joined = not self.seeds  # who knows no other has nobody to hear from
         self.view_changed_at = now
         self._draw = draw
-        self._questions = Questions(draw)
+        self._requests = PendingRequests(draw)
         self.health = LocalHealth(settings)
-        self._probing = Probing(
-            self.local_view, self.outgoing, self._rounds, self._questions, self.health, settings, draw, now
+        self._prober = Prober(
+            self.local_view, self.outgoing, self._probe_order, self._requests, self.health, settings, draw, now
         )
-        self._knock_at = now + settings.contact_interval
-        self._knocked = 0
+        self._contact_at = now + settings.contact_interval
+        self._contact_count = 0
         self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
         self._answered_at: int | None = None
-        self._looked_at = 0  # the view's print at the last look
-        self._facts = (0, 0, 0)  # suspects' and views' counts of the last full look
+        self._last_view = 0  # the view's print at the last look
+        self._view_counts = (0, 0, 0)  # suspects' and views' counts of the last full look
         self._retry_life_at: int | None = None
-        self.next_at = self._when(now)
+        self.next_at = self._next_deadline(now)
 
     # ---- what others may ask
 
@@ -112,7 +112,7 @@
     @property
     def condition(self) -> Condition:
         """How far this relay may rely on its view, as of its last event."""
-        return self.doubt.condition
+        return self.condition_tracker.condition
 
     def fleet_view(self) -> FleetView:
         """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
@@ -125,29 +125,29 @@
     def age(self, name: str, now: int) -> int | None:
         """How old the word of a member is at most (nanoseconds); None where there is none, or it is gone."""
         member = self.table.members.get(name)
-        return None if member is None or member.word_at is None else now - member.word_at
+        return None if member is None or member.seen_at is None else now - member.seen_at
 
-    def sharing(self) -> tuple[int, int]:
+    def count_views(self) -> tuple[int, int]:
         """How many others are known to hold this very view, and how many to hold another, by words that are no older than
         the view."""
-        return observations.sharing(self.table, self.view, self.view_changed_at)
+        return observations.count_views(self.table, self.view, self.view_changed_at)
 
     # ---- what happens
 
     def tick(self, now: int) -> list[Effect]:
         """Time has passed. To be called at ``next_at``."""
-        self._begin(now)
-        self._expire(now)
-        self.local_view.judge(now, self._answered_at if RELIES[self.condition].speak else None)
-        self._go_on_probing(now)
-        self._keep_contact(now)
-        return self._end(now)
+        self._detect_pause(now)
+        self._expire_requests(now)
+        self.local_view.expire_suspicions(now, self._answered_at if RELIES[self.condition].speak else None)
+        self._run_probes(now)
+        self._maintain_contact(now)
+        return self._finish(now)
 
     def receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> list[Effect]:
         """A datagram has come; its signature and form were good."""
-        self._begin(now)
+        self._detect_pause(now)
         self._receive(now, frame, source)
-        return self._end(now)
+        return self._finish(now)
 
     def hello(self, now: int) -> fr.Hello:
         """Begins a full exchange."""
@@ -163,65 +163,65 @@
         if whole.number != number:
             self.counters.refused["unasked"] += 1
             raise ValueError("a full exchange that answers another question")
-        self._begin(now)
+        self._detect_pause(now)
         ours = self._exchanges.digests_like(whole.digests)
         sender = whole.sender
         if sender.name == self.local.claim.name:
-            self._hear(now, sender)
+            self._apply_claim(now, sender)
         else:
-            self._hear(now, sender)
+            self._apply_claim(now, sender)
             member = self.table.members.get(sender.name)
             if member is not None and member.claim.identity == sender.identity:
-                self._answered(now, member, asked_at, -1 if whole.summary is None else whole.summary.view)
-                member.window.take(whole.sequence)
+                self._record_answer(now, member, asked_at, -1 if whole.summary is None else whole.summary.view)
+                member.window.accept(whole.sequence)
             if sender.process != self.local.claim.process:
                 self.joined = True
         for claim in whole.claims:
-            self._hear(now, claim)
+            self._apply_claim(now, claim)
         answer = self._exchanges.answer_whole(whole, ours)
-        return answer, self._end(now)
+        return answer, self._finish(now)
 
     def start_with(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Who the others are is known ahead, and has been heard from none of them: this relay has joined with the first
         answer. For relays without seeds."""
-        self._begin(now)
+        self._detect_pause(now)
         self.joined = False
-        self.local_view.take_over(now, claims)
-        return self._end(now)
+        self.local_view.load(now, claims)
+        return self._finish(now)
 
     def resume_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
         """Another process of this relay has handed over: the same member goes on, in the same life."""
-        self._begin(now)
+        self._detect_pause(now)
         self.joined = True
-        self.local_view.take_over(now, claims)
-        return self._end(now)
+        self.local_view.load(now, claims)
+        return self._finish(now)
 
     def life_stored(self, now: int, life: int) -> list[Effect]:
         """The folder has the life that was wanted."""
-        self._begin(now)
-        if self.local_view.kept(life):
+        self._detect_pause(now)
+        if self.local_view.life_stored(life):
             self._retry_life_at = None
             self.view_changed_at = now
-            self._exchanges.after_new_life(now, self.local_view.told_by)
-        return self._end(now)
+            self._exchanges.after_new_life(now, self.local_view.life_end_reported_by)
+        return self._finish(now)
 
     def life_not_stored(self, now: int, why: str) -> list[Effect]:
         """The folder does not take it: the relay stays out, and tries again."""
-        self._begin(now)
-        self.outgoing.note(f"life {self.local.wanted} can't be kept, staying out: {why}", logging.ERROR)
+        self._detect_pause(now)
+        self.outgoing.log(f"life {self.local.wanted_life} can't be kept, staying out: {why}", logging.ERROR)
         self._retry_life_at = now + 5 * self.settings.probe_interval
-        return self._end(now)
+        return self._finish(now)
 
     def leave(self, now: int) -> list[Effect]:
         """The last words of this life."""
-        self._begin(now)
+        self._detect_pause(now)
         if self.local.active:
             last = self.local.leave()
-            for name in self._rounds.sample(self.table.members, LEAVE_TOLD):
+            for name in self._probe_order.sample(self.table.members, MAX_LEAVE_NOTICES):
                 member = self.table.members[name]
                 self.outgoing.ping(member.claim.address, self.outgoing.version(member.claim), 0, [last])
         self.local.left, self.local.active = True, False
-        return self._end(now)
+        return self._finish(now)
 
     # ---- a frame
 
@@ -230,68 +230,68 @@
         for claim in frame.claims:
             # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
             if claim.name == self.local.claim.name:
-                self._hear(now, claim, source)
+                self._apply_claim(now, claim, source)
         if sender.name == self.local.claim.name:
             refused["own name"] += 1
             if sender.process != self.local.claim.process:
-                self._hear(now, sender, source)
+                self._apply_claim(now, sender, source)
             return
         if self.local.left:
             return
-        question = self._questions.answered(frame, source)
+        request = self._requests.match_answer(frame, source)
         member = self.table.get(sender.name)
         if member is not None and sender.identity < member.claim.identity:
             refused["old life"] += 1
             self._correct(now, frame, source, member.claim)
             return
         if member is None or sender.identity > member.claim.identity:
-            if question is None:
+            if request is None:
                 self._challenge(now, frame, source)
                 return
-            self._hear(now, sender)
+            self._apply_claim(now, sender)
             member = self.table.members.get(sender.name)
             if member is None:
                 refused["no room"] += 1
                 return
         if member.claim.final:
             refused["gone"] += 1
-            if question is not None:
-                self._hear_all(now, frame)
+            if request is not None:
+                self._apply_claims(now, frame)
             self._correct(now, frame, source, member.claim)
             return
-        if not member.window.take(frame.sequence):
+        if not member.window.accept(frame.sequence):
             refused["replayed"] += 1
             return
-        member.heard_at = now
+        member.frame_received_at = now
         self.counters.frames[type(frame).__name__] += 1
-        self._hear(now, sender)
-        self._hear_all(now, frame)
+        self._apply_claim(now, sender)
+        self._apply_claims(now, frame)
         member = self.table.members.get(sender.name)
-        if member is None or not self.local.active and question is None:
+        if member is None or not self.local.active and request is None:
             return  # it has said of itself that it left; or this relay has no name to answer by
         match frame:
             case fr.Ping():
-                self._ack(now, frame, member, source)
+                self._send_ack(now, frame, member, source)
             case fr.AskFor():
-                self._ask_for(now, frame, member, source)
-            case fr.Ack() if question is not None:
-                self._acked(now, frame, question, member)
-            case fr.Vouch() if question is not None:
-                self._answered(now, member, question.at, -1)
-                self._vouched(now, frame, question, member)
-            case fr.Nack() if question is not None and self._probing.present is not None:
-                self._answered(now, member, question.at, -1)
-                self._probing.present.nacks += 1
-
-    def _hear(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
+                self._probe_for_other(now, frame, member, source)
+            case fr.Ack() if request is not None:
+                self._handle_ack(now, frame, request, member)
+            case fr.Vouch() if request is not None:
+                self._record_answer(now, member, request.sent_at, -1)
+                self._handle_vouch(now, frame, request, member)
+            case fr.Nack() if request is not None and self._prober.current is not None:
+                self._record_answer(now, member, request.sent_at, -1)
+                self._prober.current.nacks += 1
+
+    def _apply_claim(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
         """A word on anybody."""
-        if self.local_view.hear(now, claim, source) is Answer.REFUTED:
+        if self.local_view.apply_claim(now, claim, source) is SelfClaimResult.REFUTED:
             self.health.change(1)
 
-    def _hear_all(self, now: int, frame: fr.AnyFrame) -> None:
+    def _apply_claims(self, now: int, frame: fr.AnyFrame) -> None:
         for claim in frame.claims:
             if claim.name != self.local.claim.name:
-                self._hear(now, claim)
+                self._apply_claim(now, claim)
 
     def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
         """Tell a life that has ended, or been followed by another, what is held of it."""
@@ -299,7 +299,7 @@
             return
         sender = frame.sender
         if isinstance(frame, fr.Ping):
-            self.outgoing.tell(
+            self.outgoing.send(
                 source,
                 fr.Ack(
                     sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]
@@ -316,7 +316,7 @@
             return
         version = self.outgoing.version(frame.sender)
         if isinstance(frame, fr.Ping):
-            self.outgoing.tell(
+            self.outgoing.send(
                 source,
                 fr.Ack(
                     sender=self.local.claim,
@@ -326,23 +326,23 @@
                 ),
                 version,
             )
-        number = self._questions.ask_stranger(
-            Question(Why.STRANGER, now, now + self.settings.probe_interval, frame.sender.name), source
+        number = self._requests.add_for_unknown(
+            PendingRequest(Purpose.UNKNOWN_MEMBER, now, now + self.settings.probe_interval, frame.sender.name), source
         )
         if number is not None:
             self.outgoing.ping(source, 1, number)
 
-    def _ack(self, now: int, ping: fr.Ping, member: Member, source: SocketAddress) -> None:
+    def _send_ack(self, now: int, ping: fr.Ping, member: Member, source: SocketAddress) -> None:
         origin = self.table.members.get(ping.origin)
-        heard = -1 if origin is None or origin.heard_at is None else (now - origin.heard_at) // MS
-        room = self.outgoing.room()
-        kept = min(room // 3, len(self._rounds) * fr.OBSERVATION.size)  # words get through beside many claims
-        claims = self.outgoing.news(room - kept, ping.sender.name)
+        heard = -1 if origin is None or origin.frame_received_at is None else (now - origin.frame_received_at) // MS
+        room = self.outgoing.free_bytes()
+        reserved = min(room // 3, len(self._probe_order) * fr.OBSERVATION.size)  # words get through beside many claims
+        claims = self.outgoing.piggyback_claims(room - reserved, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
-        words = observations.told(
-            self.table, self._rounds, now, min(room, self.settings.max_observations * fr.OBSERVATION.size)
+        selected = observations.select(
+            self.table, self._probe_order, now, min(room, self.settings.max_observations * fr.OBSERVATION.size)
         )
-        self.outgoing.tell(
+        self.outgoing.send(
             source,
             fr.Ack(
                 sender=self.local.claim,
@@ -350,236 +350,244 @@
                 number=ping.number,
                 claims=claims,
                 summary=self.outgoing.summary(),
-                observations=words,
+                observations=selected,
                 heard=min(heard, fr.MAX_AGE_MS),
             ),
             self.outgoing.version(member.claim),
         )
 
-    def _ask_for(self, now: int, asked: fr.AskFor, member: Member, source: SocketAddress) -> None:
+    def _probe_for_other(self, now: int, ask_for: fr.AskFor, member: Member, source: SocketAddress) -> None:
         """Ask another for a third."""
-        target = self.table.members.get(asked.target)
-        number = self._questions.ask(
-            Question(
-                Why.FOR_OTHER,
+        target = self.table.members.get(ask_for.target)
+        number = self._requests.add(
+            PendingRequest(
+                Purpose.INDIRECT_PROBE,
                 now,
                 now + self.settings.probe_interval,
-                asked.target,
-                origin=source,
-                origin_number=asked.number,
-                origin_version=self.outgoing.version(member.claim),
+                ask_for.target,
+                requester=source,
+                requester_number=ask_for.number,
+                requester_version=self.outgoing.version(member.claim),
                 nack_at=now + self.settings.probe_timeout * 4 // 5,
             )
         )
         if number is None:
             return
-        place = SocketAddress(asked.host, asked.port) if target is None else target.claim.address
-        self.outgoing.tell(
+        place = SocketAddress(ask_for.host, ask_for.port) if target is None else target.claim.address
+        self.outgoing.send(
             place,
             fr.Ping(
                 sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
                 number=number,
-                origin=asked.sender.name,
+                origin=ask_for.sender.name,
                 claims=[] if target is None or target.suspicion is None else [target.claim],
             ),
             1 if target is None else self.outgoing.version(target.claim),
         )
 
-    def _acked(self, now: int, ack: fr.Ack, question: Question, member: Member) -> None:
+    def _handle_ack(self, now: int, ack: fr.Ack, request: PendingRequest, member: Member) -> None:
         view = -1 if ack.summary is None else ack.summary.view
-        self._answered(now, member, question.at, view)
-        if member.path is not Path.WHOLE:
-            self.outgoing.note(f"{member.claim.name} answers this relay again (was: {member.path.value})")
-            member.path = Path.WHOLE
-        observations.hear(self.table, ack.observations, question.at)
-        if question.why is Why.PROBE:
-            self._probing.answered(member.claim.name)
-        elif question.why is Why.FOR_OTHER and question.origin is not None:
-            self.outgoing.tell(
-                question.origin,
+        self._record_answer(now, member, request.sent_at, view)
+        if member.link_state is not LinkState.WHOLE:
+            self.outgoing.log(f"{member.claim.name} answers this relay again (was: {member.link_state.value})")
+            member.link_state = LinkState.WHOLE
+        observations.apply(self.table, ack.observations, request.sent_at)
+        if request.purpose is Purpose.PROBE:
+            self._prober.answered(member.claim.name)
+        elif request.purpose is Purpose.INDIRECT_PROBE and request.requester is not None:
+            self.outgoing.send(
+                request.requester,
                 fr.Vouch(
                     sender=self.local.claim,
                     sequence=self.outgoing.next_sequence(),
-                    number=question.origin_number,
+                    number=request.requester_number,
                     target=member.claim.name,
                     life=ack.sender.life,
                     process=ack.sender.process,
                     incarnation=ack.sender.incarnation,
                     heard=ack.heard,
                 ),
-                question.origin_version,
+                request.requester_version,
             )
         if view >= 0 and view != self.view:
             self._exchanges.repair(now, member.claim.address, self.view_changed_at)
 
-    def _vouched(self, now: int, vouch: fr.Vouch, question: Question, by: Member) -> None:
+    def _handle_vouch(self, now: int, vouch: fr.Vouch, request: PendingRequest, by: Member) -> None:
         """Another has had an answer from the member that does not answer this relay."""
-        member = self._probing.vouched(vouch)
+        member = self._prober.confirm(vouch)
         if member is None:
             return
-        member.word_at = max(member.word_at or question.at, question.at)
+        member.seen_at = max(member.seen_at or request.sent_at, request.sent_at)
         lately = 4 * self.settings.probe_timeout // MS
-        path = Path.DEAF if 0 <= vouch.heard <= lately else Path.UNHEARD if vouch.heard >= 0 else Path.CUT
-        if member.path is not path:
-            self.outgoing.note(
+        path = (
+            LinkState.INBOUND_CUT
+            if 0 <= vouch.heard <= lately
+            else LinkState.OUTBOUND_CUT
+            if vouch.heard >= 0
+            else LinkState.INDIRECT_ONLY
+        )
+        if member.link_state is not path:
+            self.outgoing.log(
                 f"{member.claim.name} does not answer this relay, and answers {by.claim.name}: {path.value}"
             )
-            member.path_since = now
-        member.path, member.path_by = path, by.claim.name
+            member.link_state_since = now
+        member.link_state, member.reached_through = path, by.claim.name
 
-    def _answered(self, now: int, member: Member, asked_at: int, view: int) -> None:
+    def _record_answer(self, now: int, member: Member, asked_at: int, view: int) -> None:
         """A member was there when this relay's question came, or later."""
         self._answered_at = now
-        member.first_hand = True
+        member.answered_directly = True
         self.joined = self.joined or not self.seeds
-        if member.word_at is None or asked_at > member.word_at:
-            member.word_at = asked_at
+        if member.seen_at is None or asked_at > member.seen_at:
+            member.seen_at = asked_at
             if view >= 0:
-                member.word_view = view
+                member.seen_view = view
 
     # ---- time
 
-    def _begin(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         """Whether this process has slept through its own moments: then it judges nobody by them."""
         late = now - self.next_at
         if late <= self.settings.probe_interval // 2 or not self.settings.lifeguard:
             return
-        self.counters.slept += 1
+        self.counters.pauses += 1
         self.health.change(1)
-        self.outgoing.note(f"slept for {late / 1e9:.1f} s: no judgement follows from that time", logging.WARNING)
-        self.local_view.stretch(late)
-        self._probing.give_up(now)
+        self.outgoing.log(f"slept for {late / 1e9:.1f} s: no judgement follows from that time", logging.WARNING)
+        self.local_view.extend_suspicions(late)
+        self._prober.abandon(now)
         self.next_at = now
 
-    def _end(self, now: int) -> list[Effect]:
-        if self.view != self._looked_at:
+    def _finish(self, now: int) -> list[Effect]:
+        if self.view != self._last_view:
             self.view_changed_at = now
-        self._look(now)
-        self.next_at = self._when(now)
+        self._update_condition(now)
+        self.next_at = self._next_deadline(now)
         effects = list(self._effects)
         self._effects.clear()
         return effects
 
-    def _look(self, now: int) -> None:
+    def _update_condition(self, now: int) -> None:
         """The condition as it is now."""
-        changed = self.view != self._looked_at
-        self._looked_at = self.view
+        changed = self.view != self._last_view
+        self._last_view = self.view
         if changed:
-            self._count(now)
-        failed, same, other = self._facts
+            self._count_views(now)
+        failed, same, other = self._view_counts
         facts = Facts(
             joined=self.joined,
             active=self.local.active,
             others=len(self.table),
-            alone_after=self._patience(),
+            alone_timeout=self._alone_timeout(),
             answered_ago=None if self._answered_at is None else now - self._answered_at,
             suspects=len(self.local_view.suspects),
-            failed_lately=failed,
+            recently_failed=failed,
             changed=changed,
             agreeing=same,
             differing=other,
             slow=self.health.slow,
         )
-        before = self.doubt.condition
-        if self.doubt.look(now, facts, self.settings.calm_after(self.count)):
-            self.outgoing.note(f"{before.name.lower()} -> {self.doubt.condition.name.lower()}: {self.doubt.why}")
+        before = self.condition_tracker.condition
+        if self.condition_tracker.update(now, facts, self.settings.settle_time(self.count)):
+            self.outgoing.log(
+                f"{before.name.lower()} -> {self.condition_tracker.condition.name.lower()}: {self.condition_tracker.why}"
+            )
 
-    def _patience(self) -> int:
-        return self.settings.alone_after * (self.health.slow + 1)
+    def _alone_timeout(self) -> int:
+        return self.settings.alone_timeout * (self.health.slow + 1)
 
-    def _count(self, now: int) -> None:
+    def _count_views(self, now: int) -> None:
         """Counts over all members: once a period, and when the view changes."""
-        since = now - self.settings.lately
+        since = now - self.settings.recent_failure_window
         failed = sum(
             member.claim.status is Status.FAILED and member.changed_at >= since for member in self.table.gone.values()
         )
-        self._facts = (failed, *self.sharing())
+        self._view_counts = (failed, *self.count_views())
 
-    def _when(self, now: int) -> int:
-        moments = [self._knock_at, self._exchanges.next_at, self._probing.next_at(now)]
+    def _next_deadline(self, now: int) -> int:
+        moments = [self._contact_at, self._exchanges.next_at, self._prober.next_at(now)]
         if not self.joined and self.seeds:
             moments.append(self._exchanges.join_at)
         if self._retry_life_at is not None:
             moments.append(self._retry_life_at)
         maybe = (
-            self.local_view.next_judgement(),
-            self._questions.next_at(),
-            self.doubt.out_at(self.settings.calm_after(self.count)),
+            self.local_view.next_suspicion_deadline(),
+            self._requests.next_nack_at(),
+            self.condition_tracker.improves_at(self.settings.settle_time(self.count)),
         )
         moments += [moment for moment in maybe if moment is not None]
         return max(min(moments), now + MS // 10)
 
-    def _expire(self, now: int) -> None:
+    def _expire_requests(self, now: int) -> None:
         """Questions whose time is over; a Nack to those who wait for one."""
-        for question in self._questions.unanswered(now):
-            if question.origin is not None:
-                self.outgoing.tell(
-                    question.origin,
+        for request in self._requests.expire(now):
+            if request.requester is not None:
+                self.outgoing.send(
+                    request.requester,
                     fr.Nack(
-                        sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=question.origin_number
+                        sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=request.requester_number
                     ),
-                    question.origin_version,
+                    request.requester_version,
                 )
 
     # ---- probes
 
-    def _go_on_probing(self, now: int) -> None:
-        if self._probing.present is not None:
-            if not self._probing.go_on(now):
+    def _run_probes(self, now: int) -> None:
+        if self._prober.current is not None:
+            if not self._prober.advance(now):
                 return
-            self._count(now)
+            self._count_views(now)
             self.table.forget(now - self.settings.forget_after)
-        elif now < self._probing.begin_at:
+        elif now < self._prober.next_probe_at:
             return
-        if not self._probing.begin(now):
-            self._count(now)
+        if not self._prober.start_next(now):
+            self._count_views(now)
 
     # ---- staying in contact
 
-    def _keep_contact(self, now: int) -> None:
+    def _maintain_contact(self, now: int) -> None:
         if self.local.left:
-            self._knock_at = now + self.settings.forget_after
-            self._exchanges.stop_until(self._knock_at)
+            self._contact_at = now + self.settings.forget_after
+            self._exchanges.postpone_until(self._contact_at)
             return
         if not self.joined:
             self._exchanges.join(now)
         if self._retry_life_at is not None and now >= self._retry_life_at:
             self._retry_life_at = None
-            self._effects.append(StoreLife(self.local.wanted))
-        self._exchanges.take_turn(now)
-        if now >= self._knock_at:
-            self._knock_at = now + self.settings.contact_interval
-            self._knock(now)
+            self._effects.append(StoreLife(self.local.wanted_life))
+        self._exchanges.start_due(now)
+        if now >= self._contact_at:
+            self._contact_at = now + self.settings.contact_interval
+            self._send_contact_request(now)
 
-    def _knock(self, now: int) -> None:
+    def _send_contact_request(self, now: int) -> None:
         """Try one of those that failed, or a seed that is nobody's place: when links are whole again, views meet by it.
         Who is suspected is asked by this relay too, whoever began it: it may be there, in another life. A relay whose
         name is in doubt asks in this way how it stands. A seed that has left is tried too: seeds that come
         back together know each other alone."""
-        doors: list[tuple[SocketAddress, list[Claim], int]] = []
+        candidates: list[tuple[SocketAddress, list[Claim], int]] = []
         if self.seeds:
             known = {
                 (member.claim.host, member.claim.port) for member in self.table if member.claim.status is not Status.LEFT
             }
-            doors += [(seed, [], 1) for seed in self.seeds if seed not in known]
-        doors += [
+            candidates += [(seed, [], 1) for seed in self.seeds if seed not in known]
+        candidates += [
             (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in self.table.gone.values()
             if member.claim.status is Status.FAILED
         ]
-        doors += [
+        candidates += [
             (member.claim.address, [member.claim], self.outgoing.version(member.claim))
             for member in map(self.table.members.__getitem__, self.local_view.suspects)
         ]
         if not self.local.active or self._answered_at is None:
-            doors += [
+            candidates += [
                 (member.claim.address, [], self.outgoing.version(member.claim)) for member in self.table.members.values()
             ]
-        if not doors:
+        if not candidates:
             return
-        place, claims, version = doors[self._knocked % len(doors)]
-        self._knocked += 1
-        number = self._questions.ask(Question(Why.KNOCK, now, now + self.settings.probe_interval))
+        place, claims, version = candidates[self._contact_count % len(candidates)]
+        self._contact_count += 1
+        number = self._requests.add(PendingRequest(Purpose.CONTACT, now, now + self.settings.probe_interval))
         if number is not None:
             self.outgoing.ping(place, version, number, claims)
--- a/garnetrelay/fleet/members/settings.py
+++ b/garnetrelay/fleet/members/settings.py
@@ -15,11 +15,11 @@
 
     probe_interval: int = SECOND  # T: a member is probed once in so long
     probe_timeout: int = 300 * MS  # for the direct answer; the rest of the period is for those who ask for us
-    asked: int = 3  # k: members that ask for us
+    indirect_probes: int = 3  # k: members that ask for us
     suspicion_multiplier: float = 4.0  # alpha: least time of a suspicion, in periods by log10 of the members
     max_suspicion_multiplier: float = 6.0  # beta: the longest, in times of the least
     confirmations: int = 3  # K: others' suspicions that bring it down to the least
-    repeats: int = 4  # lambda: a claim is told so often by log10 of the members
+    retransmit_multiplier: int = 4  # lambda: a claim is told so often by log10 of the members
     max_slowdown: int = 8  # S: how far local health may slow a relay down
     exchange_interval: int = 30 * SECOND
     forget_after: int = 600 * SECOND  # a failed or left member is listed for so long
@@ -34,7 +34,7 @@
         if self.probe_timeout * 2 > self.probe_interval:
             raise ValueError("the time for a direct answer may be half of the time between two probes at most")
 
-    def scale(self, members: int) -> int:
+    def log_scale(self, members: int) -> int:
         """ceil(log10(n + 1)): how far words have to go."""
         return max(1, math.ceil(math.log10(members + 1)))
 
@@ -55,14 +55,14 @@
         share = math.log(min(confirmed, possible) + 1) / math.log(possible + 1)
         return max(least, int(longest - (longest - least) * share))
 
-    def calm_after(self, members: int) -> int:
+    def settle_time(self, members: int) -> int:
         """Out of doubt no sooner: a word has gone round by then. (repeats * scale + 2) periods, at most ten."""
-        return min(10, self.repeats * self.scale(members) // 2 + 2) * self.probe_interval
+        return min(10, self.retransmit_multiplier * self.log_scale(members) // 2 + 2) * self.probe_interval
 
     def exchange_gap(self, members: int) -> int:
         """Between two full exchanges, in the mean. Frames of version 1 don't tell of other views, so that nothing else
         brings words that were lost: there it is a sixth."""
-        return self.exchange_interval * self.scale(members) // (1 if self.versions > 1 else 6)
+        return self.exchange_interval * self.log_scale(members) // (1 if self.versions > 1 else 6)
 
     @property
     def contact_interval(self) -> int:
@@ -70,12 +70,12 @@
         return 2 * self.probe_interval
 
     @property
-    def lately(self) -> int:
+    def recent_failure_window(self) -> int:
         """For so long a failure counts as one of many at once."""
         return 30 * self.probe_interval
 
     @property
-    def alone_after(self) -> int:
+    def alone_timeout(self) -> int:
         """With no answer from anybody for so long, a relay is alone: three probes."""
         return 3 * self.probe_interval
 
--- a/garnetrelay/fleet/members/view.py
+++ b/garnetrelay/fleet/members/view.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from garnetrelay.fleet.members.view_state import RELIES, Condition, Relies
+from garnetrelay.fleet.members.view_state import RELIES, Condition, Reliance
 
 
 class FleetView(NamedTuple):
@@ -24,6 +24,6 @@
     view: int
 
     @property
-    def relies(self) -> Relies:
+    def relies(self) -> Reliance:
         """What may be relied on in this condition."""
         return RELIES[self.condition]
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Relies:
+class Reliance:
     """What may be relied on. Where one is False, the relay acts as if it were alone in that respect."""
 
     count: bool  # the number of members: parts may be cut by it
@@ -32,12 +32,14 @@
     text: str
 
 
-RELIES: dict[Condition, Relies] = {
-    Condition.SETTLED: Relies(True, True, True, True, "all of it: numbers, growth, what others saw, its own judgements"),
-    Condition.UNSETTLED: Relies(True, False, True, True, "numbers as an upper bound of its part; nothing grows"),
-    Condition.CUT_OFF: Relies(False, False, True, True, "no numbers, nothing grows; what others saw holds back"),
-    Condition.ALONE: Relies(False, False, False, False, "nothing but what is kept for each relay alone"),
-    Condition.JOINING: Relies(
+RELIES: dict[Condition, Reliance] = {
+    Condition.SETTLED: Reliance(
+        True, True, True, True, "all of it: numbers, growth, what others saw, its own judgements"
+    ),
+    Condition.UNSETTLED: Reliance(True, False, True, True, "numbers as an upper bound of its part; nothing grows"),
+    Condition.CUT_OFF: Reliance(False, False, True, True, "no numbers, nothing grows; what others saw holds back"),
+    Condition.ALONE: Reliance(False, False, False, False, "nothing but what is kept for each relay alone"),
+    Condition.JOINING: Reliance(
         False, False, True, False, "nothing but what is kept for each relay alone; what others saw " "holds back"
     ),
 }
@@ -51,9 +53,9 @@
     active: bool  # its name is its own, in a life that is kept
     others: int  # in the view, without this relay
     answered_ago: int | None  # since anybody answered, nanoseconds; None: nobody ever
-    alone_after: int
+    alone_timeout: int
     suspects: int
-    failed_lately: int
+    recently_failed: int
     changed: bool  # the view changed since the last look
     agreeing: int  # of those whose view is known: how many hold this one
     differing: int
@@ -68,10 +70,10 @@
         return Condition.JOINING, "no full exchange yet"
     if facts.others == 0:
         return Condition.ALONE, "nobody else is in its view"
-    if facts.answered_ago is None or facts.answered_ago > facts.alone_after:
+    if facts.answered_ago is None or facts.answered_ago > facts.alone_timeout:
         return Condition.ALONE, "nobody answers"
-    if facts.failed_lately >= max(2, (facts.others + 1 + facts.failed_lately) // 5):
-        return Condition.CUT_OFF, f"{facts.failed_lately} failed lately, {facts.others} others are left"
+    if facts.recently_failed >= max(2, (facts.others + 1 + facts.recently_failed) // 5):
+        return Condition.CUT_OFF, f"{facts.recently_failed} failed lately, {facts.others} others are left"
     if facts.suspects:
         return Condition.UNSETTLED, f"{facts.suspects} suspected"
     if facts.changed:
@@ -83,7 +85,7 @@
     return Condition.SETTLED, f"{facts.agreeing} of {facts.others} are known to hold this view"
 
 
-class Doubt:
+class ConditionTracker:
     """The condition over time: the worst that was seen within ``calm``, the last look ahead of that time included."""
 
     def __init__(self, now: int) -> None:
@@ -92,19 +94,19 @@
         self.why = "it has just started"
         # The conditions seen that nothing worse came behind, worst first, so at most as many as there are. Each stands
         # with the moment from which on nothing worse was seen: there the one before it ended.
-        self._looks: deque[tuple[int, Condition]] = deque([(now, Condition.JOINING)])
+        self._seen: deque[tuple[int, Condition]] = deque([(now, Condition.JOINING)])
 
-    def look(self, now: int, facts: Facts, calm: int) -> bool:
+    def update(self, now: int, facts: Facts, settle_time: int) -> bool:
         """Take the facts of a moment; whether the condition changed. ``calm``: how long doubt has to be away."""
         seen, why = judge(facts)
         better_since = now
-        while self._looks and self._looks[-1][1] < seen:
-            better_since, _ = self._looks.pop()
-        if not self._looks or self._looks[-1][1] != seen:
-            self._looks.append((better_since, seen))
-        while len(self._looks) > 1 and self._looks[1][0] <= now - calm:
-            self._looks.popleft()
-        worst = self._looks[0][1]
+        while self._seen and self._seen[-1][1] < seen:
+            better_since, _ = self._seen.pop()
+        if not self._seen or self._seen[-1][1] != seen:
+            self._seen.append((better_since, seen))
+        while len(self._seen) > 1 and self._seen[1][0] <= now - settle_time:
+            self._seen.popleft()
+        worst = self._seen[0][1]
         if seen == self.condition:
             self.why = why
         if worst == self.condition:
@@ -112,6 +114,6 @@
         self.condition, self.since, self.why = worst, now, why
         return True
 
-    def out_at(self, calm: int) -> int | None:
+    def improves_at(self, settle_time: int) -> int | None:
         """When it may step out of doubt, if nothing comes in between."""
-        return None if len(self._looks) < 2 else self._looks[1][0] + calm
+        return None if len(self._seen) < 2 else self._seen[1][0] + settle_time
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -16,24 +16,24 @@
 
 from garnetrelay.config.fleet import Fleet as FleetConfig
 from garnetrelay.fleet import status
-from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
+from garnetrelay.fleet.life_file import MAX_ADDRESSES, LifeFile
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
-from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
+from garnetrelay.fleet.transport import EXCHANGE_TIMEOUT_S, Stream, Transport
 
 if TYPE_CHECKING:
     from garnetrelay.fleet.lease_service import Leases
 
 log = logging.getLogger(__name__)
 
-MOST_TASKS = 64
-AHEAD = 1 << 20  # numbers that an upgraded process leaves out: its forerunner may have used some more
+MAX_TASKS = 64
+SEQUENCE_GAP = 1 << 20  # numbers that an upgraded process leaves out: its forerunner may have used some more
 
 
-class Passing(msgspec.Struct):
+class HandoverState(msgspec.Struct):
     """What one process of a relay hands to the next: the same member goes on."""
 
     own: Claim
@@ -62,10 +62,10 @@
         self.name = name
         self.file = LifeFile(state, sync)
         self.closed = False
-        self.transport = Transport(fr.Codec(config.secrets()), self._heard)
+        self.transport = Transport(fr.Codec(config.secrets()), self._on_frame)
         self.members: Membership | None = None
         self.leases: Leases | None = None  # None: not switched on
-        self._passed = None if passed is None else msgspec.convert(passed, Passing)
+        self._passed = None if passed is None else msgspec.convert(passed, HandoverState)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
@@ -81,7 +81,7 @@
         now = time.monotonic_ns()
         if self._passed is None:
             life = 1 if kept is None else kept.life + 1
-            self.file.keep(life, seeds)
+            self.file.store(life, seeds)
             own = Claim(
                 self.name,
                 life,
@@ -99,7 +99,7 @@
             passed = self._passed
             own = _as_configured(passed.own, place, self.config)
             self.members = Membership(
-                own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + AHEAD
+                own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + SEQUENCE_GAP
             )
             self._carry_out(self.members.resume_from(now, passed.claims))
         log.info("fleet: %s hears at %s, life %d", self.name, found, own.life)
@@ -143,7 +143,7 @@
         members = self.members
         if members is None or not members.local.active:
             return None
-        found = Passing(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
+        found = HandoverState(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
         return msgspec.to_builtins(found)  # type: ignore[no-any-return]
 
     def read_secrets(self) -> None:
@@ -214,7 +214,7 @@
 
     # ---- what happens
 
-    def _heard(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
+    def _on_frame(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
         if self.members is not None and not self.closed:
             self._carry_out(self.members.receive(time.monotonic_ns(), frame, source))
 
@@ -231,7 +231,7 @@
                 case StartExchange(place):
                     self._spawn(self._exchange(place))
                 case StoreLife(life):
-                    self._spawn(self._keep(life))
+                    self._spawn(self._store_life(life))
                 case LogLine(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
@@ -242,19 +242,19 @@
             self._timer = self._loop.call_at(self.members.next_at / 1e9, self._tick)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        if len(self._tasks) >= MOST_TASKS or self.closed:
+        if len(self._tasks) >= MAX_TASKS or self.closed:
             work.close()
             return
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _keep(self, life: int) -> None:
+    async def _store_life(self, life: int) -> None:
         """On record first, then used."""
         assert self.members is not None
-        places = [member.claim.address for member in self.members.table.members.values()][:MOST_PLACES]
+        places = [member.claim.address for member in self.members.table.members.values()][:MAX_ADDRESSES]
         try:
-            await self._loop.run_in_executor(None, functools.partial(self.file.keep, life, places))
+            await self._loop.run_in_executor(None, functools.partial(self.file.store, life, places))
         except OSError as error:
             if not self.closed:
                 self._carry_out(self.members.life_not_stored(time.monotonic_ns(), error.strerror or str(error)))
@@ -267,8 +267,8 @@
         assert self.members is not None
         stream: Stream | None = None
         try:
-            async with asyncio.timeout(EXCHANGE_TIME):
-                stream = await self.transport.begin(place)
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                stream = await self.transport.connect(place)
                 if stream is None:
                     return
                 began = time.monotonic_ns()
@@ -285,7 +285,7 @@
         finally:
             if stream is not None:
                 stream.close()
-                self.transport.ended()
+                self.transport.release()
 
     async def _answer(self, stream: Stream) -> None:
         """The other side begins."""
--- a/garnetrelay/fleet/signing.py
+++ b/garnetrelay/fleet/signing.py
@@ -38,9 +38,9 @@
         """A body behind its head."""
         return b"%s%c%c%s%s" % (self._magic, version, self.good[0][0], self._digest(self.signing, version, body), body)
 
-    def open(self, data: bytes, most: int) -> tuple[int, bytes]:
+    def open(self, data: bytes, max_bytes: int) -> tuple[int, bytes]:
         """Version and body of a frame of at most so many bytes; FrameRefusedError with a cause."""
-        if len(data) > most:
+        if len(data) > max_bytes:
             raise FrameRefusedError("long")
         if len(data) <= HEADER_BYTES or data[:2] != self._magic:
             raise FrameRefusedError("foreign")
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -27,24 +27,24 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
-MOST = 256  # bytes of a note
+MAX_NOTE_BYTES = 256  # bytes of a note
 SECRET = b"all relays of a simulated day"
 PORT = 1
 # Notes cost: few words on them, and full exchanges only where views are seen to differ.
 SETTINGS = Settings(
-    max_frame_bytes=MOST,
+    max_frame_bytes=MAX_NOTE_BYTES,
     max_observations=4,
     probe_interval=2 * SECOND,
     probe_timeout=200_000_000,
     exchange_interval=3600 * SECOND,
     digests=False,
 )
-LEAST_TRIES = 0.2  # first tries of a relay a second: some 200 relays at limits of a few calls
-WORTH = 0.01  # of a day's result, that notes may cost at most at so many tries
-USUAL_NOTE = 128  # bytes
-STEP = 1000  # nanoseconds of the day for one number of a frame: no relay sends more
-MOST_ASKED = 64  # full exchanges that may still be answered
-FIRST = 1 << 40  # timers of a member have numbers from here on: the module's are lower
+MIN_TRIES_PER_S = 0.2  # first tries of a relay a second: some 200 relays at limits of a few calls
+MAX_COST_SHARE = 0.01  # of a day's result, that notes may cost at most at so many tries
+TYPICAL_NOTE_BYTES = 128  # bytes
+SEQUENCE_STEP_NS = 1000  # nanoseconds of the day for one number of a frame: no relay sends more
+MAX_OPEN_EXCHANGES = 64  # full exchanges that may still be answered
+FIRST_TIMER_TOKEN = 1 << 40  # timers of a member have numbers from here on: the module's are lower
 
 
 class Post(NamedTuple):
@@ -70,21 +70,21 @@
 Reply = Post | Wake | Line
 
 
-def place(relay: int) -> SocketAddress:
+def address_of(relay: int) -> SocketAddress:
     """The address that stands for a relay's number."""
     return SocketAddress(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
 
 
-def number(at: SocketAddress) -> int:
+def relay_at(at: SocketAddress) -> int:
     """The relay that an address stands for."""
     _, high, middle, low = (int(part) for part in at.host.split("."))
     return high << 16 | middle << 8 | low
 
 
-def presumed(relays: int) -> dict[str, Claim]:
+def initial_claims(relays: int) -> dict[str, Claim]:
     """What every relay holds at its beginning, by name."""
     return {
-        f"r{relay}": Claim(f"r{relay}", 1, 0, 1, 0, Status.ALIVE, *place(relay), SETTINGS.versions)
+        f"r{relay}": Claim(f"r{relay}", 1, 0, 1, 0, Status.ALIVE, *address_of(relay), SETTINGS.versions)
         for relay in range(relays)
     }
 
@@ -92,7 +92,7 @@
 def settings_at(price: float) -> Settings:
     """The time between two probes follows from what notes cost (``price``: points for 256 bytes a first try): a question
     and its answer in each may take ``WORTH`` off the result."""
-    every = 2 * USUAL_NOTE / MOST * price / (WORTH * LEAST_TRIES)
+    every = 2 * TYPICAL_NOTE_BYTES / MAX_NOTE_BYTES * price / (MAX_COST_SHARE * MIN_TRIES_PER_S)
     return dataclasses.replace(SETTINGS, probe_interval=max(SETTINGS.probe_interval, int(every * SECOND)))
 
 
@@ -101,15 +101,17 @@
 
     def __init__(self, me: int, relays: int, seed: int, now: int, price: float = 0.0) -> None:
         self.codec = fr.Codec([SECRET])
-        self.presumed = presumed(relays)
-        others = dict(self.presumed)
+        self.initial_claims = initial_claims(relays)
+        others = dict(self.initial_claims)
         own = others.pop(f"r{me}")
-        self.members = Membership(own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // STEP)
+        self.members = Membership(
+            own, settings_at(price), random.Random(f"{seed}/fleet"), now, sequence=now // SEQUENCE_STEP_NS
+        )
         self._first = self.members.start_with(now, list(others.values()))
         self.refused = 0
-        self._asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
-        self._answered: deque[int] = deque(maxlen=MOST_ASKED)
-        self._token = FIRST
+        self._exchanges_asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
+        self._exchanges_answered: deque[int] = deque(maxlen=MAX_OPEN_EXCHANGES)
+        self._token = FIRST_TIMER_TOKEN
 
     def begin(self, now: int) -> list[Reply]:
         """The first timer."""
@@ -131,16 +133,16 @@
             self._remember(whole.ask, now)
             return self._carry_out(now, [], list(self._pieces(origin, whole)))
         if isinstance(frame, fr.Whole):
-            asked_at = self._asked.get(frame.number)
+            asked_at = self._exchanges_asked.get(frame.number)
             if asked_at is None:
                 self.refused += 1
                 return []
             ours, effects = self.members.receive_whole(now, frame, frame.number, asked_at)
-            if not frame.ask or frame.ask in self._answered:
+            if not frame.ask or frame.ask in self._exchanges_answered:
                 return self._carry_out(now, effects)
-            self._answered.append(frame.ask)  # many pieces ask for ours: it goes back once
+            self._exchanges_answered.append(frame.ask)  # many pieces ask for ours: it goes back once
             return self._carry_out(now, effects, list(self._pieces(origin, ours)))
-        return self._carry_out(now, self.members.receive(now, frame, place(origin)))
+        return self._carry_out(now, self.members.receive(now, frame, address_of(origin)))
 
     def _decode(self, data: bytes) -> fr.AnyFrame:
         try:
@@ -152,14 +154,14 @@
 
     def _remember(self, asked: int, now: int) -> None:
         """A question that pieces may answer for a while."""
-        self._asked[asked] = now
-        while len(self._asked) > MOST_ASKED:
-            del self._asked[next(iter(self._asked))]
+        self._exchanges_asked[asked] = now
+        while len(self._exchanges_asked) > MAX_OPEN_EXCHANGES:
+            del self._exchanges_asked[next(iter(self._exchanges_asked))]
 
     def _pieces(self, to: int, whole: fr.Whole) -> Iterator[Post]:
         """What a frame holds beyond what is presumed, in notes."""
-        room = MOST - fr.HEADER_BYTES - 64 - whole.sender.size()
-        claims = [claim for claim in whole.claims if claim != self.presumed.get(claim.name)]
+        room = MAX_NOTE_BYTES - fr.HEADER_BYTES - 64 - whole.sender.size()
+        claims = [claim for claim in whole.claims if claim != self.initial_claims.get(claim.name)]
         while True:
             piece: list[Claim] = []
             left = room
@@ -180,11 +182,11 @@
         while waiting:
             match waiting.pop(0):
                 case SendFrame(at, frame, version):
-                    made.append(Post(number(at), self.codec.encode(frame, version)))
+                    made.append(Post(relay_at(at), self.codec.encode(frame, version)))
                 case StartExchange(at):
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
-                    made.append(Post(number(at), self.codec.encode(hello, 1)))
+                    made.append(Post(relay_at(at), self.codec.encode(hello, 1)))
                 case StoreLife(life):  # there is no folder: kept at once
                     waiting += self.members.life_stored(now, life)
                 case LogLine(text, _):
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -9,7 +9,7 @@
 
 from garnetrelay.fleet.members.claims import Status
 from garnetrelay.fleet.members.protocol import Membership
-from garnetrelay.fleet.members.table import Member, Path
+from garnetrelay.fleet.members.table import LinkState, Member
 from garnetrelay.fleet.members.view_state import RELIES
 from garnetrelay.operators.figures import escaped
 
@@ -51,7 +51,7 @@
 
 def state(members: Membership, now: int) -> State:
     """What this relay's picture is worth."""
-    same, other = members.sharing()
+    same, other = members.count_views()
     ages = [members.age(name, now) for name in members.table.members]
     oldest = None if not ages or None in ages else max(age for age in ages if age is not None) / 1e9
     own = members.local.claim
@@ -59,8 +59,8 @@
         own.name,
         own.life,
         members.condition.name.lower(),
-        members.doubt.why,
-        round((now - members.doubt.since) / 1e9, 3),
+        members.condition_tracker.why,
+        round((now - members.condition_tracker.since) / 1e9, 3),
         RELIES[members.condition].text,
         members.count,
         f"{members.view:08x}",
@@ -82,16 +82,16 @@
 def line(members: Membership, member: Member, now: int) -> Line:
     """What is said of one member: ages in seconds, and whether it holds the view of ``members``."""
     claim = member.claim
-    fresh = member.word_at is not None and member.word_at >= members.view_changed_at and member.word_view >= 0
+    fresh = member.seen_at is not None and member.seen_at >= members.view_changed_at and member.seen_view >= 0
     return Line(
         claim.name,
         claim.life,
         claim.born,
         claim.status.name.lower(),
         str(claim.address),
-        None if member.word_at is None else round((now - member.word_at) / 1e9, 3),
-        "unknown" if not fresh else "same" if member.word_view == members.view else "other",
-        "" if member.path is Path.WHOLE else member.path.value,
+        None if member.seen_at is None else round((now - member.seen_at) / 1e9, 3),
+        "unknown" if not fresh else "same" if member.seen_view == members.view else "other",
+        "" if member.link_state is LinkState.WHOLE else member.link_state.value,
         claim.by,
         round((now - member.changed_at) / 1e9, 3),
         claim.zone,
@@ -110,8 +110,8 @@
     if claim.born < claim.life:
         said.append(f"its process began in life {claim.born}, and went on in this one after others held it for failed")
     if claim.status is Status.SUSPECT and member.suspicion is not None:
-        left = (members.local_view.suspicion_ends(member) - now) / 1e9
-        also = ", ".join(sorted(member.suspicion.by)) or "nobody else"
+        left = (members.local_view.suspicion_deadline(member) - now) / 1e9
+        also = ", ".join(sorted(member.suspicion.confirmed_by)) or "nobody else"
         said.append(f"suspected by {claim.by}, also by {also}; failed in {left:.1f} s unless it speaks up")
     if claim.status is Status.FAILED:
         said.append(f"judged by {claim.by}; this life does not come back, the relay may in its next")
@@ -120,7 +120,7 @@
     else:
         said.append(
             f"it was there {told.word_age:.1f} s ago or later"
-            + ("" if member.first_hand else ", by what others said: it has never answered this relay itself")
+            + ("" if member.answered_directly else ", by what others said: it has never answered this relay itself")
         )
     if not claim.final:
         said.append(
@@ -130,10 +130,10 @@
                 "unknown": "whether it holds this relay's view is not known yet",
             }[told.view]
         )
-    if member.path is not Path.WHOLE:
+    if member.link_state is not LinkState.WHOLE:
         said.append(
-            f"{member.path.value}, for {(now - member.path_since) / 1e9:.1f} s; {member.path_by} reaches it: "
-            "a link is at fault, not the relay"
+            f"{member.link_state.value}, for {(now - member.link_state_since) / 1e9:.1f} s; "
+            f"{member.reached_through} reaches it: a link is at fault, not the relay"
         )
     return said
 
@@ -145,10 +145,12 @@
         f"to be relied on: {told.relies}",
         f"{told.members} in its view {told.view}: {told.same} others are known to hold it, {told.other} another one",
     ]
-    if own.aside is not None:
-        said.append(f"it stands aside for {own.aside.said()} at {own.aside.address}, a process of the same name")
-    if own.wanted:
-        said.append(f"it goes on in life {own.wanted} once that number is in its folder")
+    if own.name_holder is not None:
+        said.append(
+            f"it stands aside for {own.name_holder.said()} at {own.name_holder.address}, a process of the same name"
+        )
+    if own.wanted_life:
+        said.append(f"it goes on in life {own.wanted_life} once that number is in its folder")
     if own.left:
         said.append("it has left the fleet and acts alone")
     if members.slow:
@@ -169,7 +171,7 @@
         ("suspicions", members.local_view.counters.suspected),
         ("judged_failed", members.local_view.counters.failed),
         ("refuted", members.local_view.counters.refuted),
-        ("slept", members.counters.slept),
+        ("slept", members.counters.pauses),
         ("frames_out", frames_out),
         ("bytes_in", bytes_in),
         ("bytes_out", bytes_out),
--- a/garnetrelay/fleet/transport.py
+++ b/garnetrelay/fleet/transport.py
@@ -18,59 +18,61 @@
 
 log = logging.getLogger(__name__)
 
-ROUND = 64  # datagrams read in a round of the loop
-MOST_A_SECOND = 4000  # datagrams taken; 1,000 members that all ask at once
-MOST_ANSWERED = 8  # exchanges that others began
-MOST_BEGUN = 2
-EXCHANGE_TIME = 3.0  # seconds for the whole of one
-READ_BUFFER = 1 << 18  # bytes of the kernel's, for a process that was stopped for a while
+MAX_DATAGRAMS_PER_TICK = 64  # datagrams read in a round of the loop
+MAX_DATAGRAMS_PER_S = 4000  # datagrams taken; 1,000 members that all ask at once
+MAX_INBOUND_EXCHANGES = 8  # exchanges that others began
+MAX_OUTBOUND_EXCHANGES = 2
+EXCHANGE_TIMEOUT_S = 3.0  # seconds for the whole of one
+RECEIVE_BUFFER_BYTES = 1 << 18  # bytes of the kernel's, for a process that was stopped for a while
 LENGTH = struct.Struct(">I")
 BIND_TRIES = 40  # an upgraded process has just let go of the address
-BIND_PAUSE = 0.05
+BIND_RETRY_S = 0.05
 
-Hears = Callable[[fr.AnyFrame, SocketAddress], None]
-HearsBytes = Callable[[bytes, SocketAddress], None]
+FrameHandler = Callable[[fr.AnyFrame, SocketAddress], None]
+DatagramHandler = Callable[[bytes, SocketAddress], None]
 
 
 class Transport:
     """Frames in and out of one process."""
 
-    def __init__(self, codec: fr.Codec, hears: Hears) -> None:
+    def __init__(self, codec: fr.Codec, on_frame: FrameHandler) -> None:
         self.codec = codec
         self.refused: Counter[str] = Counter()
         self.bytes_in = self.bytes_out = self.frames_out = 0
-        self.protocols: dict[bytes, HearsBytes] = {}  # others on this address, by the first two bytes; they count apart
-        self._hears = hears
+        self.protocols: dict[
+            bytes, DatagramHandler
+        ] = {}  # others on this address, by the first two bytes; they count apart
+        self._on_frame = on_frame
         self._loop = asyncio.get_running_loop()
         self._datagrams: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._host = ""
-        self._answering = 0
-        self._begun = 0
+        self._inbound = 0
+        self._outbound = 0
         self._second = 0
-        self._taken = 0
+        self._received = 0
 
     async def start(self, listen: SocketAddress, answer: Callable[[Stream], Awaitable[None]]) -> SocketAddress:
         """Take the address; the one that came of it. ``answer`` is called for each exchange that another begins."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             stream = Stream(self, reader, writer)
-            if self._answering >= MOST_ANSWERED:
+            if self._inbound >= MAX_INBOUND_EXCHANGES:
                 self.refused["exchanges"] += 1
                 stream.close()
                 return
-            self._answering += 1
+            self._inbound += 1
             try:
-                async with asyncio.timeout(EXCHANGE_TIME):
+                async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                     await answer(stream)
             except (OSError, TimeoutError, EOFError, ValueError) as error:
                 log.debug("fleet: an exchange that another began broke off: %s", error)
             finally:
-                self._answering -= 1
+                self._inbound -= 1
                 stream.close()
 
         family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
-        for left in reversed(range(BIND_TRIES)):
+        for tries_left in reversed(range(BIND_TRIES)):
             listener = socket.socket(family, socket.SOCK_STREAM)
             datagrams = socket.socket(family, socket.SOCK_DGRAM)
             try:
@@ -81,13 +83,13 @@
             except OSError:
                 listener.close()
                 datagrams.close()
-                if not left:
+                if not tries_left:
                     raise
-                await asyncio.sleep(BIND_PAUSE)
+                await asyncio.sleep(BIND_RETRY_S)
                 continue
             break
         datagrams.setblocking(False)
-        datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
+        datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._datagrams, self._host = datagrams, found.host
         self._loop.add_reader(datagrams, self._readable)
         self._server = await asyncio.start_server(
@@ -105,27 +107,27 @@
             self._server.close()
             self._server = None
 
-    def send(self, place: SocketAddress, frame: fr.Frame, version: int) -> None:
+    def send(self, address: SocketAddress, frame: fr.Frame, version: int) -> None:
         """A datagram; one that can't go now is lost, as others are on their way."""
         data = self.codec.encode(frame, version)
-        if self.send_bytes(place, data):
+        if self.send_bytes(address, data):
             self.frames_out += 1
             self.bytes_out += len(data)
 
-    def send_bytes(self, place: SocketAddress, data: bytes) -> bool:
+    def send_bytes(self, address: SocketAddress, data: bytes) -> bool:
         """The same for a datagram of any protocol; whether it went."""
         if self._datagrams is None:
             return False
         try:
-            self._datagrams.sendto(data, place)
+            self._datagrams.sendto(data, address)
         except OSError as error:
             self.refused["not sent"] += 1
-            log.debug("fleet: to %s: %s", place, error)
+            log.debug("fleet: to %s: %s", address, error)
             return False
         return True
 
     def _readable(self) -> None:
-        for _ in range(ROUND):
+        for _ in range(MAX_DATAGRAMS_PER_TICK):
             if self._datagrams is None:
                 return
             try:
@@ -135,49 +137,49 @@
             except OSError as error:  # an earlier one did not arrive: that is told here
                 log.debug("fleet: %s", error)
                 continue
-            self._take(data, SocketAddress(*source[:2]))
+            self._dispatch(data, SocketAddress(*source[:2]))
 
-    def _take(self, data: bytes, source: SocketAddress) -> None:
-        hears_bytes = self.protocols.get(data[:2])
-        if hears_bytes is None:
+    def _dispatch(self, data: bytes, source: SocketAddress) -> None:
+        handler = self.protocols.get(data[:2])
+        if handler is None:
             self.bytes_in += len(data)
         if self._over_the_rate():
             self.refused["rate"] += 1
             return
-        if hears_bytes is not None:
-            hears_bytes(data, source)
+        if handler is not None:
+            handler(data, source)
             return
         try:
             frame = self.codec.decode(data)
         except fr.Refused as refused:
             self.refused[refused.cause] += 1
             return
-        self._hears(frame, source)
+        self._on_frame(frame, source)
 
     def _over_the_rate(self) -> bool:
         second = int(self._loop.time())
         if second != self._second:
-            self._second, self._taken = second, 0
-        self._taken += 1
-        return self._taken > MOST_A_SECOND
+            self._second, self._received = second, 0
+        self._received += 1
+        return self._received > MAX_DATAGRAMS_PER_S
 
-    async def begin(self, place: SocketAddress) -> Stream | None:
+    async def connect(self, address: SocketAddress) -> Stream | None:
         """A connection for an exchange; None where as many as may be are open."""
-        if self._begun >= MOST_BEGUN or self._server is None:
+        if self._outbound >= MAX_OUTBOUND_EXCHANGES or self._server is None:
             return None
-        self._begun += 1
+        self._outbound += 1
         try:
             reader, writer = await asyncio.open_connection(
-                place.host, place.port, local_addr=(self._host, 0), limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size
+                address.host, address.port, local_addr=(self._host, 0), limit=fr.MAX_EXCHANGE_BYTES + LENGTH.size
             )
         except BaseException:
-            self._begun -= 1
+            self._outbound -= 1
             raise
         return Stream(self, reader, writer)
 
-    def ended(self) -> None:
+    def release(self) -> None:
         """An exchange that this side began is over."""
-        self._begun -= 1
+        self._outbound -= 1
 
 
 class Stream:
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -73,7 +73,8 @@
     others = sorted(
         (
             _short(member.claim),
-            member.suspicion and (member.suspicion.began, member.suspicion.members, tuple(sorted(member.suspicion.by))),
+            member.suspicion
+            and (member.suspicion.started_at, member.suspicion.view_size, tuple(sorted(member.suspicion.confirmed_by))),
         )
         for member in local_view.table
     )
@@ -82,8 +83,8 @@
         own.claim.born,
         own.active,
         own.left,
-        own.wanted,
-        own.aside and _short(own.aside),
+        own.wanted_life,
+        own.name_holder and _short(own.name_holder),
         tuple(others),
         frozenset(local_view.suspects),
     )
@@ -96,14 +97,14 @@
     made.local = kinds[1].__new__(kinds[1])
     made.local.__dict__.update(local_view.local.__dict__)
     made.table = kinds[2](SETTINGS.max_members)
-    made.table.print = local_view.table.print
+    made.table.view_hash = local_view.table.view_hash
     made.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
     made.table.gone = {name: dataclasses.replace(member) for name, member in local_view.table.gone.items()}
     made.suspects = dict(local_view.suspects)
     for member in made.table:
         if member.suspicion is not None:
             member.suspicion = Suspicion(
-                member.suspicion.began - older, member.suspicion.members, set(member.suspicion.by)
+                member.suspicion.started_at - older, member.suspicion.view_size, set(member.suspicion.confirmed_by)
             )
     return made
 
@@ -218,7 +219,7 @@
 
         def hear(made: LocalView) -> None:
             for claim in self._texts[text]:
-                made.hear(0, claim)
+                made.apply_claim(0, claim)
 
         return self.after(local_view, ("hears", text), hear)
 
@@ -232,22 +233,22 @@
 
         def judge(made: LocalView) -> None:
             before = {name: (member.claim, member.suspicion) for name, member in made.table.members.items()}
-            made.judge(0, 0)
+            made.expire_suspicions(0, 0)
             for name, (claim, suspicion) in before.items():
                 later = made.table.get(name)
                 if later is None or later.claim.identity != claim.identity or later.claim.status is not Status.FAILED:
                     continue
                 if suspicion is None:
                     raise Broken("a member is failed without a suspicion", "a step passes")
-                others = {by for by in suspicion.by if by in NAMES and by != claim.by}
-                if -suspicion.began < SETTINGS.suspicion_time(suspicion.members, len(others)):
+                others = {by for by in suspicion.confirmed_by if by in NAMES and by != claim.by}
+                if -suspicion.started_at < SETTINGS.suspicion_time(suspicion.view_size, len(others)):
                     raise Broken("a member is failed without its time to speak up", "a step passes")
 
         return self.after(local_view, ("older",), judge, 1)
 
     def keeps(self, local_view: int) -> int:
         """The next life is in the folder."""
-        return self.after(local_view, ("keeps",), lambda made: made.kept(made.local.wanted))
+        return self.after(local_view, ("keeps",), lambda made: made.life_stored(made.local.wanted_life))
 
     # ---- what may happen
 
@@ -275,14 +276,15 @@
                         bounds=left._replace(kills=left.kills - 1)
                     ),
                 )
-            if local_view.local.wanted and not local_view.local.left:
+            if local_view.local.wanted_life and not local_view.local.left:
                 yield (
-                    f"{name} keeps life {local_view.local.wanted}",
+                    f"{name} keeps life {local_view.local.wanted_life}",
                     self.with_site(
                         world,
                         number,
                         site._replace(
-                            folder=self.keep(site.folder, local_view.local.wanted), local_view=self.keeps(site.local_view)
+                            folder=self.keep(site.folder, local_view.local.wanted_life),
+                            local_view=self.keeps(site.local_view),
                         ),
                     ),
                 )
@@ -375,9 +377,9 @@
         if new.local.claim.identity == old.local.claim.identity:
             if new.local.claim.incarnation < old.local.claim.incarnation:
                 raise Broken("an incarnation goes back")
-            if old.local.wanted and new.local.active:
+            if old.local.wanted_life and new.local.active:
                 raise Broken("a relay speaks on in a life that it knows has ended")
-            if old.local.aside is not None and new.local.active:
+            if old.local.name_holder is not None and new.local.active:
                 raise Broken("a relay speaks beside the process for which it stood aside")
         for member in old.table:
             claim = member.claim
@@ -433,7 +435,7 @@
 
     def one_round(self, live: list[int]) -> None:
         """Each keeps its life, tells all twice, and probes; a step passes."""
-        live[:] = [self.keeps(number) if self.met[number].local.wanted else number for number in live]
+        live[:] = [self.keeps(number) if self.met[number].local.wanted_life else number for number in live]
         for place, other in 2 * list(itertools.permutations(range(len(live)), 2)):
             speaker, hearer = self.met[live[place]], self.met[live[other]]
             if speaker.local.active:
@@ -469,31 +471,31 @@
 class NoFinal(Table):
     """Forgets that a life is over."""
 
-    def take(self, claim: Claim, now: int) -> Any:
+    def merge(self, claim: Claim, now: int) -> Any:
         member = self.gone.get(claim.name)
         if member is not None and claim.identity == member.claim.identity and not claim.final:
-            self._leave(member)
-        return super().take(claim, now)
+            self._remove(member)
+        return super().merge(claim, now)
 
 
 class AnyLife(Table):
     """Takes an earlier life for news."""
 
-    def take(self, claim: Claim, now: int) -> Any:
+    def merge(self, claim: Claim, now: int) -> Any:
         member = self.get(claim.name)
         if member is not None and claim.life < member.claim.life and not claim.final:
-            self._leave(member)
-        return super().take(claim, now)
+            self._remove(member)
+        return super().merge(claim, now)
 
 
 class NoProcess(Table):
     """Does not tell two processes of one life apart."""
 
-    def take(self, claim: Claim, now: int) -> Any:
+    def merge(self, claim: Claim, now: int) -> Any:
         member = self.get(claim.name)
         if member is not None and claim.life == member.claim.life and claim.process != member.claim.process:
-            return super().take(claim.judged(claim.status, claim.by), now) if claim.final else self._nothing()
-        return super().take(claim, now)
+            return super().merge(claim.judged(claim.status, claim.by), now) if claim.final else self._nothing()
+        return super().merge(claim, now)
 
     def _nothing(self) -> Any:
         from garnetrelay.fleet.members.table import Change
@@ -504,55 +506,55 @@
 class OneVoice(Table):
     """Counts whoever repeats a suspicion as one more who suspects."""
 
-    def take(self, claim: Claim, now: int) -> Any:
-        change = super().take(claim, now)
+    def merge(self, claim: Claim, now: int) -> Any:
+        change = super().merge(claim, now)
         member = self.members.get(claim.name)
         if member is not None and member.suspicion is not None and member.claim.rank == claim.rank:
-            member.suspicion.by.add(f"{claim.by} again")
+            member.suspicion.confirmed_by.add(f"{claim.by} again")
         return change
 
 
 class Mute(LocalMember):
     """Hears that it is suspected, and does not speak up."""
 
-    def hear(self, claim: Claim) -> Any:
+    def apply_claim(self, claim: Claim) -> Any:
         if claim.identity == self.claim.identity and claim.status is Status.SUSPECT:
-            return super().hear(claim.judged(Status.ALIVE, ""))
-        return super().hear(claim)
+            return super().apply_claim(claim.judged(Status.ALIVE, ""))
+        return super().apply_claim(claim)
 
 
 class SpeaksOn(LocalMember):
     """Goes on in a life that has ended until the next is kept."""
 
-    def hear(self, claim: Claim) -> Any:
-        answer = super().hear(claim)
-        self.active = self.active or bool(self.wanted)
+    def apply_claim(self, claim: Claim) -> Any:
+        answer = super().apply_claim(claim)
+        self.active = self.active or bool(self.wanted_life)
         return answer
 
 
 class Hasty(LocalMember):
     """Uses the next life before it is kept."""
 
-    def hear(self, claim: Claim) -> Any:
-        answer = super().hear(claim)
-        if self.wanted:
-            self.kept(self.wanted)
+    def apply_claim(self, claim: Claim) -> Any:
+        answer = super().apply_claim(claim)
+        if self.wanted_life:
+            self.life_stored(self.wanted_life)
         return answer
 
 
 class Stubborn(LocalMember):
     """Takes no word on itself for true."""
 
-    def hear(self, claim: Claim) -> Any:
-        return super().hear(claim) if not claim.final else super().hear(claim.judged(Status.ALIVE, ""))
+    def apply_claim(self, claim: Claim) -> Any:
+        return super().apply_claim(claim) if not claim.final else super().apply_claim(claim.judged(Status.ALIVE, ""))
 
 
 class Pushy(LocalMember):
     """Does not stand aside for another process of its name."""
 
-    def hear(self, claim: Claim) -> Any:
-        answer = super().hear(claim)
-        if self.aside is not None:
+    def apply_claim(self, claim: Claim) -> Any:
+        answer = super().apply_claim(claim)
+        if self.name_holder is not None:
             self.active = True
         return answer
 
@@ -560,8 +562,8 @@
 class Back(LocalMember):
     """Begins with its incarnation anew when it is suspected."""
 
-    def hear(self, claim: Claim) -> Any:
-        answer = super().hear(claim)
+    def apply_claim(self, claim: Claim) -> Any:
+        answer = super().apply_claim(claim)
         if self.claim.incarnation > 1:
             self.claim = self.claim.judged(Status.ALIVE, "", 0)
         return answer
@@ -570,30 +572,30 @@
 class Rash(LocalView):
     """Judges at once."""
 
-    def judge(self, now: int, answered_at: int | None) -> None:
-        super().judge(now + 1, answered_at)
+    def expire_suspicions(self, now: int, answered_at: int | None) -> None:
+        super().expire_suspicions(now + 1, answered_at)
 
 
 class Shrinking(LocalView):
     """Reckons a suspicion's time by the members of the moment."""
 
-    def suspicion_ends(self, member: Any) -> int:
+    def suspicion_deadline(self, member: Any) -> int:
         suspicion = member.suspicion
-        return int(suspicion.began + self.settings.suspicion_time(self.count, len(suspicion.by)))
+        return int(suspicion.started_at + self.settings.suspicion_time(self.count, len(suspicion.confirmed_by)))
 
 
 class Silent(LocalView):
     """Never judges."""
 
-    def judge(self, now: int, answered_at: int | None) -> None:
+    def expire_suspicions(self, now: int, answered_at: int | None) -> None:
         pass
 
 
 class Anew(LocalView):
     """A word that comes twice begins the suspicion anew, without an end."""
 
-    def hear(self, now: int, claim: Claim, source: Any = None) -> Any:
-        answer = super().hear(now, claim, source)
+    def apply_claim(self, now: int, claim: Claim, source: Any = None) -> Any:
+        answer = super().apply_claim(now, claim, source)
         if claim.status is Status.SUSPECT and claim.by != self.name:
             self.suspects.pop(claim.name, None)
         return answer
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -99,10 +99,10 @@
     one, other = relay("one", [*names, claim("other")]), relay("other", [*names, claim("one")])
     assert exchange(one, other) == (0, 0)
     judged = names[77].judged(Status.FAILED, "n1")
-    one.local_view.hear(4, judged)
+    one.local_view.apply_claim(4, judged)
     told, back = exchange(one, other)
     # Of some sixteen names; what the answering side has told is not told back.
-    assert 1 <= told <= 3 * digests.BUCKET and back == 1
+    assert 1 <= told <= 3 * digests.NAMES_PER_BUCKET and back == 1
     assert other.table.gone["n77"].claim == judged
 
 
@@ -119,7 +119,7 @@
     exchange(one, other)
     for members in (one, other):
         suspicion = members.table.members["n1"].suspicion
-        assert suspicion is not None and {*suspicion.by, members.table.members["n1"].claim.by} == {"a", "b"}
+        assert suspicion is not None and {*suspicion.confirmed_by, members.table.members["n1"].claim.by} == {"a", "b"}
 
 
 @given(words, words)
@@ -134,7 +134,7 @@
     assert [digests.buckets_for(names) for names in (1, 16, 17, 310, 620, 1000, 10_000)] == [1, 1, 2, 32, 64, 64, 64]
     names = [f"n{number}" for number in range(620)]
     sizes = [sum(digests.bucket_of(name, 64) == bucket for name in names) for bucket in range(64)]
-    assert max(sizes) < 3 * digests.BUCKET
+    assert max(sizes) < 3 * digests.NAMES_PER_BUCKET
 
 
 @pytest.mark.parametrize("size", [1, 7, 24, 8 * 65, 8 * 128])
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -6,7 +6,7 @@
 
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, StartExchange
-from garnetrelay.fleet.members.exchanges import JOIN_GAPS, Exchanges
+from garnetrelay.fleet.members.exchanges import MAX_JOIN_DOUBLINGS, Exchanges
 from garnetrelay.fleet.members.health import LocalHealth
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.outgoing import Outgoing
@@ -26,10 +26,10 @@
 
 def test_seeds_are_tried_in_turn_and_the_gap_doubles_up_to_its_bound() -> None:
     exchanges, effects, _ = made(SEEDS)
-    for tried in range(1, 2 * len(SEEDS) * JOIN_GAPS):
+    for tried in range(1, 2 * len(SEEDS) * MAX_JOIN_DOUBLINGS):
         now = exchanges.join_at
         exchanges.join(now)
-        gap = SETTINGS.probe_interval // 5 << min(JOIN_GAPS, tried // len(SEEDS))
+        gap = SETTINGS.probe_interval // 5 << min(MAX_JOIN_DOUBLINGS, tried // len(SEEDS))
         assert gap // 2 <= exchanges.join_at - now < gap // 2 + gap
         exchanges.join(exchanges.join_at - 1)  # too early: nothing
         assert effects == [StartExchange(SEEDS[each % len(SEEDS)]) for each in range(tried)]
@@ -37,19 +37,19 @@
 
 def test_a_turn_without_members_goes_to_a_seed_and_without_a_name_to_nobody() -> None:
     exchanges, effects, local_view = made(SEEDS[:1])
-    exchanges.take_turn(exchanges.next_at - 1)
+    exchanges.start_due(exchanges.next_at - 1)
     assert not effects
-    exchanges.take_turn(exchanges.next_at)
+    exchanges.start_due(exchanges.next_at)
     assert effects == [StartExchange(SEEDS[0])]
     local_view.local.active = False
     before = exchanges.next_at
-    exchanges.take_turn(before)
+    exchanges.start_due(before)
     assert effects == [StartExchange(SEEDS[0])] and exchanges.next_at > before
 
 
 def test_another_view_is_asked_for_once_words_have_had_their_time_and_once_in_it() -> None:
     exchanges, effects, local_view = made([])
-    pause = SETTINGS.calm_after(local_view.count)
+    pause = SETTINGS.settle_time(local_view.count)
     for now, begun in ((pause - 1, 0), (pause, 1), (2 * pause - 1, 1), (2 * pause, 2)):
         exchanges.repair(now, SEEDS[0], changed_at=0)
         assert len(effects) == begun
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -168,7 +168,7 @@
 def test_a_number_is_taken_once(numbers: list[int]) -> None:
     window, taken = fr.Window(), set()
     for number in numbers:
-        new = window.take(number)
+        new = window.accept(number)
         assert not (new and number in taken)
         assert new or number in taken or number <= window.highest - fr.Window.WIDTH
         taken.add(number)
--- a/tests/fleet/test_life_and_options.py
+++ b/tests/fleet/test_life_and_options.py
@@ -8,7 +8,7 @@
 
 from garnetrelay.config import options
 from garnetrelay.fleet import life_file
-from garnetrelay.fleet.life_file import Kept, LifeFile
+from garnetrelay.fleet.life_file import LifeFile, StoredLife
 from garnetrelay.fleet.members.claims import SocketAddress
 
 SECRET = "a secret of the tests\n"
@@ -25,10 +25,10 @@
 def test_a_life_is_kept_and_counted(tmp_path: Path) -> None:
     file = LifeFile(tmp_path, True)
     assert file.read() is None
-    file.keep(3, [SocketAddress("10.0.0.1", number) for number in range(1, 40)])
+    file.store(3, [SocketAddress("10.0.0.1", number) for number in range(1, 40)])
     kept = LifeFile(tmp_path, False).read()
-    assert kept is not None and kept.life == 3 and len(kept.places) == life_file.MOST_PLACES
-    assert len((tmp_path / life_file.FILE).read_bytes()) <= life_file.MOST_BYTES
+    assert kept is not None and kept.life == 3 and len(kept.places) == life_file.MAX_ADDRESSES
+    assert len((tmp_path / life_file.FILE).read_bytes()) <= life_file.MAX_FILE_BYTES
 
 
 @pytest.mark.parametrize(
@@ -44,14 +44,14 @@
 def test_a_file_that_cannot_be_read_counts_as_none(
     tmp_path: Path, spoil: object, caplog: pytest.LogCaptureFixture
 ) -> None:
-    (tmp_path / life_file.FILE).write_bytes(spoil(life_file.encode(Kept(3))))  # type: ignore[operator]
+    (tmp_path / life_file.FILE).write_bytes(spoil(life_file.encode(StoredLife(3))))  # type: ignore[operator]
     assert LifeFile(tmp_path, False).read() is None
     assert len(caplog.messages) == 1 and "the others will tell it" in caplog.messages[0]
 
 
 def test_the_longest_file_fits_its_share_of_the_disk() -> None:
-    longest = Kept((1 << 40) - 1, [("f" * 39, 65535)] * life_file.MOST_PLACES)
-    assert len(life_file.encode(longest)) <= life_file.MOST_BYTES
+    longest = StoredLife((1 << 40) - 1, [("f" * 39, 65535)] * life_file.MAX_ADDRESSES)
+    assert len(life_file.encode(longest)) <= life_file.MAX_FILE_BYTES
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -13,7 +13,16 @@
 from benchmarks.simulator import changed
 from garnetrelay.fleet.members.settings import SECOND
 from garnetrelay.fleet.members.view_state import Condition
-from garnetrelay.fleet.simulator_member import MOST, Post, Reply, SimulatorMember, Wake, number, place, settings_at
+from garnetrelay.fleet.simulator_member import (
+    MAX_NOTE_BYTES,
+    Post,
+    Reply,
+    SimulatorMember,
+    Wake,
+    address_of,
+    relay_at,
+    settings_at,
+)
 from starlingwick import wirehost
 from tests.test_library import FACTS
 
@@ -36,7 +45,7 @@
     def take(self, relay: int, replies: list[Reply]) -> None:
         for reply in replies:
             if isinstance(reply, Post):
-                assert len(reply.data) <= MOST
+                assert len(reply.data) <= MAX_NOTE_BYTES
                 self.posts += 1
                 data = reply.data
                 self.push(DELAY, reply.to, lambda mail, now, data=data: mail.mail(now, relay, data))
@@ -125,7 +134,7 @@
     for data in (b"", b"noise", bytes(300), mail.codec.encode(mail.members.hello(0), 2)[:-1]):
         assert mail.mail(1, 1, data) == []
     assert mail.refused == 4 and before == (mail.members.local.claim, list(mail.members.table.claims()))
-    assert all(number(place(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
+    assert all(relay_at(address_of(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
 
 
 def wire(peers: bool, *lines: str) -> str:
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -16,7 +16,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Table
-from garnetrelay.fleet.members.view_state import RELIES, Condition, Doubt, Facts, judge
+from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts, judge
 
 claims = st.builds(
     Claim,
@@ -38,12 +38,12 @@
 def test_the_same_words_leave_the_same_view_in_any_order(said: list[Claim], draw: object) -> None:
     one, other = Table(10), Table(10)
     for claim in said:
-        one.take(claim, 0)
+        one.merge(claim, 0)
     again = said + said[:3]
     draw.shuffle(again)  # type: ignore[attr-defined]
     for claim in again:
-        other.take(claim, 0)
-    assert one.print == other.print
+        other.merge(claim, 0)
+    assert one.view_hash == other.view_hash
     assert {(member.claim.name, member.claim.rank, member.claim.zone) for member in one} == {
         (member.claim.name, member.claim.rank, member.claim.zone) for member in other
     }
@@ -54,7 +54,7 @@
     table = Table(most)
     over: dict[str, tuple[int, int]] = {}
     for moment, claim in enumerate(said):
-        table.take(claim, moment)
+        table.merge(claim, moment)
         table.forget(moment - 2)
         if claim.final:
             over[claim.name] = max(over.get(claim.name, (0, 0)), claim.identity)
@@ -69,9 +69,9 @@
     active=st.booleans(),
     others=st.integers(0, 5),
     answered_ago=st.one_of(st.none(), st.integers(0, 5)),
-    alone_after=st.just(3),
+    alone_timeout=st.just(3),
     suspects=st.integers(0, 1),
-    failed_lately=st.integers(0, 3),
+    recently_failed=st.integers(0, 3),
     changed=st.booleans(),
     agreeing=st.integers(0, 5),
     differing=st.integers(0, 1),
@@ -84,9 +84,9 @@
     active=True,
     others=2,
     answered_ago=0,
-    alone_after=3,
+    alone_timeout=3,
     suspects=0,
-    failed_lately=0,
+    recently_failed=0,
     changed=False,
     agreeing=2,
     differing=0,
@@ -100,18 +100,18 @@
 @example([(0, JOINING), (0, ALONE), (0, SETTLED), (2, SETTLED), (3, SETTLED)])
 @example([(0, ALONE), (1, SETTLED), (4, SETTLED), (1, SETTLED)])
 def test_doubt_binds_at_once_and_goes_only_after_its_time(looks: list[tuple[int, Facts]]) -> None:
-    doubt, now, seen = Doubt(0), 0, [(0, Condition.JOINING)]
+    tracker, now, seen = ConditionTracker(0), 0, [(0, Condition.JOINING)]
     for gap, fact in looks:
         now += gap
         wanted = judge(fact)[0]
         seen.append((now, wanted))
-        doubt.look(now, fact, 5)
-        assert doubt.condition >= wanted
+        tracker.update(now, fact, 5)
+        assert tracker.condition >= wanted
         # What it is now was reason enough at some moment of the last five.
         since = [condition for at, condition in seen if at > now - 5] + [
             [condition for at, condition in seen if at <= now - 5][-1:] or [Condition.JOINING]
         ][0]
-        assert doubt.condition <= max(since)
+        assert tracker.condition <= max(since)
 
 
 def test_what_may_be_relied_on_only_shrinks_with_doubt() -> None:
@@ -131,10 +131,10 @@
 
 def test_a_word_is_told_so_often_and_a_newer_one_from_the_beginning() -> None:
     dissemination, old = DisseminationQueue(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
-    dissemination.tell(old)
+    dissemination.add(old)
     assert [dissemination.take(1000, 3) for _ in range(2)] == [[old], [old]]
     new = old.judged(Status.SUSPECT, "b")
-    dissemination.tell(new)
+    dissemination.add(new)
     assert [dissemination.take(1000, 3) for _ in range(4)] == [[new], [new], [new], []] and len(dissemination) == 0
 
 
@@ -147,5 +147,5 @@
     told: list[SendFrame] = []
     while members.next_at <= settings.contact_interval + settings.probe_interval:
         told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
-    asked = [tell.frame for tell in told if tell.place == suspect.address and isinstance(tell.frame, Ping)]
+    asked = [tell.frame for tell in told if tell.address == suspect.address and isinstance(tell.frame, Ping)]
     assert asked and all(suspect in frame.claims and frame.number for frame in asked)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -14,7 +14,7 @@
 from garnetrelay.fleet.members.claims import Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import SendFrame, StartExchange
 from garnetrelay.fleet.members.exchanges import BULK_PERIODS, Exchanges
-from garnetrelay.fleet.members.outgoing import FIXED
+from garnetrelay.fleet.members.outgoing import FIXED_FRAME_BYTES
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.laboratory.links import Fate, between
@@ -46,7 +46,7 @@
 def peace_bound(world: World) -> float:
     """Bytes a member a second where nothing happens, by the settings alone."""
     claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
-    frame = fr.HEADER_BYTES + FIXED + claim
+    frame = fr.HEADER_BYTES + FIXED_FRAME_BYTES + claim
     ages = min(SETTINGS.max_observations, MEMBERS - 1) * fr.OBSERVATION.size
     period = SETTINGS.probe_interval / SECOND
     # Two begun or answered in the mean, three frames each; all hold the same, so they hold digests alone.
@@ -109,7 +109,9 @@
     members = relay()
     members.resume_from(0, others(count, failed))
     began = now = members.next_at
-    members.local_view.hear(now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count))
+    members.local_view.apply_claim(
+        now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count)
+    )
     effects = members.life_stored(now, 2)
     while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
@@ -128,7 +130,7 @@
     members, claims = relay(), others(619)
     members.resume_from(0, claims[:310])
     for claim in claims[310:]:
-        members.local_view.hear(0, claim)
+        members.local_view.apply_claim(0, claim)
     by_place = {claim.address: claim for claim in claims}
     pause = pause_for(members, 309)
     begun: list[int] = []
@@ -137,8 +139,8 @@
         effects = members.tick(now)
         for tell in [effect for effect in effects if isinstance(effect, SendFrame) and isinstance(effect.frame, fr.Ping)]:
             summary = fr.Summary(members.view ^ 1, 620)
-            ack = fr.Ack(sender=by_place[tell.place], sequence=now, number=tell.frame.number, summary=summary)
-            effects += members.receive(now, ack, tell.place)
+            ack = fr.Ack(sender=by_place[tell.address], sequence=now, number=tell.frame.number, summary=summary)
+            effects += members.receive(now, ack, tell.address)
         begun += [now for effect in effects if isinstance(effect, StartExchange)]
     assert 1 <= len(begun) <= 2
 
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.fleet.members.table import Path as LinkPath
+from garnetrelay.fleet.members.table import LinkState
 from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.laboratory.links import Fate, between
 from garnetrelay.laboratory.schedules import KINDS, Schedule, drawn, play
@@ -57,7 +57,7 @@
 
 
 def test_without_knocks_on_seeds_that_left_views_stay_apart(monkeypatch: pytest.MonkeyPatch) -> None:
-    knock = Membership._knock
+    knock = Membership._send_contact_request
 
     def planted(members: Membership, now: int) -> None:
         left = {member.claim.address for member in members.table if member.claim.status is Status.LEFT}
@@ -65,13 +65,13 @@
         knock(members, now)
         members.seeds = seeds
 
-    monkeypatch.setattr(Membership, "_knock", planted)
+    monkeypatch.setattr(Membership, "_send_contact_request", planted)
     assert play(kept("leaving-10-17")).one_view_ms is None
 
 
 def test_who_judges_while_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    judge = LocalView.judge
-    monkeypatch.setattr(LocalView, "judge", lambda local_view, now, answered_at: judge(local_view, now, now))
+    judge = LocalView.expire_suspicions
+    monkeypatch.setattr(LocalView, "expire_suspicions", lambda local_view, now, answered_at: judge(local_view, now, now))
     assert any("alone, and judges" in problem for problem in play(drawn("one alone", 2, 7)).problems)
 
 
@@ -109,7 +109,7 @@
         "in the new word": [moved.judged(Status.SUSPECT, "n3"), again],
     }
     for word in words[suspected]:
-        member.local_view.hear(world.now, word)
+        member.local_view.apply_claim(world.now, word)
     notes = [effect.text for effect in member._effects if isinstance(effect, LogLine)]
     assert sum("zone 3" in note for note in notes) == 1
 
@@ -134,14 +134,17 @@
     world.run(world.now + 60 * SECOND)
     one, two = members(world, "n1"), members(world, "n2")
     # n1's questions don't arrive; n2's arrive, and n1's answers don't.
-    assert one.table.members["n2"].path is LinkPath.UNHEARD
-    assert two.table.members["n1"].path is LinkPath.UNHEARD or two.table.members["n1"].path is LinkPath.DEAF
+    assert one.table.members["n2"].link_state is LinkState.OUTBOUND_CUT
+    assert (
+        two.table.members["n1"].link_state is LinkState.OUTBOUND_CUT
+        or two.table.members["n1"].link_state is LinkState.INBOUND_CUT
+    )
     assert not world.failures
     world.links.drop("cut")
     assert world.run(
         world.now + 60 * SECOND,
         lambda: all(
-            member.path is LinkPath.WHOLE for member in [*one.table.members.values(), *two.table.members.values()]
+            member.link_state is LinkState.WHOLE for member in [*one.table.members.values(), *two.table.members.values()]
         ),
     )
 
@@ -152,7 +155,7 @@
     cut_at = world.now
     assert world.run(cut_at + 60 * SECOND, lambda: members(world, "n1").condition is Condition.ALONE)
     one = members(world, "n1")
-    assert world.now - cut_at <= one.settings.alone_after * (one.slow + 1) + 2 * one.settings.probe_interval
+    assert world.now - cut_at <= one.settings.alone_timeout * (one.slow + 1) + 2 * one.settings.probe_interval
     world.run(cut_at + 60 * SECOND)
     assert one.local_view.counters.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
@@ -197,7 +200,7 @@
     world.start("n4", folder=world.nodes["n3"].life, called="n3")
     assert world.run(world.now + 60 * SECOND, lambda: not first.local.active)
     held = members(world, "n1").table.members["n3"].claim
-    assert held.address == twin and held.life == 2 and first.local.aside is not None
+    assert held.address == twin and held.life == 2 and first.local.name_holder is not None
     assert first.condition is Condition.JOINING and not first.local_view.suspect(0, "n1", held.identity, "")
 
 
