--- a/garnetrelay/fleet/__init__.py
+++ b/garnetrelay/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""What relays know of each other. Imported only where a fleet is switched on (`[fleet]` of RELAY_OPTIONS).
+"""Membership, failure detection and leases among relays. Imported only if `[fleet]` of RELAY_OPTIONS enables it.
 
-Decisions stand in packages without I/O, clock or randomness of their own (`members/`); `service.py` and `transport.py`
-carry them out.
+The decisions are in packages that do no I/O and have no clock or randomness of their own (`members/`); `service.py`
+and `transport.py` execute them.
 """
--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -1,8 +1,9 @@
-"""The life number in the state folder: the only file of a fleet's member.
+"""The life number in the state folder: the only file that a fleet member stores.
 
-One small file, replaced whole: a first line with version and checksum, then JSON. It is written before the first frame of
-a life, so that no life is used twice from one folder. One that can't be read counts as none: the others know the last
-life of this name, and the relay goes on behind it (`members/local_member.py`).
+The file is small and replaced as a whole: a first line with version and checksum, then JSON. It is written before the
+first frame of a life is sent, so that no life is used twice from one folder. A file that cannot be read counts as
+missing: the other members know the last life of this name, and the relay continues with the next one
+(`members/local_member.py`).
 """
 
 from __future__ import annotations
@@ -21,44 +22,44 @@
 FILE = "fleet"
 VERSION = 1
 MAX_ADDRESSES = 16
-MAX_FILE_BYTES = 2048  # of four blocks; old and new take FLEET_FILE of ``config/deployment.py``
+MAX_FILE_BYTES = 2048  # four disk blocks; old and new copy together take FLEET_FILE of ``config/deployment.py``
 
 
 class StoredLife(msgspec.Struct, frozen=True):
-    """What outlasts a process: its life, and where some others heard."""
+    """What is stored across processes: the relay's life, and the addresses of some other members."""
 
     life: Life
     places: list[tuple[str, int]] = []
 
 
-def encode(kept: StoredLife) -> bytes:
-    """A file's content."""
-    body = msgspec.json.encode(kept)
+def encode(stored: StoredLife) -> bytes:
+    """Serializes the stored life to the content of the file."""
+    body = msgspec.json.encode(stored)
     return b"garnetrelay fleet %d %08x\n" % (VERSION, zlib.crc32(body)) + body
 
 
 def decode(data: bytes) -> StoredLife:
-    """What it keeps; ValueError with the reason where it can't be read."""
-    head, _, body = data.partition(b"\n")
-    words = head.split()
-    if len(words) != 4 or words[:2] != [b"garnetrelay", b"fleet"]:
-        raise ValueError("not a file of a fleet's member")
-    if words[2] != b"%d" % VERSION:
-        raise ValueError(f"of version {words[2][:10]!r}, not {VERSION}")
-    if words[3] != b"%08x" % zlib.crc32(body):
-        raise ValueError("damaged")
+    """Parses the content of a file. Raises ValueError with the reason if it cannot be read."""
+    header, _, body = data.partition(b"\n")
+    fields = header.split()
+    if len(fields) != 4 or fields[:2] != [b"garnetrelay", b"fleet"]:
+        raise ValueError("not a life file of a fleet member")
+    if fields[2] != b"%d" % VERSION:
+        raise ValueError(f"version {fields[2][:10]!r} instead of {VERSION}")
+    if fields[3] != b"%08x" % zlib.crc32(body):
+        raise ValueError("checksum does not match")
     return msgspec.json.decode(body, type=StoredLife)
 
 
 class LifeFile:
-    """The file."""
+    """Reads and replaces the life file of one state folder."""
 
     def __init__(self, folder: Path, sync: bool) -> None:
         self._folder = Folder(folder)
         self._sync = sync
 
     def read(self) -> StoredLife | None:
-        """What an earlier life kept; None where there is nothing that can be read."""
+        """Returns what an earlier process stored; None if there is no file or it cannot be read."""
         if FILE not in self._folder.names():
             return None
         try:
@@ -68,6 +69,6 @@
             return None
 
     def store(self, life: int, places: list[SocketAddress]) -> None:
-        """Put a life on record; OSError where it can't be."""
-        kept = StoredLife(life, [(place.host, place.port) for place in places[:MAX_ADDRESSES]])
-        self._folder.replace(FILE, encode(kept), self._sync)
+        """Stores a life and up to ``MAX_ADDRESSES`` addresses. Raises OSError if the file cannot be written."""
+        stored = StoredLife(life, [(place.host, place.port) for place in places[:MAX_ADDRESSES]])
+        self._folder.replace(FILE, encode(stored), self._sync)
--- a/garnetrelay/fleet/members/claims.py
+++ b/garnetrelay/fleet/members/claims.py
@@ -1,14 +1,15 @@
-"""What one relay says of another, and which of two such words holds. No I/O.
+"""Claims: what one relay states about another, and which of two claims takes precedence. No I/O.
 
-A member is a name in a *life*: a number that its state folder counts up. All words of one name are ordered, so that
-relays which have heard the same words hold the same view, in whatever order they came:
+A member is a name in a *life*: a number that its state folder counts up. All claims about one name are ordered, so
+that relays that have received the same claims hold the same view, whatever the order of arrival:
 
-1. the later life; of one life the higher process number (two processes that claim one life: doubt has to end);
-2. within a life, a final word (failed, left) over any other: a life that has failed or left never comes back;
-3. of words that are not final the higher incarnation, then suspicion over being alive.
+1. The later life wins; of one life the higher process number (two processes may claim the same life, and exactly one
+   of them has to win).
+2. Within a life, a final claim (failed, left) wins over any other: a life that has failed or left never comes back.
+3. Of claims that are not final the higher incarnation wins, then suspected over alive.
 
-A relay that lives and hears itself called failed goes on in its next life. `born` is the life in which its process began:
-where it stands below the life, the same process has come back, and what it knows is not new.
+A live relay that learns that it was declared failed continues in its next life. `born` is the life in which its
+process started: if it is lower than the life, the same process has returned and its state is not new.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 MAX_LIFE = (1 << 40) - 1
 MAX_INCARNATION = (1 << 31) - 1
-MAX_NAME_BYTES = 64  # bytes: names are printable ASCII
+MAX_NAME_BYTES = 64  # names are printable ASCII
 MAX_ZONE = 255  # one byte or two on the wire
 UNKNOWN_ZONE = 0
 
@@ -37,7 +38,7 @@
 
 
 class Status(IntEnum):
-    """What is said of a life."""
+    """The claimed status of a life."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -46,7 +47,7 @@
 
 
 class SocketAddress(NamedTuple):
-    """Where a member hears: an IP address and a port."""
+    """The IP address and port where a member listens."""
 
     host: str
     port: int
@@ -66,29 +67,29 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A word of one member on another, or on itself."""
+    """A statement of one member about another, or about itself."""
 
     name: Name
     life: Life
-    process: Process  # a number drawn at the process's start
-    born: Life  # the life in which that process began
+    process: Process  # random number drawn when the process starts
+    born: Life  # the life in which that process started
     incarnation: Incarnation
     status: Status
     host: Host
     port: Port
-    speaks: Speaks  # the highest version of frames that it reads
-    by: NameOrNone = ""  # who judged; empty where the member itself speaks
-    # Last, with a default: relays of before leave it out, and skip it where they read it.
-    zone: Zone = UNKNOWN_ZONE  # where it stands: machines of one zone may fail together
+    speaks: Speaks  # the highest frame version that it reads
+    by: NameOrNone = ""  # the member that made the claim about another; empty if the member speaks for itself
+    # Last and with a default: relays of earlier versions omit it when writing and skip it when reading.
+    zone: Zone = UNKNOWN_ZONE  # machines of one zone may fail together
 
     @property
     def identity(self) -> Identity:
-        """The life and the process that the word is on."""
+        """The life and the process that the claim is about."""
         return Identity(self.life, self.process)
 
     @property
     def address(self) -> SocketAddress:
-        """Where the member hears, by this word."""
+        """The member's address according to this claim."""
         return SocketAddress(self.host, self.port)
 
     @property
@@ -98,22 +99,22 @@
 
     @property
     def rank(self) -> tuple[int, int, int, int, int]:
-        """Of two words on one name the one with the greater rank holds."""
+        """Sort key: of two claims about one name the one with the greater rank takes precedence."""
         if self.status >= Status.FAILED:
             return self.life, self.process, 1, self.status, self.incarnation
         return self.life, self.process, 0, self.incarnation, self.status
 
     def judged(self, status: Status, by: str, incarnation: int | None = None) -> Claim:
-        """The same life with another word on it."""
+        """Returns a claim about the same life with another status."""
         return msgspec.structs.replace(
             self, status=status, by=by, incarnation=self.incarnation if incarnation is None else incarnation
         )
 
     def size(self) -> int:
-        """Bytes that it takes in a frame."""
+        """Returns its encoded size in a frame, in bytes."""
         return len(_encoder.encode(self))
 
-    def said(self) -> str:
-        """For people."""
+    def describe(self) -> str:
+        """Returns a description for log lines."""
         by = f" by {self.by}" if self.by else ""
         return f"{self.name} life {self.life}.{self.incarnation} {self.status.name.lower()}{by}"
--- a/garnetrelay/fleet/members/digests.py
+++ b/garnetrelay/fleet/members/digests.py
@@ -1,9 +1,10 @@
-"""Which words two relays hold alike, told in few bytes, so that a full exchange carries only the others. No I/O.
+"""Digests that tell two relays which claims they share, so that a full exchange carries only the others. No I/O.
 
-Names are dealt into buckets by a hash. Of each bucket a relay tells the exclusive or of the hashes of its words; where
-two relays tell the same, they hold the same words in it, and nothing of it is sent. With more members there are
-more buckets, so that one word that differs costs a bucket of some sixteen, at any size (anti-entropy by checksums: Demers
-and others, "Epidemic Algorithms for Replicated Database Maintenance", 1987, section 1.3).
+Names are hashed into buckets. For each bucket a relay sends the exclusive or of the hashes of its claims; if two
+relays send the same value, they hold the same claims in that bucket and nothing of it is transferred. The number of
+buckets grows with the members, so that one differing claim costs a bucket of about sixteen at any fleet size
+(anti-entropy by checksums: Demers and others, "Epidemic Algorithms for Replicated Database Maintenance", 1987, section
+1.3).
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 
 from garnetrelay.fleet.members.claims import Claim, Status
 
-NAMES_PER_BUCKET = 16  # names in one, about
+NAMES_PER_BUCKET = 16  # approximate
 MAX_BUCKETS = 64
-DIGEST = struct.Struct(">Q")  # of a bucket
+DIGEST = struct.Struct(">Q")  # digest of one bucket
 MAX_DIGESTS_BYTES = MAX_BUCKETS * DIGEST.size
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 def buckets_for(names: int) -> int:
-    """How many buckets for so many names: a power of two."""
+    """Returns the number of buckets for a number of names: a power of two."""
     buckets = 1
     while buckets * NAMES_PER_BUCKET < names and buckets < MAX_BUCKETS:
         buckets *= 2
@@ -34,15 +35,16 @@
 
 
 def valid(digests: bytes) -> bool:
-    """Whether they are of a number of buckets that there may be; none is one."""
+    """Whether the length is that of a valid number of buckets; no digests at all are valid."""
     buckets, rest = divmod(len(digests), DIGEST.size)
     return not rest and buckets <= MAX_BUCKETS and buckets & (buckets - 1) == 0
 
 
-@functools.lru_cache(8192)  # the words of 1,000 members are asked for with every exchange
+@functools.lru_cache(8192)  # the claims of 1,000 members are hashed in every exchange
 def hash_of(claim: Claim) -> int:
-    """64 bits of all that two relays have to hold alike. Who judged a life is not of that: relays judge at the same
-    time, and the first word that comes holds; of a suspicion it is, since each that suspects counts."""
+    """Hashes to 64 bits everything that two relays have to agree on. The member that declared a life failed is
+    excluded: several relays declare it at the same time and each keeps the claim that arrived first. For a suspicion
+    it is included, because every relay that suspects counts."""
     by = claim.by if claim.status is Status.SUSPECT else ""
     text = _encoder.encode((*claim.rank, claim.name, claim.host, claim.port, claim.speaks, claim.zone, by))
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
@@ -50,12 +52,12 @@
 
 @functools.lru_cache(8192)
 def bucket_of(name: str, buckets: int) -> int:
-    """The bucket of a name."""
+    """Returns the bucket of a name."""
     return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % buckets
 
 
 def digests_of(claims: Iterable[Claim], buckets: int) -> bytes:
-    """Eight bytes for each bucket."""
+    """Returns the digests of the claims, eight bytes per bucket."""
     sums = [0] * buckets
     for claim in claims:
         sums[bucket_of(claim.name, buckets)] ^= hash_of(claim)
@@ -63,7 +65,7 @@
 
 
 def differing_buckets(ours: bytes, theirs: bytes) -> set[int]:
-    """The buckets in which two relays hold other words; both are of as many buckets."""
+    """Returns the buckets in which the digests differ; both sides must have the same number of buckets."""
     return {
         bucket
         for bucket, (one, other) in enumerate(zip(DIGEST.iter_unpack(ours), DIGEST.iter_unpack(theirs), strict=True))
@@ -71,15 +73,15 @@
     }
 
 
-def missing(held: Iterable[Claim], told: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
-    """Of the words that are held those that another needs: it has told its own, and its digests, or none where it is a
-    relay of before, which tells all that it holds."""
-    known = {claim.name: hash_of(claim) for claim in told}
-    claims = [claim for claim in held if known.get(claim.name) != hash_of(claim)]
+def missing(current: Iterable[Claim], received: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
+    """Returns the claims that the other relay lacks, given the claims and digests that it sent. Without digests it
+    runs an earlier version and has sent all its claims."""
+    known = {claim.name: hash_of(claim) for claim in received}
+    claims = [claim for claim in current if known.get(claim.name) != hash_of(claim)]
     return in_differing_buckets(claims, ours, theirs) if theirs else claims
 
 
-def in_differing_buckets(held: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
-    """The words of the buckets in which the other holds others."""
+def in_differing_buckets(current: Iterable[Claim], ours: bytes, theirs: bytes) -> list[Claim]:
+    """Returns the claims in the buckets that differ from the other relay's."""
     buckets, others = len(ours) // DIGEST.size, differing_buckets(ours, theirs)
-    return [claim for claim in held if bucket_of(claim.name, buckets) in others]
+    return [claim for claim in current if bucket_of(claim.name, buckets) in others]
--- a/garnetrelay/fleet/members/dissemination.py
+++ b/garnetrelay/fleet/members/dissemination.py
@@ -1,7 +1,7 @@
-"""Which words ride on the next frame, and how often each is told. No I/O.
+"""The queue of claims that are piggybacked on frames, and how often each has been sent. No I/O.
 
-A word is told so often by the logarithm of the members, those told least first; a newer word on a name takes the place of
-the older. Bounded by the number of names.
+A claim is sent a number of times that grows with the logarithm of the members, the least sent first. A newer claim
+about a name replaces the older one, so the queue is bounded by the number of names.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class DisseminationQueue:
-    """Words on their way, in rows by how often each has been told."""
+    """Claims to spread, grouped by how often each has been sent."""
 
     def __init__(self) -> None:
         self._by_transmissions: list[dict[str, Claim]] = []
@@ -20,18 +20,19 @@
         return len(self._transmissions_of)
 
     def add(self, claim: Claim) -> None:
-        """Tell a word from the beginning."""
+        """Queues a claim as not yet sent, replacing an older claim about the same name."""
         self.remove(claim.name)
         self._put(claim, 0)
 
     def remove(self, name: str) -> None:
-        """Tell nothing of a name any more."""
+        """Removes the claim about a name."""
         transmissions = self._transmissions_of.pop(name, None)
         if transmissions is not None:
             del self._by_transmissions[transmissions][name]
 
     def take(self, free_bytes: int, max_transmissions: int, exclude: str = "") -> list[Claim]:
-        """Words for one frame with so much room (bytes), none of them on ``but``; each is told ``limit`` times."""
+        """Returns claims for one frame, at most ``free_bytes`` in total and none about ``exclude``; each claim is sent
+        at most ``max_transmissions`` times."""
         taken: list[tuple[Claim, int]] = []
         for transmissions, waiting in enumerate(self._by_transmissions):
             for claim in waiting.values():
--- a/garnetrelay/fleet/members/effects.py
+++ b/garnetrelay/fleet/members/effects.py
@@ -1,4 +1,4 @@
-"""What the decisions ask to be done."""
+"""Effects that the membership protocol asks its driver to execute."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFrame:
-    """A datagram."""
+    """Send a datagram."""
 
     address: SocketAddress
     frame: Frame
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StartExchange:
-    """A full exchange with whoever hears there."""
+    """Run a full exchange with the member at that address."""
 
     address: SocketAddress
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLife:
-    """Put a life on record; then say that it is kept."""
+    """Store a life, then report that it is stored."""
 
     life: int
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log."""
+    """Write a log line."""
 
     text: str
     level: int = logging.INFO
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -1,8 +1,9 @@
-"""Full exchanges of what two relays hold: when this relay begins one, with whom, and what is told in it. No I/O.
+"""Full exchanges of the claims of two relays: when this relay starts one, with whom, and what it sends. No I/O.
 
-A relay without members begins one with its seeds in turn until one has answered (join); after that one with any
-member in each gap of the settings, one with whoever holds another view (repair), and one once it goes on in a new life.
-Hello, Whole, Whole: the first carries digests, the other two the claims that the other side lacks by them.
+A relay without members starts exchanges with its seeds in rotation until one answers (join). After that it starts one
+with a random member per interval of the settings, one with a member that holds another view (repair), and one after
+continuing in a new life. The frames are Hello, Whole, Whole: the first carries digests, the other two the claims that
+the other side lacks according to them.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 from garnetrelay.fleet.members.outgoing import Outgoing
 from garnetrelay.fleet.members.settings import Settings
 
-BULK_PERIODS = 2  # more news than so many full frames is more than frames can carry in good time
-MAX_JOIN_DOUBLINGS = 6  # the gap between two tries to join doubles up to 2 ** 6 times a fifth of a period
+BULK_PERIODS = 2  # if changes fill more full frames than this, piggybacking cannot spread them in reasonable time
+MAX_JOIN_DOUBLINGS = 6  # the interval between join attempts starts at a fifth of a period and grows up to 2 ** 6 times
 
 
 class Exchanges:
-    """The full exchanges of one relay. Moments and gaps are in nanoseconds; the next one in turn is due at ``next_at``,
-    the next try to join at ``join_at``."""
+    """The full exchanges of one relay. Times are in nanoseconds; the next periodic exchange is due at ``next_at``, the
+    next attempt to join at ``join_at``."""
 
     def __init__(
         self,
@@ -45,17 +46,17 @@
         self._draw = draw
         self._seeds = seeds
         self._join_tries = 0
-        self._next_address: SocketAddress | None = None  # who is to be asked in the next turn
+        self._next_address: SocketAddress | None = None  # the other side of the next periodic exchange, if already chosen
         self._repair_at = now
 
-    # ---- when, and with whom
+    # ---- scheduling
 
     def postpone_until(self, moment: int) -> None:
-        """No exchange in turn before that moment."""
+        """Starts no periodic exchange before that time."""
         self.next_at = moment
 
     def join(self, now: int) -> None:
-        """Try the next seed, if it is time; with each round over all of them the gap doubles."""
+        """Tries the next seed if it is due; after each round over all seeds the interval doubles."""
         if not self._seeds or now < self.join_at:
             return
         address = self._seeds[self._join_tries % len(self._seeds)]
@@ -65,7 +66,7 @@
         self._effects.append(StartExchange(address))
 
     def start_due(self, now: int) -> None:
-        """Begin the one that is due, if it is time."""
+        """Starts the periodic exchange if it is due."""
         if now < self.next_at:
             return
         gap = self._settings.exchange_gap(self._local_view.count)
@@ -76,12 +77,14 @@
             self._effects.append(StartExchange(address))
 
     def repair(self, now: int, address: SocketAddress, changed_at: int) -> None:
-        """Somebody there holds another view: a full exchange, unless words may still be on their way. ``changed_at``:
-        when this relay's view last changed."""
+        """Starts a full exchange with a member that holds another view, unless claims may still be on their way.
+        ``changed_at`` is when this relay's view last changed."""
         backoff, transfer_time = self._settings.settle_time(self._local_view.count), self._bulk_transfer_time()
         if transfer_time > BULK_PERIODS * self._settings.probe_interval:
             backoff = transfer_time
-            if now - self._repair_at > transfer_time:  # it has just begun, and many see it at the same time
+            if (
+                now - self._repair_at > transfer_time
+            ):  # the difference is recent, and many relays notice it at the same time
                 self._repair_at = now + self._draw.randrange(transfer_time)
         elif now - changed_at < backoff:
             return
@@ -91,8 +94,9 @@
         self._effects.append(StartExchange(address))
 
     def after_new_life(self, now: int, told_by: SocketAddress | None) -> None:
-        """This relay goes on in a new life: an exchange with who said that the last had ended, or with anybody. At once
-        where little has changed; else at a moment of its own, since many will want to at the same time."""
+        """Starts an exchange after this relay has continued in a new life, with the member that reported the end of
+        the previous one, or a random one. Immediately if little has changed, otherwise after a random delay, because
+        many relays will start one at the same time."""
         address = told_by or self._random_address()
         if address is None:
             return
@@ -111,18 +115,19 @@
         return self._draw.choice(self._seeds) if self._seeds else None
 
     def _bulk_transfer_time(self) -> int:
-        """For how long full exchanges have to pause so that they take no more than frames may: two full ones a period,
-        since for each exchange that a relay begins it answers one. The words that are probably news to another are those
-        on their way, and those on members that failed. With few changes, or few members, it is less than a period."""
+        """Returns how long full exchanges have to pause so that they use no more bandwidth than frames may: two full
+        frames a period, since a relay answers one exchange for each one that it starts. The claims that are probably
+        new to another member are those being disseminated and those about failed members. With few changes or few
+        members, the result is less than a period."""
         local_view = self._local_view
         failed = sum(member.claim.status is Status.FAILED for member in local_view.table.gone.values())
         size = (len(local_view.dissemination) + failed) * self._outgoing.sender.size()
         return size * self._settings.probe_interval // self._settings.max_frame_bytes
 
-    # ---- what is told
+    # ---- frames
 
     def hello(self) -> fr.Hello:
-        """Begins an exchange."""
+        """Returns the first frame of an exchange."""
         return fr.Hello(
             sender=self._outgoing.sender,
             sequence=self._outgoing.next_sequence(),
@@ -131,23 +136,24 @@
         )
 
     def answer_hello(self, hello: fr.Hello) -> fr.Whole:
-        """What this relay holds and the other does not, with a question of its own."""
+        """Returns the claims that the other relay lacks, with a request number of this relay."""
         claims, ours = list(self._local_view.table.claims()), self.digests_like(hello.digests)
         if ours:
             claims = digests.in_differing_buckets(claims, ours, hello.digests)
         return self._whole(hello.number, self._draw.getrandbits(62), claims, ours)
 
     def answer_whole(self, whole: fr.Whole, ours: bytes) -> fr.Whole:
-        """What the other still lacks. ``ours``: this relay's digests before it heard what the other holds."""
+        """Returns the claims that the other relay still lacks. ``ours`` are this relay's digests from before it
+        applied the other's claims."""
         lacks = digests.missing(self._local_view.table.claims(), [whole.sender, *whole.claims], ours, whole.digests)
         return self._whole(whole.ask, 0, lacks)
 
     def digests_like(self, theirs: bytes) -> bytes:
-        """In as many buckets as another's; none where it has told none."""
+        """Returns digests with the same number of buckets as the other relay's; none if it has sent none."""
         return self._digests(len(theirs) // digests.DIGEST.size) if theirs else b""
 
     def _digests(self, buckets: int) -> bytes:
-        """Of the words on all, this relay's on itself among them."""
+        """Returns digests of all claims, including this relay's about itself."""
         return digests.digests_of([self._outgoing.sender, *self._local_view.table.claims()], buckets)
 
     def _whole(self, number: int, ask: int, claims: list[Claim], ours: bytes = b"") -> fr.Whole:
--- a/garnetrelay/fleet/members/frames.py
+++ b/garnetrelay/fleet/members/frames.py
@@ -1,11 +1,12 @@
-"""What members send each other: typed, versioned, bounded, and signed with a secret that the fleet shares. No I/O.
+"""The frames that members send each other: typed, versioned, bounded, and signed with a secret that the fleet shares.
+No I/O.
 
     bytes 0-1 "GF", 2 version, 3 number of the secret, 4-19 keyed digest (HMAC-SHA256, RFC 2104, its first 16 bytes, over
     version and body), then the body: a MessagePack array that begins with the frame's kind.
 
-Version 1 has claims alone; version 2 adds what a view is worth (`summary`, `words`). A member says in its claim which it
-reads; a pair speaks the lower of the two, and strangers speak version 1. What is wrong with a frame is told by one of the
-causes below; nothing of such a frame is used.
+Version 1 carries claims only; version 2 adds the state of the sender's view (`summary`, `observations`). A member
+states in its claim which version it reads; a pair uses the lower of the two, and members that do not know each other
+use version 1. A frame that is not valid is refused with one of the causes below, and nothing of it is used.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 MAGIC = b"GF"
 VERSIONS = (1, 2)
 HEADER_BYTES = signing.HEADER_BYTES
-MAX_DATAGRAM_BYTES = 1200  # bytes, head and all: fits an IPv6 packet of the least MTU (RFC 8200, section 5)
-MAX_EXCHANGE_BYTES = 1 << 20  # bytes of a frame over TCP: 2,000 members of the longest names, and more
+MAX_DATAGRAM_BYTES = 1200  # including the header: fits an IPv6 packet of the minimum MTU (RFC 8200, section 5)
+MAX_EXCHANGE_BYTES = 1 << 20  # of a frame over TCP: more than 2,000 members with the longest names need
 MAX_CLAIMS = 4096
 MAX_OBSERVATIONS = 48
 OBSERVATION = struct.Struct(">IHHI")
-AGE_STEP_MS = 20  # milliseconds
-MAX_OBSERVATION_AGE_MS = 0xFFFF * AGE_STEP_MS  # milliseconds; what is older is not told
-MAX_AGE_MS = 1 << 31  # milliseconds
+AGE_STEP_MS = 20
+MAX_OBSERVATION_AGE_MS = 0xFFFF * AGE_STEP_MS  # older observations are not sent
+MAX_AGE_MS = 1 << 31
 
 Number = Annotated[int, Meta(ge=0, le=1 << 62)]
 Age = Annotated[int, Meta(ge=-1, le=MAX_AGE_MS)]
@@ -39,8 +40,8 @@
 
 
 class Observation(NamedTuple):
-    """That a member was there: 48 bits of its name and life hashed, the age at most (milliseconds), 32 bits of its view
-    then."""
+    """An observation that a member was up: 48 bits of the hash of its name and life, the maximum age in milliseconds,
+    and the first 32 bits of its view at that time."""
 
     short_hash: int
     age: int
@@ -48,7 +49,8 @@
 
 
 def pack_observations(observations: Iterable[Observation]) -> bytes:
-    """12 bytes each: 6 of the member, 2 of the age in steps of 20 ms (rounded up), 4 of the view."""
+    """Encodes observations in 12 bytes each: 6 for the member, 2 for the age in steps of 20 ms (rounded up), 4 for the
+    view."""
     pack = OBSERVATION.pack
     return b"".join(
         [
@@ -59,44 +61,44 @@
 
 
 def unpack_observations(data: bytes) -> list[Observation]:
-    """What ``pack_words`` made."""
+    """Decodes the output of ``pack_observations``."""
     return [
         Observation(high << 16 | low, age * AGE_STEP_MS, view) for high, low, age, view in OBSERVATION.iter_unpack(data)
     ]
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """The sender's view in short: a fingerprint of who is in it, and how many they are."""
+    """A summary of the sender's view: a fingerprint of its members, and their number."""
 
     view: Annotated[int, Meta(ge=0, lt=1 << 32)]
     members: Annotated[int, Meta(ge=0, le=1 << 16)]
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True, kw_only=True):
-    """What each frame has: who sends it, in an order of its own, and what it has to tell of others."""
+    """The fields that every frame has: the sender, its sequence number, and claims about other members."""
 
     sender: Claim
-    sequence: Number  # of the sender's process: counts up with each frame
-    number: Number  # of the question that is asked or answered
+    sequence: Number  # of the sender's process: increases with each frame
+    number: Number  # number of the request that is sent or answered
     claims: Annotated[list[Claim], Meta(max_length=MAX_CLAIMS)] = []
     summary: Summary | None = None
     observations: Annotated[bytes, Meta(max_length=MAX_OBSERVATIONS * OBSERVATION.size)] = b""
 
 
 class Ping(Frame, tag=1, frozen=True, kw_only=True):
-    """Are you there?"""
+    """Asks whether the receiver is up."""
 
-    origin: NameOrNone = ""  # whoever wants to know, where the sender asks for another
+    origin: NameOrNone = ""  # the member on whose behalf the sender asks, if any
 
 
 class Ack(Frame, tag=2, frozen=True, kw_only=True):
-    """I am. ``heard``: how long ago (ms) the origin was last heard without a go-between; -1: never."""
+    """Answers a Ping. ``heard`` is how long ago (ms) a frame last arrived directly from the origin; -1: never."""
 
     heard: Age = -1
 
 
 class AskFor(Frame, tag=3, frozen=True, kw_only=True):
-    """Ask that member for me: I get no answer."""
+    """Asks the receiver for an indirect probe of a member that does not answer the sender."""
 
     target: Name
     host: Host
@@ -104,7 +106,7 @@
 
 
 class Vouch(Frame, tag=4, frozen=True, kw_only=True):
-    """It answered me, in this life. ``heard`` as it said."""
+    """Confirms that the target of an AskFor answered in this life. ``heard`` is copied from its Ack."""
 
     target: Name
     life: Life
@@ -114,21 +116,23 @@
 
 
 class Nack(Frame, tag=5, frozen=True, kw_only=True):
-    """I have asked, and nothing has come: the fault is not that I don't hear you."""
+    """Reports that an indirect probe was not answered in time; it also shows that the receiver and its link to the
+    sender work."""
 
 
 class Hello(Frame, tag=6, frozen=True, kw_only=True):
-    """Begins a full exchange. ``digests`` of what the sender holds; relays of before leave them out and skip them."""
+    """Starts a full exchange. ``digests`` cover the sender's claims; earlier versions omit them and skip them when
+    reading."""
 
     digests: Digests = b""
 
 
 class Whole(Frame, tag=7, frozen=True, kw_only=True):
-    """All that the sender holds, where the other side has told ``digests``: of the buckets that differ. ``number`` is the
-    other side's, ``ask`` its own, for the answer."""
+    """The claims of the sender; if the other side has sent ``digests``, only those in buckets that differ. ``number``
+    is the other side's request number, ``ask`` the sender's own for the answer."""
 
     ask: Number
-    digests: Digests = b""  # in as many buckets as the other side's
+    digests: Digests = b""  # with the same number of buckets as the other side's
 
 
 AnyFrame = Ping | Ack | AskFor | Vouch | Nack | Hello | Whole
@@ -142,19 +146,19 @@
 
 
 class Codec(signing.Signing):
-    """Frames to bytes and back. The first secret signs; both are good."""
+    """Encodes and decodes frames. The first secret signs; all are accepted."""
 
     def __init__(self, secrets: list[bytes]) -> None:
         super().__init__(MAGIC, VERSIONS, secrets)
 
     def encode(self, frame: Frame, version: int) -> bytes:
-        """A frame as it goes out; what the version does not have is left out."""
+        """Encodes a frame; fields that the version does not have are left out."""
         if version == 1 and (frame.summary is not None or frame.observations):
             frame = msgspec.structs.replace(frame, summary=None, observations=b"")
         return self.sign(_encoder.encode(frame), version)
 
     def decode(self, data: bytes, exchange: bool = False) -> AnyFrame:
-        """The frame; Refused with a cause. ``exchange``: it came over TCP."""
+        """Decodes a frame. Raises Refused with the cause. ``exchange`` is True if it arrived over TCP."""
         version, body = self.open(data, MAX_EXCHANGE_BYTES if exchange else MAX_DATAGRAM_BYTES)
         try:
             frame: AnyFrame = _decoder.decode(body)
@@ -172,7 +176,8 @@
 
 
 class Window:
-    """Which of a sender's numbers have been seen: a frame is taken once, late ones within 256 (as RFC 4303, 3.4.3)."""
+    """Anti-replay window over a sender's sequence numbers: each frame is accepted once, late ones within 256 (as RFC
+    4303, 3.4.3)."""
 
     __slots__ = ("highest", "seen")
     WIDTH = 256
@@ -182,7 +187,7 @@
         self.seen = 1 if highest >= 0 else 0
 
     def accept(self, number: int) -> bool:
-        """Whether it is new; it counts as seen from now on."""
+        """Returns whether the number is new, and marks it as seen."""
         ahead = number - self.highest
         if ahead > 0:
             self.seen = ((self.seen << ahead) | 1) & ((1 << self.WIDTH) - 1) if ahead < self.WIDTH else 1
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -1,13 +1,15 @@
-"""A relay's word on itself: its life, what it answers to those who doubt it, and whether its name is its own. No I/O.
-
-Rules, in the order in which they are looked at:
-
-- said to be suspected in its present life: it speaks up with a higher incarnation;
-- said to have failed or left in its present life, or in a later one that has ended: it goes on in the next life, once
-  that number is kept in its folder (`Wanted`), and says nothing until then. So no life that has ended comes back;
-- said to live in a later life as another process: somebody has its name. It stands aside, says nothing for itself,
-  and asks on until that life has ended. (A relay whose folder was lost waits in this way until its own earlier life
-  has failed.)
+"""This relay's own entry in the membership: its life, how it refutes claims, and whether it may act under its name. No
+I/O.
+
+Claims about this name are handled by these rules, in this order:
+
+- Suspected in its current life: it refutes the suspicion with a higher incarnation.
+- Declared failed or left in its current life, or in a later one that has ended: it continues in the next life once
+  that number is stored in its folder (`NEEDS_NEW_LIFE`), and makes no claims until then. So no life that has ended
+  comes back.
+- Claimed to be in a later life as another process: another process has its name. It becomes inactive, makes no claims
+  about itself, and keeps sending contact requests until that life has ended. (A relay whose folder was lost waits in
+  this way until its own earlier life has been declared failed.)
 """
 
 from __future__ import annotations
@@ -20,28 +22,28 @@
 
 
 class SelfClaimResult(Enum):
-    """What follows from a word on oneself."""
+    """The consequence of a claim about this relay itself."""
 
     NOTHING = auto()
-    REFUTED = auto()  # the new incarnation is to be told
-    OUTDATED_LIFE = auto()  # an earlier life of the name: the present one is to be told
-    NEEDS_NEW_LIFE = auto()  # the next life is to be kept
-    NAME_TAKEN = auto()  # another process has the name
+    REFUTED = auto()  # the new incarnation has to be spread
+    OUTDATED_LIFE = auto()  # the claim is about an earlier life: the current one has to be spread
+    NEEDS_NEW_LIFE = auto()  # the next life has to be stored
+    NAME_TAKEN = auto()  # another process uses the name
 
 
 class LocalMember:
-    """One process's word on itself."""
+    """The claim of one process about itself."""
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
         self.active = True
         self.left = False
-        self.wanted_life = 0  # a life that is to be kept
-        self.name_holder: Claim | None = None  # who has the name
+        self.wanted_life = 0  # the life to continue in once it is stored; 0: none
+        self.name_holder: Claim | None = None  # the other process that uses the name
         self._same_process = True
 
     def apply_claim(self, claim: Claim) -> SelfClaimResult:
-        """A word of another on this name."""
+        """Applies another member's claim about this name."""
         own = self.claim
         if self.left:
             return SelfClaimResult.NOTHING
@@ -65,7 +67,7 @@
         return SelfClaimResult.NAME_TAKEN if is_new else SelfClaimResult.NOTHING
 
     def life_stored(self, life: int) -> bool:
-        """The folder has the life that was wanted: whether this relay goes on in it."""
+        """Continues in a life that was stored; returns False if it is not the wanted life."""
         if life != self.wanted_life or self.left:
             return False
         born = self.claim.born if self._same_process else life
@@ -74,7 +76,7 @@
         return True
 
     def leave(self) -> Claim:
-        """The last word of this life."""
+        """Deactivates the member and returns the last claim of this life."""
         self.left, self.active = True, False
         return self.claim.judged(Status.LEFT, "")
 
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -1,8 +1,8 @@
-"""What a relay holds of itself and of the others, and how that changes: words heard, suspicions, judgements. No I/O.
+"""This relay's view of itself and of the others, and how it changes: claims, suspicions, declared failures. No I/O.
 
-Apart from probes and frames, so that every order of words, losses and restarts can be explored
-(`tests/fleet/explore.py`). Whoever drives it says when a probe came to nothing, when time has passed, and whether
-this relay may judge.
+Separate from probes and frames, so that every order of claims, losses and restarts can be explored
+(`tests/fleet/explore.py`). The caller reports failed probes and the passing of time, and decides whether this relay
+may declare others failed.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What has happened."""
+    """Event counters."""
 
-    suspected: int = 0  # by this relay
-    failed: int = 0  # judged by it
-    refuted: int = 0  # words against itself
-    no_room: int = 0  # members that were not taken
+    suspected: int = 0  # raised by this relay
+    failed: int = 0  # members that it declared failed
+    refuted: int = 0  # claims against itself
+    no_room: int = 0  # members that did not fit in the table
 
 
 class LocalView:
-    """The words that hold, at one relay."""
+    """The current claims of one relay about itself and the other members."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         self.local = LocalMember(own)
         self.table = Table(settings.max_members)
         self.dissemination = DisseminationQueue()
-        self.suspects: dict[str, None] = {}  # names, the longest suspected first
+        self.suspects: dict[str, None] = {}  # by name, the longest suspected first
         self.counters = Counters()
-        self.life_end_reported_by: SocketAddress | None = None  # who said that this life has ended
+        self.life_end_reported_by: SocketAddress | None = None  # the sender of the claim that ended this life
         self._effects = effects
-        self._on_new_member = on_new_member  # a member that was not in, or is in another life
+        self._on_new_member = on_new_member  # called for each new member and each new life of a member
 
     @property
     def name(self) -> str:
@@ -61,12 +61,12 @@
 
     @property
     def view(self) -> int:
-        """32 bits that stand for who is in the view."""
+        """A 32-bit fingerprint of the members of the view."""
         own = member_hash(self.name, self.local.claim.identity) if self.local.active else 0
         return (self.table.view_hash ^ own) >> 32
 
     def suspicion_deadline(self, member: Member) -> int:
-        """When a suspected member is held to have failed."""
+        """Returns when a suspected member is declared failed."""
         assert member.suspicion is not None
         suspicion = member.suspicion
         return (
@@ -76,19 +76,19 @@
         )
 
     def next_suspicion_deadline(self) -> int | None:
-        """When the next suspicion ends; None where there is none, or this relay has no word."""
+        """Returns when the next suspicion expires; None if there is none, or this relay is not active."""
         if not self.local.active or not self.suspects:
             return None
         return min(self.suspicion_deadline(self.table.members[name]) for name in self.suspects)
 
-    # ---- what happens
+    # ---- events
 
     def apply_claim(self, now: int, claim: Claim, source: SocketAddress | None = None) -> SelfClaimResult:
-        """A word on anybody; on this relay itself, what follows."""
+        """Applies a claim about any member. Returns the consequence if it is about this relay itself."""
         if claim.name == self.name:
             return self._apply_claim_on_self(claim, source)
         before = self.table.get(claim.name)
-        held = None if before is None else before.claim
+        current = None if before is None else before.claim
         change = self.table.merge(claim, now)
         if change is Change.FULL:
             self.counters.no_room += 1
@@ -109,11 +109,11 @@
             self.suspects.pop(claim.name, None)
         if change is not Change.UPDATE and not claim.final:
             self._on_new_member(claim.name)
-        self._log_change(held, claim, change)
+        self._log_change(current, claim, change)
         return SelfClaimResult.NOTHING
 
     def load(self, now: int, claims: Iterable[Claim]) -> None:
-        """What another process of this very member held. Suspicions begin anew."""
+        """Loads the claims of a previous process of this member. Suspicions start again."""
         for claim in claims:
             self.table.merge(claim, now)
         for name, member in self.table.members.items():
@@ -123,7 +123,7 @@
                 self.suspects[name] = None
 
     def suspect(self, now: int, name: str, identity: Identity, why: str) -> bool:
-        """A probe of a member came to nothing; whether it is still in that life."""
+        """Suspects a member after a failed probe; returns False if the member is no longer in that life."""
         member = self.table.members.get(name)
         if member is None or member.claim.identity != identity or not self.local.active:
             return False
@@ -134,14 +134,14 @@
         return True
 
     def expire_suspicions(self, now: int, answered_at: int | None) -> None:
-        """Suspicions whose time is over. ``answered_at``: when this relay last had an answer from anybody; None where its
-        word counts for nothing. Where none has come since the suspicion began, the fault may be its own, and the
-        suspicion begins anew."""
+        """Declares members failed whose suspicion has expired. ``answered_at`` is when any member last answered this
+        relay; None if this relay may not declare failures. Without an answer since the suspicion started, the fault
+        may be this relay's own, and the suspicion starts again."""
         if not self.local.active:
             return
         for name in list(self.suspects):
             member = self.table.members[name]
-            suspicion, held = member.suspicion, member.claim
+            suspicion, current = member.suspicion, member.claim
             assert suspicion is not None
             if now < self.suspicion_deadline(member):
                 continue
@@ -152,28 +152,28 @@
             ago = "none" if member.seen_at is None else f"{(now - member.seen_at) / 1e9:.1f} s old"
             also = f", {', '.join(sorted(suspicion.confirmed_by))} too" if suspicion.confirmed_by else ""
             self._log(
-                f"judges {name} life {held.life} failed: suspected by {held.by}{also} for "
-                f"{(now - suspicion.started_at) / 1e9:.1f} s, last word of it {ago}",
+                f"judges {name} life {current.life} failed: suspected by {current.by}{also} for "
+                f"{(now - suspicion.started_at) / 1e9:.1f} s, last observation {ago}",
                 logging.WARNING,
             )
-            self.apply_claim(now, held.judged(Status.FAILED, self.name))
+            self.apply_claim(now, current.judged(Status.FAILED, self.name))
 
     def extend_suspicions(self, by: int) -> None:
-        """This relay did not run for so long: that time was nobody's to speak up in."""
+        """Extends all suspicions by a time in which this relay did not run and could not receive refutations."""
         for name in self.suspects:
             suspicion = self.table.members[name].suspicion
             if suspicion is not None:
                 suspicion.extended_by += by
 
     def life_stored(self, life: int) -> bool:
-        """The folder has the life that was wanted: whether this relay goes on in it."""
+        """Continues in a life that was stored; returns False if it is not the wanted life."""
         if not self.local.life_stored(life):
             return False
         self.dissemination.add(self.local.claim)
-        self._log(f"goes on as {self.local.claim.said()}", logging.WARNING)
+        self._log(f"goes on as {self.local.claim.describe()}", logging.WARNING)
         return True
 
-    # ---- what follows
+    # ---- consequences
 
     def _log(self, text: str, level: int = logging.INFO) -> None:
         self._effects.append(LogLine(text, level))
@@ -183,39 +183,42 @@
         if answer is SelfClaimResult.REFUTED:
             self.counters.refuted += 1
             self.dissemination.add(self.local.claim)
-            self._log(f"was {claim.said()}: speaks up as {self.local.claim.said()}")
+            self._log(f"was {claim.describe()}: refutes this as {self.local.claim.describe()}")
         elif answer is SelfClaimResult.OUTDATED_LIFE:
             self.dissemination.add(self.local.claim)
         elif answer is SelfClaimResult.NEEDS_NEW_LIFE:
             self.dissemination.remove(claim.name)
             self.life_end_reported_by = source
-            self._log(f"is {claim.said()}: goes on in life {self.local.wanted_life} once that is kept", logging.WARNING)
+            self._log(
+                f"is {claim.describe()}: continues in life {self.local.wanted_life} once that is stored", logging.WARNING
+            )
             self._effects.append(StoreLife(self.local.wanted_life))
         elif answer is SelfClaimResult.NAME_TAKEN:
             self.dissemination.remove(claim.name)
             self._log(
-                f"another process at {claim.address} has this name: {claim.said()}; standing aside until that life "
+                f"another process at {claim.address} has this name: {claim.describe()}; inactive until that life "
                 "has ended",
                 logging.ERROR,
             )
         return answer
 
-    def _log_change(self, held: Claim | None, claim: Claim, change: Change) -> None:
-        if change is Change.UPDATE and held is not None and not claim.final:
-            # Whatever word brings a change of address or zone, it is told: no other word will differ in it.
-            moved = (claim.address, claim.zone) != (held.address, held.zone)
+    def _log_change(self, current: Claim | None, claim: Claim, change: Change) -> None:
+        if change is Change.UPDATE and current is not None and not claim.final:
+            # A change of address or zone is logged whichever claim brings it, because later claims will not differ in
+            # it.
+            moved = (claim.address, claim.zone) != (current.address, current.zone)
             where = f", now at {claim.address}, zone {claim.zone or 'not known'}" if moved else ""
             if claim.status is Status.SUSPECT and claim.by != self.name:
-                self._log(f"{claim.said()}{where}")
-            elif held.status is Status.SUSPECT:
-                self._log(f"{claim.said()}: it has spoken up, {held.by} had suspected it{where}")
+                self._log(f"{claim.describe()}{where}")
+            elif current.status is Status.SUSPECT:
+                self._log(f"{claim.describe()}: refuted the suspicion by {current.by}{where}")
             elif moved:
-                self._log(f"{claim.said()}{where}")
+                self._log(f"{claim.describe()}{where}")
         elif claim.final:
             if claim.by != self.name:
-                self._log(f"{claim.said()}", logging.WARNING if claim.status is Status.FAILED else logging.INFO)
-        elif change is Change.NEW_LIFE and held is not None:
-            same = "the same process is back" if claim.process == held.process else "a new process"
-            self._log(f"{claim.said()}, {same} (was {held.said()})")
+                self._log(f"{claim.describe()}", logging.WARNING if claim.status is Status.FAILED else logging.INFO)
+        elif change is Change.NEW_LIFE and current is not None:
+            same = "the same process is back" if claim.process == current.process else "a new process"
+            self._log(f"{claim.describe()}, {same} (was {current.describe()})")
         else:
-            self._log(f"{claim.said()} at {claim.address} is new here")
+            self._log(f"{claim.describe()} at {claim.address} is a new member")
--- a/garnetrelay/fleet/members/observations.py
+++ b/garnetrelay/fleet/members/observations.py
@@ -1,8 +1,9 @@
-"""How old the word of each member is at most, and who holds which view. No I/O.
+"""How long ago each member was last known to be up, and which view each member holds. No I/O.
 
-A member that answers was there when it was asked, or later. Whoever answers tells besides how old its own words of others
-are; they were written after the question was asked, so to the asker they are no older than that age plus the time
-since it asked. No clocks are compared; ages are stretched by what a clock may run fast (``DRIFT``).
+A member that answers was up when the request was sent, or later. An answer also carries the ages of the answering
+member's own observations of others. Those ages were computed after the request was sent, so for the requester no
+observation is older than its age plus the time since the request. No clocks are compared; ages are stretched by the
+amount that another clock may run fast (``MAX_CLOCK_DRIFT``).
 """
 
 from __future__ import annotations
@@ -12,19 +13,21 @@
 from garnetrelay.fleet.members.settings import MS
 from garnetrelay.fleet.members.table import Member, Table
 
-CANDIDATES_PER_OBSERVATION = 3  # times as many words are weighed as are told: of those the least old
+CANDIDATES_PER_OBSERVATION = (
+    3  # per observation that is sent: this many members are considered, and the most recent observations win
+)
 MAX_CLOCK_DRIFT = 0.01  # how much faster another machine's clock may run
 
 
 def select(table: Table, probe_order: ProbeOrder, now: int, free_bytes: int) -> bytes:
-    """Words for an answer with so much room (bytes)."""
+    """Returns packed observations for an answer, at most ``free_bytes`` in total."""
     limit = min(fr.MAX_OBSERVATIONS, max(0, free_bytes) // fr.OBSERVATION.size)
     found: list[tuple[int, str, Member]] = []
     for name in probe_order.next_to_report(CANDIDATES_PER_OBSERVATION * limit):
         member = table.members.get(name)
         if member is not None and member.seen_at is not None and member.seen_view >= 0:
             found.append((member.seen_at, name, member))
-    found.sort(reverse=True)  # no two are of one name
+    found.sort(reverse=True)  # names are unique, so members are never compared
     return fr.pack_observations(
         fr.Observation(member.short_hash, age, member.seen_view)
         for at, _, member in found[:limit]
@@ -33,7 +36,7 @@
 
 
 def apply(table: Table, data: bytes, asked_at: int) -> None:
-    """Words that came in an answer to a question that was asked at a moment."""
+    """Merges the observations of an answer to a request that was sent at ``asked_at``."""
     for observation in fr.unpack_observations(data):
         member = table.by_short_hash(observation.short_hash)
         if member is None:
@@ -44,7 +47,8 @@
 
 
 def count_views(table: Table, view: int, changed_at: int) -> tuple[int, int]:
-    """How many members are known to hold a view, and how many to hold another, by words no older than the view."""
+    """Returns how many members are known to hold this view and how many another one, by observations made since the
+    view changed."""
     same = other = 0
     for member in table.members.values():
         if member.seen_at is not None and member.seen_at >= changed_at and member.seen_view >= 0:
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -1,4 +1,4 @@
-"""The frames and log lines that one relay's decisions ask for, with the sequence numbers of its frames. No I/O."""
+"""Builds the frames and log lines that one relay's decisions ask for, and numbers its frames. No I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from garnetrelay.fleet.members.local_view import LocalView
 from garnetrelay.fleet.members.settings import Settings
 
-FIXED_FRAME_BYTES = 96  # bytes of a frame besides its sender's claim, its claims and its words, at most
+FIXED_FRAME_BYTES = 96  # upper bound of a frame's size without the sender's claim, the claims and the observations
 
 
 class Outgoing:
-    """Puts datagrams and log lines behind the other effects. ``sequence`` is the number of the last frame."""
+    """Appends datagrams and log lines to the effects. ``sequence`` is the number of the last frame."""
 
     def __init__(self, local_view: LocalView, settings: Settings, effects: list[Effect], sequence: int) -> None:
         self.sequence = sequence
@@ -25,33 +25,33 @@
 
     @property
     def sender(self) -> Claim:
-        """The claim that stands on each frame: this relay's on itself."""
+        """The claim that each frame carries: this relay's claim about itself."""
         return self._local_view.local.claim
 
     def next_sequence(self) -> int:
-        """The number of the next frame of this process."""
+        """Returns the sequence number of the next frame of this process."""
         self.sequence += 1
         return self.sequence
 
     def version(self, claim: Claim) -> int:
-        """The version of frames that is spoken with a member."""
+        """Returns the frame version to use with a member."""
         return min(claim.speaks, self._settings.versions)
 
     def free_bytes(self) -> int:
-        """Bytes in a frame for claims and words."""
+        """Returns the bytes of a frame that are free for claims and observations."""
         return self._settings.max_frame_bytes - fr.HEADER_BYTES - FIXED_FRAME_BYTES - self.sender.size()
 
     def piggyback_claims(self, free_bytes: int, to: str) -> list[Claim]:
-        """The claims that are spread with the next frame to a member, in so much room (bytes)."""
+        """Returns the claims to piggyback on the next frame to a member, at most ``free_bytes`` in total."""
         limit = self._settings.retransmit_multiplier * self._settings.log_scale(self._local_view.count)
         return self._local_view.dissemination.take(free_bytes, limit, to)
 
     def summary(self) -> fr.Summary:
-        """This relay's view, in short."""
+        """Returns the summary of this relay's view."""
         return fr.Summary(self._local_view.view, self._local_view.count)
 
     def send(self, address: SocketAddress, frame: fr.Frame, version: int) -> None:
-        """A datagram."""
+        """Sends a datagram."""
         self._effects.append(SendFrame(address, frame, version))
 
     def ping(
@@ -63,7 +63,7 @@
         origin: str = "",
         summary: fr.Summary | None = None,
     ) -> None:
-        """A question by its number; 0 where no answer is looked for. ``origin``: the member it is asked for."""
+        """Sends a ping. ``number`` is 0 if no answer is expected; ``origin`` is the member on whose behalf it is sent."""
         ping = fr.Ping(
             sender=self.sender,
             sequence=self.next_sequence(),
@@ -75,5 +75,5 @@
         self.send(address, ping, version)
 
     def log(self, text: str, level: int = logging.INFO) -> None:
-        """A line for the log."""
+        """Writes a log line."""
         self._effects.append(LogLine(text, level))
--- a/garnetrelay/fleet/members/pending_requests.py
+++ b/garnetrelay/fleet/members/pending_requests.py
@@ -1,7 +1,7 @@
-"""Questions that wait for their answers. No I/O.
+"""Requests that wait for an answer. No I/O.
 
-That a member is there now follows only from an answer to a question of this relay's own, by its number: such a number is
-drawn, used once, and forgotten after its time.
+That a member is up now follows only from an answer to one of this relay's own requests, matched by its number. Each
+number is random, used once, and forgotten when the request expires.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import Identity, SocketAddress
 
-MAX_PENDING_REQUESTS = 512  # open at once
-MAX_PENDING_TO_UNKNOWN = 128  # of them to those whose life is not known
+MAX_PENDING_REQUESTS = 512  # concurrent
+MAX_PENDING_TO_UNKNOWN = 128  # of these, to members whose life is not known
 
 
 class Purpose(Enum):
-    """Why a question was asked."""
+    """Why a request was sent."""
 
     PROBE = auto()
     INDIRECT_PROBE = auto()
@@ -29,21 +29,21 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """One that waits for its answer."""
+    """A request that waits for an answer."""
 
     purpose: Purpose
     sent_at: int
     expires_at: int
     target: str = ""
     identity: Identity = Identity(0, 0)
-    requester: SocketAddress | None = None  # who wants to know
+    requester: SocketAddress | None = None  # the member that asked for an indirect probe
     requester_number: int = 0
     requester_version: int = 1
-    nack_at: int | None = None  # the origin hears by then that nothing has come
+    nack_at: int | None = None  # when to send the requester a Nack
 
 
 class PendingRequests:
-    """All that are open."""
+    """All pending requests."""
 
     def __init__(self, draw: random.Random) -> None:
         self._draw = draw
@@ -51,7 +51,7 @@
         self._to_unknown: dict[SocketAddress, int] = {}
 
     def add(self, request: PendingRequest) -> int | None:
-        """A number to ask by; None where too many are open."""
+        """Registers a request and returns its number; None if too many are pending."""
         if len(self._open) >= MAX_PENDING_REQUESTS:
             return None
         number = self._draw.getrandbits(62)
@@ -59,7 +59,7 @@
         return number
 
     def add_for_unknown(self, request: PendingRequest, address: SocketAddress) -> int | None:
-        """The same of someone whose life is not known: one at a time to a place."""
+        """Registers a request to a member whose life is not known: at most one per address."""
         if address in self._to_unknown or len(self._to_unknown) >= MAX_PENDING_TO_UNKNOWN:
             return None
         number = self.add(request)
@@ -68,7 +68,7 @@
         return number
 
     def match_answer(self, frame: fr.AnyFrame, source: SocketAddress) -> PendingRequest | None:
-        """The question that a frame answers, if it was asked of that sender."""
+        """Returns the request that a frame answers, if it was sent to the frame's sender."""
         request = self._open.get(frame.number)
         if request is None:
             return None
@@ -79,15 +79,15 @@
             if self._to_unknown.get(source) == frame.number:
                 del self._to_unknown[source]
             return request
-        # Several ask for this relay: the question stays open until its probe ends.
+        # Several members probe on this relay's behalf: the request stays open until its probe ends.
         return request if isinstance(frame, fr.Vouch | fr.Nack) and request.purpose is Purpose.PROBE else None
 
     def close(self, number: int) -> None:
-        """Forget a question: an answer to it counts for nothing from now on."""
+        """Closes a request: later answers to it are ignored."""
         self._open.pop(number, None)
 
     def expire(self, now: int) -> Iterator[PendingRequest]:
-        """Those whose origin is to hear now that nothing has come; those whose time is over go."""
+        """Yields the requests whose requester is now due a Nack; drops the expired ones."""
         expired = []
         for number, request in self._open.items():
             if request.nack_at is not None and now >= request.nack_at:
@@ -101,5 +101,5 @@
             self._to_unknown = {address: number for address, number in self._to_unknown.items() if number in self._open}
 
     def next_nack_at(self) -> int | None:
-        """When somebody is to hear that nothing has come."""
+        """Returns when the next Nack is due."""
         return min((request.nack_at for request in self._open.values() if request.nack_at is not None), default=None)
--- a/garnetrelay/fleet/members/probe_order.py
+++ b/garnetrelay/fleet/members/probe_order.py
@@ -1,7 +1,7 @@
-"""Whose turn it is: SWIM's shuffled rounds, and whose word is told next. No I/O.
+"""Order in which members are probed (SWIM's shuffled rounds), and in which observations of them are reported.
 
-Each member is probed once in a round, and a newcomer enters the present round at a place that is drawn: between two
-probes of a member by this relay there are at most 2n - 1 others.
+Each member is probed once per round, and a new member enters the current round at a random position: there are at most
+2n - 1 other probes between two probes of a member by this relay.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class ProbeOrder:
-    """The order in which members are probed, and that in which their words are told."""
+    """The order in which members are probed, and the order in which they are reported to others."""
 
     def __init__(self, draw: random.Random) -> None:
         self._draw = draw
-        self._remaining: list[str] = []  # the rest of this round, the next one last
+        self._remaining: list[str] = []  # the rest of this round, the next target last
         self._report_order: deque[str] = deque()
 
     def __len__(self) -> int:
         return len(self._report_order)
 
     def add(self, name: str) -> None:
-        """A newcomer."""
+        """Adds a new member."""
         self._remaining.insert(self._draw.randint(0, len(self._remaining)), name)
         self._report_order.append(name)
 
     def put_back(self, name: str) -> None:
-        """Its probe came to nothing by this relay's own fault."""
+        """Probes a member again next, because its probe failed through this relay's own fault."""
         self._remaining.append(name)
 
     def next_target(self, members: Collection[str]) -> str | None:
-        """The next of the round; a new round is shuffled."""
+        """Returns the next member of the round; starts a newly shuffled round when the current one is exhausted."""
         for _ in range(2):
             while self._remaining:
                 name = self._remaining.pop()
@@ -45,12 +45,12 @@
         return None
 
     def next_to_report(self, limit: int) -> list[str]:
-        """Whose words are weighed for the next frame."""
+        """Returns the members whose observations are considered for the next frame."""
         found = list(itertools.islice(self._report_order, limit))
         self._report_order.rotate(-len(found))
         return found
 
     def sample(self, names: Iterable[str], limit: int) -> list[str]:
-        """Some of them."""
+        """Returns a random sample of the names."""
         found = list(names)
         return self._draw.sample(found, min(limit, len(found)))
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -1,7 +1,7 @@
-"""SWIM's probe of one member at a time: asked by this relay, then through others, then suspected. No I/O.
+"""SWIM's probe of one member at a time: directly, then through other members, then suspicion. No I/O.
 
-Whose turn it is says `probe_order.py`. An answer in time, by whichever way, ends the probe well; the next one begins when
-its period is over all the same.
+`probe_order.py` determines the next target. A timely answer over any path makes the probe succeed; the next probe
+starts when the period is over in either case.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The present one."""
+    """The current probe."""
 
     name: str
     identity: Identity
     number: int
     started_at: int
-    indirect_at: int  # without an answer by then, others are asked
+    indirect_at: int  # indirect probes are sent if there is no answer by then
     ends_at: int
     indirect_sent: bool = False
     expected_nacks: int = 0
     nacks: int = 0
-    succeeded: bool = False  # it has answered this relay, or one that asked for it
+    succeeded: bool = False  # the target has answered this relay, or another one on its behalf
 
 
 class Prober:
-    """The probes of one relay. ``present`` is the probe that is under way; without one, the next begins at ``begin_at``
+    """The probes of one relay. ``current`` is the probe under way; without one, the next starts at ``next_probe_at``
     (nanoseconds)."""
 
     def __init__(
@@ -61,21 +61,23 @@
         self._settings = settings
 
     def next_at(self, now: int) -> int:
-        """When it has to go on."""
+        """Returns when `advance` or `start_next` is due."""
         probe = self.current
         if probe is None:
             return self.next_probe_at
         return probe.ends_at if probe.succeeded or probe.indirect_sent or probe.indirect_at <= now else probe.indirect_at
 
     def abandon(self, now: int) -> None:
-        """This relay has not run for a while: nothing follows from the present probe, and the next begins at once."""
+        """Abandons the current probe because this relay was paused: nothing follows from it, and the next one starts
+        at once."""
         if self.current is not None:
             self._probe_order.put_back(self.current.name)
             self.current = None
         self.next_probe_at = now
 
     def advance(self, now: int) -> bool:
-        """The present probe: ask others, or end it where its period is over. Whether it has ended."""
+        """Advances the current probe: sends indirect probes, or ends it when its period is over. Returns whether it
+        has ended."""
         probe = self.current
         assert probe is not None
         if now < probe.ends_at:
@@ -89,7 +91,7 @@
         return True
 
     def start_next(self, now: int) -> bool:
-        """Probe the next member of the round; whether there is one, and this relay has a name to ask by."""
+        """Probes the next member of the round. Returns False if there is none, or this relay is not active."""
         members = self._local_view.table.members
         name = self._probe_order.next_target(members)
         if name is None or not self._local_view.local.active:
@@ -99,12 +101,13 @@
         return True
 
     def answered(self, name: str) -> None:
-        """A member has answered a probe of this relay."""
+        """Records that a member answered this relay."""
         if self.current is not None and self.current.name == name:
             self._succeed(self.current)
 
     def confirm(self, vouch: fr.Vouch) -> Member | None:
-        """Another has had an answer from a member: that member, where the present probe is of it, in that life."""
+        """Records that a member answered another one on this relay's behalf. Returns that member if the current probe
+        is of it, in that life."""
         probe = self.current
         if probe is None or probe.number != vouch.number or probe.name != vouch.target:
             return None
@@ -128,7 +131,7 @@
             self.next_probe_at = ends_at
             return
         self.current = Probe(claim.name, claim.identity, number, now, now + self._settings.probe_timeout * slow, ends_at)
-        # Who is suspected hears of it first (Lifeguard's buddy system).
+        # A suspected member is told of the suspicion first (Lifeguard's buddy system).
         claims = [claim] if member.suspicion is not None and self._settings.lifeguard else []
         room = self._outgoing.free_bytes() - sum(one.size() for one in claims)
         claims += self._outgoing.piggyback_claims(room, claim.name)
@@ -139,7 +142,7 @@
     def _probe_indirectly(self, probe: Probe) -> None:
         target = self._local_view.table.members.get(probe.name)
         if target is None or target.claim.identity != probe.identity:
-            probe.succeeded = True  # it has gone, or lives on in another life
+            probe.succeeded = True  # it has departed, or continues in another life
             return
         others = [
             name
@@ -165,7 +168,7 @@
             )
 
     def _fail(self, now: int, probe: Probe) -> None:
-        """Neither it nor anybody for it has answered."""
+        """Handles a probe that got neither a direct nor an indirect answer."""
         if probe.expected_nacks:
             self._health.change(0 if probe.nacks else 1)
         else:
@@ -174,5 +177,5 @@
             now,
             probe.name,
             probe.identity,
-            f"no answer, nor to the {probe.expected_nacks} that asked for this relay, of whom " f"{probe.nacks} answered",
+            f"no answer, direct or through {probe.expected_nacks} other members, of which " f"{probe.nacks} answered",
         )
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -1,11 +1,11 @@
-"""One relay's part in the fleet: what it makes of each frame and each moment, and what it answers. No I/O, no clock, no
-randomness of its own: frames and moments in, effects out; ``draw`` is given. Its probes are in `probing.py`, its full
-exchanges in `exchanges.py`, the words that it holds in `local_view.py`.
-
-What counts as heard. A frame is signed by the fleet, so its claims were said by a member at some time; as claims are
-ordered (`claims.py`), an old one changes nothing. That somebody is there *now* follows only from an answer to a
-question that this relay has asked, by the number in it. A life that is not known yet is therefore asked first, and a
-frame comes to count once (`Window`).
+"""The membership protocol of one relay: how it reacts to each frame and to the passing of time. No I/O, no clock, no
+randomness of its own: frames and times in, effects out; ``draw`` is passed in. Probes are in `probing.py`, full
+exchanges in `exchanges.py`, the claims that the relay holds in `local_view.py`.
+
+What counts as evidence. A frame is signed by the fleet, so a member made its claims at some time; because claims are
+ordered (`claims.py`), an old one changes nothing. That a member is up *now* follows only from an answer to one of this
+relay's own requests, matched by its number. A member in an unknown life is therefore sent a request first, and each
+frame is accepted only once (`Window`).
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 from garnetrelay.fleet.members.view import FleetView
 from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts
 
-MAX_LEAVE_NOTICES = 8  # members that hear of a leaving at first hand
+MAX_LEAVE_NOTICES = 8  # members that are notified directly when this relay leaves
 
 
 @dataclass(slots=True)
 class Counters:
-    """What has happened, for people."""
+    """Event counters for operators."""
 
-    frames: Counter[str] = field(default_factory=Counter)  # taken, by kind
+    frames: Counter[str] = field(default_factory=Counter)  # accepted, by kind
     refused: Counter[str] = field(default_factory=Counter)  # by cause
     pauses: int = 0
 
 
 class Membership:
-    """The decisions of one relay."""
+    """The membership protocol of one relay."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.condition_tracker = ConditionTracker(now)
         self.counters = Counters()
         self.seeds = [seed for seed in seeds if seed != own.address]
-        self.joined = not self.seeds  # who knows no other has nobody to hear from
+        self.joined = not self.seeds  # without seeds there is nobody to join
         self.view_changed_at = now
         self._draw = draw
         self._requests = PendingRequests(draw)
@@ -77,26 +77,26 @@
         self._contact_count = 0
         self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
         self._answered_at: int | None = None
-        self._last_view = 0  # the view's print at the last look
-        self._view_counts = (0, 0, 0)  # suspects' and views' counts of the last full look
+        self._last_view = 0  # the view at the last update of the condition
+        self._view_counts = (0, 0, 0)  # recent failures, members with this view and with another one, as last counted
         self._retry_life_at: int | None = None
         self.next_at = self._next_deadline(now)
 
-    # ---- what others may ask
+    # ---- queries
 
     @property
     def local(self) -> LocalMember:
-        """This relay's word on itself."""
+        """This relay's own entry."""
         return self.local_view.local
 
     @property
     def table(self) -> Table:
-        """The other members, and those that have gone."""
+        """The other members, current and departed."""
         return self.local_view.table
 
     @property
     def view(self) -> int:
-        """32 bits that stand for who is in this relay's view."""
+        """A 32-bit fingerprint of the members of this relay's view."""
         return self.local_view.view
 
     @property
@@ -115,27 +115,28 @@
         return self.condition_tracker.condition
 
     def fleet_view(self) -> FleetView:
-        """The members of this view with their zones, and what may be relied on. It walks over all members: ask when
-        ``view`` or ``condition`` has changed, or once a period."""
+        """Returns the members of this view with their zones, and what the view may be used for. This iterates over all
+        members: call it when ``view`` or ``condition`` has changed, or once a period."""
         zones = {name: member.claim.zone for name, member in self.table.members.items()}
         if self.local.active:
             zones[self.local.claim.name] = self.local.claim.zone
         return FleetView(zones, self.condition, self.view)
 
     def age(self, name: str, now: int) -> int | None:
-        """How old the word of a member is at most (nanoseconds); None where there is none, or it is gone."""
+        """Returns the maximum age of the last observation of a member (nanoseconds); None if there is none, or it has
+        departed."""
         member = self.table.members.get(name)
         return None if member is None or member.seen_at is None else now - member.seen_at
 
     def count_views(self) -> tuple[int, int]:
-        """How many others are known to hold this very view, and how many to hold another, by words that are no older than
-        the view."""
+        """Returns how many others are known to hold the same view and how many another one, by observations made since
+        this view last changed."""
         return observations.count_views(self.table, self.view, self.view_changed_at)
 
-    # ---- what happens
+    # ---- events
 
     def tick(self, now: int) -> list[Effect]:
-        """Time has passed. To be called at ``next_at``."""
+        """Handles the passing of time. To be called at ``next_at``."""
         self._detect_pause(now)
         self._expire_requests(now)
         self.local_view.expire_suspicions(now, self._answered_at if RELIES[self.condition].speak else None)
@@ -144,25 +145,26 @@
         return self._finish(now)
 
     def receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> list[Effect]:
-        """A datagram has come; its signature and form were good."""
+        """Handles a datagram whose signature and format were valid."""
         self._detect_pause(now)
         self._receive(now, frame, source)
         return self._finish(now)
 
     def hello(self, now: int) -> fr.Hello:
-        """Begins a full exchange."""
+        """Returns the first frame of a full exchange."""
         return self._exchanges.hello()
 
     def answer_hello(self, now: int, hello: fr.Hello) -> fr.Whole:
-        """The other side's first frame: what this relay holds and it does not. The hello itself counts for nothing."""
+        """Answers the first frame of an exchange with the claims that the other side lacks. The Hello itself is no
+        evidence."""
         return self._exchanges.answer_hello(hello)
 
     def receive_whole(self, now: int, whole: fr.Whole, number: int, asked_at: int) -> tuple[fr.Whole, list[Effect]]:
-        """What another holds, in answer to ``number`` that was sent at ``asked_at``; in return what it lacks. ValueError
-        where it answers something else."""
+        """Handles the claims of another member, in answer to request ``number`` that was sent at ``asked_at``, and
+        returns the claims that it lacks. Raises ValueError if the frame answers another request."""
         if whole.number != number:
             self.counters.refused["unasked"] += 1
-            raise ValueError("a full exchange that answers another question")
+            raise ValueError("the frame answers another request")
         self._detect_pause(now)
         ours = self._exchanges.digests_like(whole.digests)
         sender = whole.sender
@@ -182,22 +184,22 @@
         return answer, self._finish(now)
 
     def start_with(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
-        """Who the others are is known ahead, and has been heard from none of them: this relay has joined with the first
-        answer. For relays without seeds."""
+        """Starts with members that are known in advance and of which none has been heard from: this relay has joined
+        with the first answer. For relays without seeds."""
         self._detect_pause(now)
         self.joined = False
         self.local_view.load(now, claims)
         return self._finish(now)
 
     def resume_from(self, now: int, claims: Sequence[Claim]) -> list[Effect]:
-        """Another process of this relay has handed over: the same member goes on, in the same life."""
+        """Continues as the same member, in the same life, after a handover from another process of this relay."""
         self._detect_pause(now)
         self.joined = True
         self.local_view.load(now, claims)
         return self._finish(now)
 
     def life_stored(self, now: int, life: int) -> list[Effect]:
-        """The folder has the life that was wanted."""
+        """Handles the confirmation that a life is stored."""
         self._detect_pause(now)
         if self.local_view.life_stored(life):
             self._retry_life_at = None
@@ -206,14 +208,14 @@
         return self._finish(now)
 
     def life_not_stored(self, now: int, why: str) -> list[Effect]:
-        """The folder does not take it: the relay stays out, and tries again."""
+        """Handles a failure to store a life: the relay stays out and tries again."""
         self._detect_pause(now)
         self.outgoing.log(f"life {self.local.wanted_life} can't be kept, staying out: {why}", logging.ERROR)
         self._retry_life_at = now + 5 * self.settings.probe_interval
         return self._finish(now)
 
     def leave(self, now: int) -> list[Effect]:
-        """The last words of this life."""
+        """Announces the end of this life."""
         self._detect_pause(now)
         if self.local.active:
             last = self.local.leave()
@@ -223,12 +225,13 @@
         self.local.left, self.local.active = True, False
         return self._finish(now)
 
-    # ---- a frame
+    # ---- received frames
 
     def _receive(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
         sender, refused = frame.sender, self.counters.refused
         for claim in frame.claims:
-            # On this relay itself even a frame that proves nothing is heard: its own life is known best here.
+            # Claims about this relay itself are applied even from a frame that proves nothing: this relay knows its own
+            # life best.
             if claim.name == self.local.claim.name:
                 self._apply_claim(now, claim, source)
         if sender.name == self.local.claim.name:
@@ -268,7 +271,7 @@
         self._apply_claims(now, frame)
         member = self.table.members.get(sender.name)
         if member is None or not self.local.active and request is None:
-            return  # it has said of itself that it left; or this relay has no name to answer by
+            return  # it has announced that it left; or this relay is not active and cannot answer
         match frame:
             case fr.Ping():
                 self._send_ack(now, frame, member, source)
@@ -284,7 +287,7 @@
                 self._prober.current.nacks += 1
 
     def _apply_claim(self, now: int, claim: Claim, source: SocketAddress | None = None) -> None:
-        """A word on anybody."""
+        """Applies a claim about any member."""
         if self.local_view.apply_claim(now, claim, source) is SelfClaimResult.REFUTED:
             self.health.change(1)
 
@@ -293,8 +296,8 @@
             if claim.name != self.local.claim.name:
                 self._apply_claim(now, claim)
 
-    def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, held: Claim) -> None:
-        """Tell a life that has ended, or been followed by another, what is held of it."""
+    def _correct(self, now: int, frame: fr.AnyFrame, source: SocketAddress, current: Claim) -> None:
+        """Tells a member whose life has ended, or was followed by another, the current claim about it."""
         if not self.local.active:
             return
         sender = frame.sender
@@ -302,15 +305,16 @@
             self.outgoing.send(
                 source,
                 fr.Ack(
-                    sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[held]
+                    sender=self.local.claim, sequence=self.outgoing.next_sequence(), number=frame.number, claims=[current]
                 ),
                 self.outgoing.version(sender),
             )
         elif isinstance(frame, fr.AskFor):
-            self.outgoing.ping(source, self.outgoing.version(sender), 0, [held])
+            self.outgoing.ping(source, self.outgoing.version(sender), 0, [current])
 
     def _challenge(self, now: int, frame: fr.AnyFrame, source: SocketAddress) -> None:
-        """A life that is not known: answer it, so that it knows us, and ask it."""
+        """Handles a frame from an unknown life: answers it, so that the sender knows this relay, and sends it a
+        request."""
         self.counters.refused["unproven"] += 1
         if not self.local.active:
             return
@@ -336,7 +340,9 @@
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.frame_received_at is None else (now - origin.frame_received_at) // MS
         room = self.outgoing.free_bytes()
-        reserved = min(room // 3, len(self._probe_order) * fr.OBSERVATION.size)  # words get through beside many claims
+        reserved = min(
+            room // 3, len(self._probe_order) * fr.OBSERVATION.size
+        )  # leaves room for observations when there are many claims
         claims = self.outgoing.piggyback_claims(room - reserved, ping.sender.name)
         room -= sum(claim.size() for claim in claims)
         selected = observations.select(
@@ -357,7 +363,7 @@
         )
 
     def _probe_for_other(self, now: int, ask_for: fr.AskFor, member: Member, source: SocketAddress) -> None:
-        """Ask another for a third."""
+        """Probes a member on behalf of another."""
         target = self.table.members.get(ask_for.target)
         number = self._requests.add(
             PendingRequest(
@@ -414,7 +420,7 @@
             self._exchanges.repair(now, member.claim.address, self.view_changed_at)
 
     def _handle_vouch(self, now: int, vouch: fr.Vouch, request: PendingRequest, by: Member) -> None:
-        """Another has had an answer from the member that does not answer this relay."""
+        """Handles the confirmation that a member that does not answer this relay has answered another one."""
         member = self._prober.confirm(vouch)
         if member is None:
             return
@@ -435,7 +441,7 @@
         member.link_state, member.reached_through = path, by.claim.name
 
     def _record_answer(self, now: int, member: Member, asked_at: int, view: int) -> None:
-        """A member was there when this relay's question came, or later."""
+        """Records that a member was up when this relay's request arrived, or later."""
         self._answered_at = now
         member.answered_directly = True
         self.joined = self.joined or not self.seeds
@@ -444,10 +450,10 @@
             if view >= 0:
                 member.seen_view = view
 
-    # ---- time
+    # ---- timing
 
     def _detect_pause(self, now: int) -> None:
-        """Whether this process has slept through its own moments: then it judges nobody by them."""
+        """Detects that this process was paused past its own deadlines; it then declares nobody failed because of them."""
         late = now - self.next_at
         if late <= self.settings.probe_interval // 2 or not self.settings.lifeguard:
             return
@@ -468,7 +474,7 @@
         return effects
 
     def _update_condition(self, now: int) -> None:
-        """The condition as it is now."""
+        """Updates the condition."""
         changed = self.view != self._last_view
         self._last_view = self.view
         if changed:
@@ -497,7 +503,7 @@
         return self.settings.alone_timeout * (self.health.slow + 1)
 
     def _count_views(self, now: int) -> None:
-        """Counts over all members: once a period, and when the view changes."""
+        """Counts over all members: once per period, and when the view changes."""
         since = now - self.settings.recent_failure_window
         failed = sum(
             member.claim.status is Status.FAILED and member.changed_at >= since for member in self.table.gone.values()
@@ -519,7 +525,7 @@
         return max(min(moments), now + MS // 10)
 
     def _expire_requests(self, now: int) -> None:
-        """Questions whose time is over; a Nack to those who wait for one."""
+        """Drops expired requests and sends a Nack for indirect probes that are due one."""
         for request in self._requests.expire(now):
             if request.requester is not None:
                 self.outgoing.send(
@@ -530,7 +536,7 @@
                     request.requester_version,
                 )
 
-    # ---- probes
+    # ---- probing
 
     def _run_probes(self, now: int) -> None:
         if self._prober.current is not None:
@@ -543,7 +549,7 @@
         if not self._prober.start_next(now):
             self._count_views(now)
 
-    # ---- staying in contact
+    # ---- contact with members outside the view
 
     def _maintain_contact(self, now: int) -> None:
         if self.local.left:
@@ -561,10 +567,10 @@
             self._send_contact_request(now)
 
     def _send_contact_request(self, now: int) -> None:
-        """Try one of those that failed, or a seed that is nobody's place: when links are whole again, views meet by it.
-        Who is suspected is asked by this relay too, whoever began it: it may be there, in another life. A relay whose
-        name is in doubt asks in this way how it stands. A seed that has left is tried too: seeds that come
-        back together know each other alone."""
+        """Sends a contact request to one member that was declared failed, or to a seed that is no member's address:
+        through it, views merge when links work again. Suspected members are contacted too, whichever relay suspects
+        them: they may be up in another life. A relay that is not active under its name learns its status this way. A
+        seed that has left is contacted too, because seeds that come back together know only each other."""
         candidates: list[tuple[SocketAddress, list[Claim], int]] = []
         if self.seeds:
             known = {
--- a/garnetrelay/fleet/members/settings.py
+++ b/garnetrelay/fleet/members/settings.py
@@ -1,4 +1,4 @@
-"""The figures of failure detection, and the formulas that follow from them. Times in nanoseconds."""
+"""The parameters of failure detection, and the formulas derived from them. Times are in nanoseconds."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All of a fleet's relays should have the same; only bounds depend on it, no rule does."""
-
-    probe_interval: int = SECOND  # T: a member is probed once in so long
-    probe_timeout: int = 300 * MS  # for the direct answer; the rest of the period is for those who ask for us
-    indirect_probes: int = 3  # k: members that ask for us
-    suspicion_multiplier: float = 4.0  # alpha: least time of a suspicion, in periods by log10 of the members
-    max_suspicion_multiplier: float = 6.0  # beta: the longest, in times of the least
-    confirmations: int = 3  # K: others' suspicions that bring it down to the least
-    retransmit_multiplier: int = 4  # lambda: a claim is told so often by log10 of the members
-    max_slowdown: int = 8  # S: how far local health may slow a relay down
+    """All relays of a fleet should have the same settings; only time and size bounds depend on that, correctness does
+    not."""
+
+    probe_interval: int = SECOND  # T: one member is probed per period
+    probe_timeout: int = 300 * MS  # for the direct answer; the rest of the period is for indirect probes
+    indirect_probes: int = 3  # k: members that probe on this relay's behalf
+    suspicion_multiplier: float = 4.0  # alpha: minimum suspicion time, in periods times log10 of the members
+    max_suspicion_multiplier: float = 6.0  # beta: maximum suspicion time, as a multiple of the minimum
+    confirmations: int = 3  # K: confirmations by other members that reduce the time to the minimum
+    retransmit_multiplier: int = 4  # lambda: transmissions of a claim, times log10 of the members
+    max_slowdown: int = 8  # S: upper bound of the local health multiplier
     exchange_interval: int = 30 * SECOND
-    forget_after: int = 600 * SECOND  # a failed or left member is listed for so long
+    forget_after: int = 600 * SECOND  # how long a failed or left member stays listed
     max_members: int = 1000
-    lifeguard: bool = True  # off: plain SWIM, for comparison
-    versions: int = 2  # the highest version of frames that is spoken
-    max_observations: int = 48  # of others on an answer
-    max_frame_bytes: int = 1200  # bytes of a datagram; 256 on the simulator's wire
-    digests: bool = True  # full exchanges tell what is held alike; not on the simulator's wire, where views are presumed
+    lifeguard: bool = True  # False: plain SWIM, for comparison
+    versions: int = 2  # the highest frame version that is used
+    max_observations: int = 48  # observations of others in an answer
+    max_frame_bytes: int = 1200  # of a datagram; 256 on the simulator's wire
+    digests: bool = True  # in full exchanges; off on the simulator's wire, where all relays start with the same claims
 
     def __post_init__(self) -> None:
         if self.probe_timeout * 2 > self.probe_interval:
-            raise ValueError("the time for a direct answer may be half of the time between two probes at most")
+            raise ValueError("probe_timeout must not exceed half of probe_interval")
 
     def log_scale(self, members: int) -> int:
-        """ceil(log10(n + 1)): how far words have to go."""
+        """ceil(log10(n + 1)): the growth of dissemination time with the number of members."""
         return max(1, math.ceil(math.log10(members + 1)))
 
     def min_suspicion_time(self, members: int) -> int:
@@ -43,7 +44,7 @@
         return int(self.suspicion_multiplier * max(1.0, math.log10(max(1, members))) * self.probe_interval)
 
     def max_suspicion_time(self, members: int) -> int:
-        """beta times the least; without Lifeguard the least itself."""
+        """beta times the minimum; without Lifeguard the minimum itself."""
         return int(self.min_suspicion_time(members) * (self.max_suspicion_multiplier if self.lifeguard else 1))
 
     def suspicion_time(self, members: int, confirmed: int) -> int:
@@ -56,30 +57,32 @@
         return max(least, int(longest - (longest - least) * share))
 
     def settle_time(self, members: int) -> int:
-        """Out of doubt no sooner: a word has gone round by then. (repeats * scale + 2) periods, at most ten."""
+        """How long better facts have to last before the condition improves: the time in which a claim has reached
+        every member. (repeats * scale + 2) periods, at most ten."""
         return min(10, self.retransmit_multiplier * self.log_scale(members) // 2 + 2) * self.probe_interval
 
     def exchange_gap(self, members: int) -> int:
-        """Between two full exchanges, in the mean. Frames of version 1 don't tell of other views, so that nothing else
-        brings words that were lost: there it is a sixth."""
+        """Mean time between two full exchanges. Version 1 frames do not report that views differ, so full exchanges
+        are the only way to recover lost claims: there the interval is a sixth."""
         return self.exchange_interval * self.log_scale(members) // (1 if self.versions > 1 else 6)
 
     @property
     def contact_interval(self) -> int:
-        """Between two tries to reach someone who is held to have failed, or a seed that is not in the view."""
+        """Time between two attempts to contact a member declared failed, or a seed that is not in the view."""
         return 2 * self.probe_interval
 
     @property
     def recent_failure_window(self) -> int:
-        """For so long a failure counts as one of many at once."""
+        """How long a failure counts as part of a simultaneous failure of many members."""
         return 30 * self.probe_interval
 
     @property
     def alone_timeout(self) -> int:
-        """With no answer from anybody for so long, a relay is alone: three probes."""
+        """A relay without any answer for this long is alone: three probes."""
         return 3 * self.probe_interval
 
     def max_observation_age(self, members: int) -> int:
-        """What the age of the word of a member may reach where links are whole: it is probed by this relay at least once
-        in 2n - 1 periods (shuffled rounds: first in one, last in the next), and one answer more may be under way."""
+        """Upper bound of the age of an observation while all links work: this relay probes each member at least once
+        in 2n - 1 periods (shuffled rounds: first in one round, last in the next), and one more answer may be under
+        way."""
         return (2 * max(1, members - 1)) * self.probe_interval + self.probe_timeout
--- a/garnetrelay/fleet/members/table.py
+++ b/garnetrelay/fleet/members/table.py
@@ -1,8 +1,9 @@
-"""What a relay holds of each other one: the word that holds, its suspicion, how old the word of it is. No I/O.
+"""The other members as one relay knows them: the current claim, the suspicion, and the latest observation of each. No
+I/O.
 
-`Table.merge` is a join: whatever the order in which claims come, and however often, the same claims leave the same words
-(`claims.py` has the order). Bounded: so many members, as many gone ones, and four times as many names whose last life is
-kept so that it can't come back.
+`Table.merge` is a join: whatever the order and number of times in which claims arrive, the same claims leave the same
+result (`claims.py` defines the order). The size is bounded: a maximum of members, as many departed ones, and four
+times as many names whose last life is remembered so that it cannot come back.
 """
 
 from __future__ import annotations
@@ -18,70 +19,72 @@
 
 
 class LinkState(Enum):
-    """What is known of the link to a member that does not answer this relay itself, and does answer others."""
+    """The state of the link to a member that answers others but not this relay."""
 
     WHOLE = "whole"
-    INBOUND_CUT = "it hears this relay and is not heard"  # the link from it to here is cut
-    OUTBOUND_CUT = "it does not hear this relay"  # the link from here to it is cut, and perhaps the other
+    INBOUND_CUT = "it hears this relay and is not heard"  # the link from the member to this relay is cut
+    OUTBOUND_CUT = "it does not hear this relay"  # the link to the member is cut, and possibly the reverse one
     INDIRECT_ONLY = "it answers others only"
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """A member is held to have failed, unless it speaks up in time."""
+    """A member will be declared failed unless it refutes the suspicion in time."""
 
     started_at: int
-    view_size: int  # in the view at that moment: a view that shrinks meanwhile does not shorten it
-    confirmed_by: set[str] = field(default_factory=set)  # who else says so, independently
-    extended_by: int = 0  # this relay slept meanwhile: that time does not count
+    view_size: int  # when the suspicion started: a view that shrinks later does not shorten the deadline
+    confirmed_by: set[str] = field(default_factory=set)  # other relays that suspect it independently
+    extended_by: int = 0  # time during which this relay itself was paused; it does not count
 
 
 @dataclass(slots=True)
 class Member:
-    """One other relay, in the life that holds."""
+    """Another relay in its current life."""
 
     claim: Claim
     changed_at: int
-    short_hash: int = 0  # 48 bits of its name and life, by which ages are told
+    short_hash: int = 0  # first 48 bits of ``member_hash``; identifies the member in observations
     suspicion: Suspicion | None = None
-    seen_at: int | None = None  # it was there at this moment or later
-    seen_view: int = -1  # its view then
-    frame_received_at: int | None = None  # a frame of it came, by whatever link, at this moment
-    answered_directly: bool = False  # it has answered this relay in this life
+    seen_at: int | None = None  # the member was up at this time or later
+    seen_view: int = -1  # its view at that time
+    frame_received_at: int | None = None  # when a frame from it last arrived, over any link
+    answered_directly: bool = False  # it has answered this relay itself in this life
     window: Window = field(default_factory=Window)
     link_state: LinkState = LinkState.WHOLE
     link_state_since: int = 0
-    reached_through: str = ""  # who vouched last
+    reached_through: str = ""  # the member that confirmed it last
 
 
 class Change(Enum):
-    """What a claim did."""
+    """The effect of merging a claim."""
 
     NOTHING = auto()
-    CONFIRMATION = auto()  # the same suspicion, from another relay
-    NEW_MEMBER = auto()  # a name that was not held
-    NEW_LIFE = auto()  # another life of a name
-    UPDATE = auto()  # another word on the same life
-    FULL = auto()  # there is no room for one more member
+    CONFIRMATION = auto()  # a known suspicion, raised by another relay as well
+    NEW_MEMBER = auto()  # a name that was not in the table
+    NEW_LIFE = auto()  # another life of a known name
+    UPDATE = auto()  # another claim about the same life
+    FULL = auto()  # no room for another member
 
 
-@functools.lru_cache(4096)  # asked for with every frame, of the relay itself
+@functools.lru_cache(4096)  # computed with every frame, for the relay itself
 def member_hash(name: str, identity: Identity) -> int:
-    """64 bits that stand for a member in its life."""
+    """Returns 64 bits that identify a member in its current life."""
     text = f"{name} {identity.life} {identity.process}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
 
 
 class Table:
-    """All others, in and gone."""
+    """All other members: current and departed."""
 
     def __init__(self, max_members: int) -> None:
         self.max_members = max_members
         self.members: dict[str, Member] = {}
-        self.gone: dict[str, Member] = {}  # failed or left, the longest gone first
-        self.last_ranks: dict[str, tuple[int, int, int, int, int]] = {}  # rank of the last word on forgotten names
-        self.view_hash = 0  # of who is in, without this relay itself
-        self._by_short_hash: dict[int, str] = {}  # 48 bits; empty where two share them
+        self.gone: dict[str, Member] = {}  # failed or left, the longest departed first
+        self.last_ranks: dict[
+            str, tuple[int, int, int, int, int]
+        ] = {}  # rank of the last claim about each forgotten name
+        self.view_hash = 0  # exclusive or over the current members, without this relay itself
+        self._by_short_hash: dict[int, str] = {}  # empty name if two members share the 48 bits
 
     def __iter__(self) -> Iterator[Member]:
         yield from self.members.values()
@@ -91,15 +94,15 @@
         return len(self.members)
 
     def get(self, name: str) -> Member | None:
-        """A member, or one that has gone and is not forgotten yet."""
+        """Returns a member, or a departed one that is not forgotten yet."""
         return self.members.get(name) or self.gone.get(name)
 
     def by_short_hash(self, short_hash: int) -> Member | None:
-        """The member that a word is about; None where it is not known, or not for sure."""
+        """Returns the member that an observation is about; None if it is unknown or ambiguous."""
         return self.members.get(self._by_short_hash.get(short_hash, ""))
 
     def merge(self, claim: Claim, now: int) -> Change:
-        """Hold the greater of what is held and a claim."""
+        """Keeps the greater of the current claim and the given one."""
         member = self.get(claim.name)
         if member is None:
             if claim.rank <= self.last_ranks.get(claim.name, (0,)):
@@ -109,29 +112,34 @@
             self.last_ranks.pop(claim.name, None)
             self._add(Member(claim, now))
             return Change.NEW_MEMBER
-        held = member.claim
-        if claim == held:  # most of what comes
+        current = member.claim
+        if claim == current:  # the most frequent case
             return Change.NOTHING
-        if claim.rank < held.rank:
+        if claim.rank < current.rank:
             return Change.NOTHING
-        if claim.rank == held.rank:
-            # Addresses may differ where the process number does not: one of them holds everywhere. A zone is lost where
-            # a relay of before passes a claim on: the one that knows it holds.
-            if (claim.host, claim.port, claim.speaks, claim.zone) > (held.host, held.port, held.speaks, held.zone):
+        if claim.rank == current.rank:
+            # The addresses may differ although the process number does not: the same one has to win on all relays. A
+            # relay of an earlier version drops the zone when it passes a claim on: the claim that has the zone wins.
+            if (claim.host, claim.port, claim.speaks, claim.zone) > (
+                current.host,
+                current.port,
+                current.speaks,
+                current.zone,
+            ):
                 member.claim = claim
             if (
                 claim.status is Status.SUSPECT
                 and member.suspicion is not None
                 and claim.by not in member.suspicion.confirmed_by
-                and claim.by != held.by
+                and claim.by != current.by
             ):
                 member.suspicion.confirmed_by.add(claim.by)
                 return Change.CONFIRMATION
             return Change.NOTHING
-        if held.final and not claim.final and len(self.members) >= self.max_members:
+        if current.final and not claim.final and len(self.members) >= self.max_members:
             return Change.FULL
         self._remove(member)
-        if claim.identity != held.identity:
+        if claim.identity != current.identity:
             self._add(Member(claim, now))
             return Change.NEW_LIFE
         member.claim, member.changed_at, member.suspicion = claim, now, None
@@ -139,7 +147,7 @@
         return Change.UPDATE
 
     def forget(self, before: int) -> None:
-        """Let go of those that went before a moment, and of the longest gone where there are too many."""
+        """Forgets members that departed before a time, and the longest departed ones if there are too many."""
         while self.gone:
             member = next(iter(self.gone.values()))
             if member.changed_at >= before and len(self.gone) <= self.max_members:
@@ -150,7 +158,7 @@
                 del self.last_ranks[next(iter(self.last_ranks))]
 
     def claims(self) -> Iterable[Claim]:
-        """All words that hold."""
+        """Returns all current claims."""
         return [member.claim for member in self]
 
     def _add(self, member: Member) -> None:
--- a/garnetrelay/fleet/members/view.py
+++ b/garnetrelay/fleet/members/view.py
@@ -1,6 +1,7 @@
-"""What other parts of a relay may ask of its membership: who is there, in which zone, what that is worth. No I/O.
+"""The membership view that other parts of a relay may read: members, their zones, and how far it can be relied on. No
+I/O.
 
-The one narrow read: partitions and leases stand on it, and on nothing else of `members/`.
+Partitions and leases depend on this interface and on nothing else in `members/`.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 class FleetView(NamedTuple):
     """The members of one relay's view at one moment.
 
-    ``zones`` has every live member by name (those under suspicion too), this relay among them unless its name is in
-    doubt; the value is its zone, 0 where that is not known. Relays of one ``view`` (32 bits) hold the same names in the
-    same lives; zones are words of the members themselves and may come a little later.
+    ``zones`` has every live member by name (suspected ones too), including this relay unless it is not active under
+    its name; the value is the zone, 0 if unknown. Relays with the same ``view`` (32 bits) have the same names in the
+    same lives; zones are claimed by the members themselves and may arrive a little later.
     """
 
     zones: Mapping[str, int]
@@ -25,5 +26,5 @@
 
     @property
     def relies(self) -> Reliance:
-        """What may be relied on in this condition."""
+        """What the view may be used for in this condition."""
         return RELIES[self.condition]
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -1,7 +1,7 @@
-"""What this relay's picture of the fleet may be used for. No I/O.
+"""How far this relay may rely on its view of the fleet. No I/O.
 
-Into doubt at once, out of it only after a stated time in which nothing spoke for it. The later parts of the program
-(limits, verdicts, versions) ask `RELIES`, never the single facts.
+The condition gets worse at once and better only after a settle time without contrary evidence. Other parts of the
+program (limits, verdicts, versions) use `RELIES`, never the individual facts.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 class Condition(IntEnum):
-    """From the surest to the least sure."""
+    """From the most to the least reliable."""
 
-    SETTLED = 0  # all that it hears hold one view, and nobody is in doubt
-    UNSETTLED = 1  # somebody is suspected, has just come or gone, or holds another view
-    CUT_OFF = 2  # many failed at once: they are down, or this relay and some others are apart from them
-    ALONE = 3  # nobody answers
-    JOINING = 4  # it has not yet heard what the others know, or its name is in doubt
+    SETTLED = 0  # all members it hears from hold the same view, and nobody is suspected
+    UNSETTLED = 1  # a member is suspected, has just joined or departed, or holds another view
+    CUT_OFF = 2  # many failed at once: either they are down, or this relay and some others are partitioned from them
+    ALONE = 3  # no member answers
+    JOINING = 4  # it has not received the others' state yet, or is not active under its name
 
 
 @dataclass(frozen=True, slots=True)
 class Reliance:
-    """What may be relied on. Where one is False, the relay acts as if it were alone in that respect."""
+    """What the view may be used for. Where a field is False, the relay acts as if it were alone in that respect."""
 
-    count: bool  # the number of members: parts may be cut by it
-    grow: bool  # its own part of what is shared may grow
-    evidence: bool  # what others saw may hold this relay back (it may never do more)
-    speak: bool  # its own word counts with others: it may judge them, lend to them, try for them
+    count: bool  # the number of members: shares of a limit may be computed from it
+    grow: bool  # its own share of a limit may grow
+    evidence: bool  # observations of others may restrict this relay (never allow it more)
+    speak: bool  # its own claims count: it may declare others failed, lend to them, try on their behalf
     text: str
 
 
@@ -47,33 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """What the condition follows from."""
+    """The inputs that determine the condition."""
 
     joined: bool
-    active: bool  # its name is its own, in a life that is kept
-    others: int  # in the view, without this relay
-    answered_ago: int | None  # since anybody answered, nanoseconds; None: nobody ever
+    active: bool  # it acts under its own name, in a life that is stored
+    others: int  # members in the view, without this relay
+    answered_ago: int | None  # nanoseconds since any member answered; None: none ever has
     alone_timeout: int
     suspects: int
     recently_failed: int
-    changed: bool  # the view changed since the last look
-    agreeing: int  # of those whose view is known: how many hold this one
+    changed: bool  # the view changed since the last update
+    agreeing: int  # members known to hold the same view
     differing: int
-    slow: int  # local health
+    slow: int  # local health multiplier
 
 
 def judge(facts: Facts) -> tuple[Condition, str]:
-    """The condition that the facts speak for, and the fact in words."""
+    """Returns the condition that follows from the facts, and the reason in words."""
     if not facts.active:
-        return Condition.JOINING, "its name is in doubt"
+        return Condition.JOINING, "it is not active under its name"
     if not facts.joined:
         return Condition.JOINING, "no full exchange yet"
     if facts.others == 0:
-        return Condition.ALONE, "nobody else is in its view"
+        return Condition.ALONE, "no other member is in its view"
     if facts.answered_ago is None or facts.answered_ago > facts.alone_timeout:
-        return Condition.ALONE, "nobody answers"
+        return Condition.ALONE, "no member answers"
     if facts.recently_failed >= max(2, (facts.others + 1 + facts.recently_failed) // 5):
-        return Condition.CUT_OFF, f"{facts.recently_failed} failed lately, {facts.others} others are left"
+        return Condition.CUT_OFF, f"{facts.recently_failed} failed recently, {facts.others} others remain"
     if facts.suspects:
         return Condition.UNSETTLED, f"{facts.suspects} suspected"
     if facts.changed:
@@ -86,18 +86,21 @@
 
 
 class ConditionTracker:
-    """The condition over time: the worst that was seen within ``calm``, the last look ahead of that time included."""
+    """The condition over time: the worst that was seen within ``settle_time``, including the last update before that
+    period."""
 
     def __init__(self, now: int) -> None:
         self.condition = Condition.JOINING
         self.since = now
         self.why = "it has just started"
-        # The conditions seen that nothing worse came behind, worst first, so at most as many as there are. Each stands
-        # with the moment from which on nothing worse was seen: there the one before it ended.
+        # The conditions seen that were not followed by a worse one, worst first, so there are at most as many as
+        # conditions. Each is stored with the time since which nothing worse was seen, which is when the entry before it
+        # ended.
         self._seen: deque[tuple[int, Condition]] = deque([(now, Condition.JOINING)])
 
     def update(self, now: int, facts: Facts, settle_time: int) -> bool:
-        """Take the facts of a moment; whether the condition changed. ``calm``: how long doubt has to be away."""
+        """Applies the facts of a moment; returns whether the condition changed. ``settle_time`` is how long better
+        facts have to last before the condition improves."""
         seen, why = judge(facts)
         better_since = now
         while self._seen and self._seen[-1][1] < seen:
@@ -115,5 +118,5 @@
         return True
 
     def improves_at(self, settle_time: int) -> int | None:
-        """When it may step out of doubt, if nothing comes in between."""
+        """Returns when the condition may improve if nothing changes until then."""
         return None if len(self._seen) < 2 else self._seen[1][0] + settle_time
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -1,4 +1,5 @@
-"""One relay in its fleet: carries out what `members/` decides. Imported only where `[fleet]` is switched on."""
+"""Runs one relay's fleet membership: executes the effects that `members/` decides on. Imported only if `[fleet]` is
+enabled."""
 
 from __future__ import annotations
 
@@ -30,11 +31,12 @@
 log = logging.getLogger(__name__)
 
 MAX_TASKS = 64
-SEQUENCE_GAP = 1 << 20  # numbers that an upgraded process leaves out: its forerunner may have used some more
+# Sequence numbers skipped after an upgrade: the previous process may have used some after it passed its state on.
+SEQUENCE_GAP = 1 << 20
 
 
 class HandoverState(msgspec.Struct):
-    """What one process of a relay hands to the next: the same member goes on."""
+    """What a process passes to its successor during an upgrade, so that the same member continues."""
 
     own: Claim
     sequence: int
@@ -42,8 +44,8 @@
 
 
 def _as_configured(own: Claim, place: SocketAddress, config: FleetConfig) -> Claim:
-    """A member's claim in the process that goes on as it. What the new options change takes the next incarnation, so that
-    it holds everywhere over the claim of before."""
+    """Returns the member's claim in the process that takes over. If the new options change the claim, it takes the
+    next incarnation, so that it supersedes the previous claim on all members."""
     now = msgspec.structs.replace(
         own, host=place.host, port=place.port, speaks=config.settings.versions, zone=config.zone
     )
@@ -53,7 +55,7 @@
 
 
 class Fleet:
-    """A member."""
+    """This relay as a member of the fleet."""
 
     def __init__(
         self, config: FleetConfig, name: str, state: Path, sync: bool, passed: dict[str, Any] | None = None
@@ -64,23 +66,24 @@
         self.closed = False
         self.transport = Transport(fr.Codec(config.secrets()), self._on_frame)
         self.members: Membership | None = None
-        self.leases: Leases | None = None  # None: not switched on
+        self.leases: Leases | None = None  # None: leases are not enabled
         self._passed = None if passed is None else msgspec.convert(passed, HandoverState)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> SocketAddress:
-        """Take the address, keep the life number, and begin. OSError where either can't be."""
+        """Binds the address, stores the life number and starts the protocol. Raises OSError if binding or storing
+        fails."""
         found = await self.transport.start(self.config.listen, self._answer)
         place = self.config.advertise or found
-        kept = self.file.read()
+        stored = self.file.read()
         seeds = list(self.config.seeds)
-        if kept is not None:  # the seeds may all be down: others were there in an earlier life
-            seeds += [SocketAddress(*each) for each in kept.places if SocketAddress(*each) not in seeds]
+        if stored is not None:  # the seeds may all be down: these addresses were other members' in an earlier life
+            seeds += [SocketAddress(*each) for each in stored.places if SocketAddress(*each) not in seeds]
         now = time.monotonic_ns()
         if self._passed is None:
-            life = 1 if kept is None else kept.life + 1
+            life = 1 if stored is None else stored.life + 1
             self.file.store(life, seeds)
             own = Claim(
                 self.name,
@@ -111,7 +114,7 @@
         if self.config.leases is None:
             return
         from garnetrelay.fleet.lease_service import Leases
-        from garnetrelay.fleet.leases import codec  # only where they are switched on
+        from garnetrelay.fleet.leases import codec  # imported only if leases are enabled
 
         assert self.members is not None
         self.leases = Leases(
@@ -121,14 +124,14 @@
         self.leases.start()
 
     def leave(self) -> None:
-        """Tell the others that this life ends."""
+        """Announces to the other members that this relay leaves."""
         if self.members is not None and not self.closed:
             if self.leases is not None:
                 self.leases.leave()
             self._carry_out(self.members.leave(time.monotonic_ns()))
 
     def close(self) -> None:
-        """Say and hear nothing any more; the address is free at once."""
+        """Stops sending and receiving; the address is free immediately."""
         if self.leases is not None:
             self.leases.close()
         self.closed = True
@@ -139,7 +142,7 @@
             task.cancel()
 
     def passing(self) -> dict[str, Any] | None:
-        """This member, for the process that goes on as it; None where it has no part in the fleet now."""
+        """Returns this member's state for the process that takes over; None if the relay is not an active member now."""
         members = self.members
         if members is None or not members.local.active:
             return None
@@ -147,7 +150,7 @@
         return msgspec.to_builtins(found)  # type: ignore[no-any-return]
 
     def read_secrets(self) -> None:
-        """SIGHUP: the secrets as their file has them now; one that can't be used changes nothing."""
+        """Reloads the secrets from their file (SIGHUP); a file that cannot be used changes nothing."""
         try:
             found = self.config.secrets()
             self.transport.codec = fr.Codec(found)
@@ -159,25 +162,26 @@
             log.info("fleet: %d secrets read", len(self.transport.codec.good))
 
     def fleet_view(self) -> FleetView:
-        """Who is there, in which zone, and what may be relied on: the read for other parts of the relay."""
+        """Returns the members of the view, their zones and what the view may be used for. Other parts of the relay
+        read this."""
         assert self.members is not None
         return self.members.fleet_view()
 
-    # ---- staff
+    # ---- operator commands
 
     def listing(self) -> str:
-        """This relay and all others, a JSON object a line."""
+        """Returns the status of this relay and of all other members, one JSON object per line."""
         assert self.members is not None
         now = time.monotonic_ns()
         return _json_lines((status.state(self.members, now), *status.lines(self.members, now)))
 
     def explain(self, name: str) -> list[str] | None:
-        """Why a member is held for what it is."""
+        """Explains the status of a member in sentences; None if the name is not known."""
         assert self.members is not None
         return status.explain(self.members, name, time.monotonic_ns())
 
     def owners(self, destination: int | None) -> str | None:
-        """What this relay owns, a JSON object a line, or one destination; None where leases are not switched on."""
+        """Returns what this relay owns, or one destination, one JSON object per line; None if leases are not enabled."""
         if self.leases is None:
             return None
         from garnetrelay.fleet import clock, lease_status
@@ -187,7 +191,7 @@
         return _json_lines([lease_status.destination(self.leases, destination, clock.now())])
 
     def controllers(self) -> str | None:
-        """Each controller as this relay sees it, a JSON object a line; None where leases are not switched on."""
+        """Returns each controller as this relay sees it, one JSON object per line; None if leases are not enabled."""
         if self.leases is None:
             return None
         from garnetrelay.fleet import clock, lease_status
@@ -195,7 +199,7 @@
         return _json_lines(lease_status.controllers(self.leases, clock.now()))
 
     def metrics(self) -> str:
-        """The fleet's part of the figures, a line each; with that of leases where they are on."""
+        """Returns the fleet's part of the metrics, one per line, with those of leases if they are enabled."""
         assert self.members is not None
         transport = self.transport
         found = status.metrics(
@@ -212,7 +216,7 @@
 
         return found + lease_status.figures(self.leases, clock.now())
 
-    # ---- what happens
+    # ---- events and effects
 
     def _on_frame(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
         if self.members is not None and not self.closed:
@@ -250,7 +254,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _store_life(self, life: int) -> None:
-        """On record first, then used."""
+        """Stores a life before it is used."""
         assert self.members is not None
         places = [member.claim.address for member in self.members.table.members.values()][:MAX_ADDRESSES]
         try:
@@ -263,7 +267,7 @@
             self._carry_out(self.members.life_stored(time.monotonic_ns(), life))
 
     async def _exchange(self, place: SocketAddress) -> None:
-        """Hello, Whole, Whole: this side begins."""
+        """Runs a full exchange that this relay starts: Hello, Whole, Whole."""
         assert self.members is not None
         stream: Stream | None = None
         try:
@@ -276,7 +280,7 @@
                 await stream.send(hello, 1)
                 whole = await stream.receive()
                 if not isinstance(whole, fr.Whole):
-                    raise ValueError(f"{type(whole).__name__} in place of all that it holds")
+                    raise ValueError(f"{type(whole).__name__} frame instead of Whole")
                 ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
                 self._carry_out(effects)
                 await stream.send(ours, min(whole.sender.speaks, self.config.settings.versions))
@@ -288,16 +292,16 @@
                 self.transport.release()
 
     async def _answer(self, stream: Stream) -> None:
-        """The other side begins."""
+        """Answers a full exchange that another member starts."""
         hello = await stream.receive()
         if not isinstance(hello, fr.Hello) or self.members is None or self.closed:
-            raise ValueError("not a hello")
+            raise ValueError("the first frame of an exchange is not Hello")
         asked_at = time.monotonic_ns()
         whole = self.members.answer_hello(asked_at, hello)
         await stream.send(whole, min(hello.sender.speaks, self.config.settings.versions))
         theirs = await stream.receive()
         if not isinstance(theirs, fr.Whole) or self.closed:
-            raise ValueError("not all that it holds")
+            raise ValueError("the last frame of an exchange is not Whole")
         _, effects = self.members.receive_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
         self._carry_out(effects)
 
--- a/garnetrelay/fleet/signing.py
+++ b/garnetrelay/fleet/signing.py
@@ -1,9 +1,9 @@
-"""Frames signed with a secret that the fleet shares. No I/O.
+"""Signed frames: an HMAC keyed with a secret that all relays of the fleet share. No I/O.
 
     bytes 0-1 magic, 2 version, 3 number of the secret, 4-19 keyed digest (HMAC-SHA256, RFC 2104, its first 16 bytes, over
     context, version and body), then the body.
 
-Each protocol has its own magic, versions and context; what is signed for one is refused by another of another context.
+Each protocol has its own magic, versions and context, so a frame signed for one protocol is refused by another.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 import hmac
 from collections.abc import Container
 
-HEADER_BYTES = 20  # bytes before the body
-MIN_SECRET_BYTES = 16  # bytes
+HEADER_BYTES = 20
+MIN_SECRET_BYTES = 16
 
 
 class FrameRefusedError(ValueError):
-    """A frame that is not used; ``cause`` is one word for the figures."""
+    """Raised for a frame that is discarded; ``cause`` is one word for the metrics."""
 
     def __init__(self, cause: str) -> None:
         super().__init__(cause)
@@ -25,7 +25,7 @@
 
 
 class Signing:
-    """Bodies to frames and back. The first secret signs; all are good."""
+    """Signs bodies and verifies frames. The first secret signs; all secrets are accepted."""
 
     def __init__(self, magic: bytes, versions: Container[int], secrets: list[bytes], context: bytes = b"") -> None:
         self.signing = secrets[0]
@@ -35,11 +35,12 @@
         self._context = context
 
     def sign(self, body: bytes, version: int) -> bytes:
-        """A body behind its head."""
+        """Returns the body preceded by its signed header."""
         return b"%s%c%c%s%s" % (self._magic, version, self.good[0][0], self._digest(self.signing, version, body), body)
 
     def open(self, data: bytes, max_bytes: int) -> tuple[int, bytes]:
-        """Version and body of a frame of at most so many bytes; FrameRefusedError with a cause."""
+        """Verifies a frame of at most ``max_bytes`` bytes and returns its version and body. Raises FrameRefusedError
+        with the cause."""
         if len(data) > max_bytes:
             raise FrameRefusedError("long")
         if len(data) <= HEADER_BYTES or data[:2] != self._magic:
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -1,14 +1,17 @@
-"""A member on the simulator's wire: its frames go by `post` and come by `mail`, 256 bytes each. No I/O.
-
-A relay's number (`me`) stands for its address, and the settings say how many there are: all begin with the same view,
-in which each is there (`presumed`), so nobody has to ask for it. That they are there still has to be heard from them.
-There are no connections: a full exchange goes in pieces, each a frame of its own that answers the same question, and
-holds only what is other than presumed. Both sides presume the same: the join of their words is what it would be with all.
-
-The folder of a simulated relay does not last. A process that follows another within the time of a suspicion is the same
-member: its frames' numbers go on by the day's clock, which is one for all, and nobody has to be told. One that comes
-later hears that its life has ended, and goes on in the next. So a life does not say here whether a process has forgotten
-what it promised: whoever lends has to wait out its leases after its start.
+"""A fleet member on the simulator's wire: it sends frames with `post` and receives them with `mail`, 256 bytes each.
+No I/O.
+
+A relay's number (`me`) stands for its address, and the settings give the number of relays: all start with the same
+view, in which every relay is a member (`initial_claims`), so no discovery is needed. That the others are up still has
+to be observed. There are no connections: a full exchange is sent in pieces, each a frame of its own that answers the
+same request and contains only claims that differ from the initial ones. Both sides start with the same initial claims,
+so the join of their claims is the same as if all were sent.
+
+The folder of a simulated relay is not persistent. A process that starts within the suspicion time after the previous
+one is the same member: its sequence numbers continue by the simulated clock, which is the same for all relays, and no
+relay has to be notified. A process that starts later learns that its life has ended, and continues in the next one. So
+the life number does not show here whether a process has lost the promises of its predecessor: a relay that grants
+leases has to wait for them to expire after its start.
 """
 
 from __future__ import annotations
@@ -27,10 +30,10 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 
-MAX_NOTE_BYTES = 256  # bytes of a note
+MAX_NOTE_BYTES = 256
 SECRET = b"all relays of a simulated day"
 PORT = 1
-# Notes cost: few words on them, and full exchanges only where views are seen to differ.
+# Notes cost points: few observations per note, and full exchanges only if views are known to differ.
 SETTINGS = Settings(
     max_frame_bytes=MAX_NOTE_BYTES,
     max_observations=4,
@@ -39,30 +42,30 @@
     exchange_interval=3600 * SECOND,
     digests=False,
 )
-MIN_TRIES_PER_S = 0.2  # first tries of a relay a second: some 200 relays at limits of a few calls
-MAX_COST_SHARE = 0.01  # of a day's result, that notes may cost at most at so many tries
-TYPICAL_NOTE_BYTES = 128  # bytes
-SEQUENCE_STEP_NS = 1000  # nanoseconds of the day for one number of a frame: no relay sends more
-MAX_OPEN_EXCHANGES = 64  # full exchanges that may still be answered
-FIRST_TIMER_TOKEN = 1 << 40  # timers of a member have numbers from here on: the module's are lower
+MIN_TRIES_PER_S = 0.2  # first tries per relay: some 200 relays at limits of a few calls
+MAX_COST_SHARE = 0.01  # share of a day's result that notes may cost at that number of tries
+TYPICAL_NOTE_BYTES = 128
+SEQUENCE_STEP_NS = 1000  # simulated time per sequence number: no relay sends faster
+MAX_OPEN_EXCHANGES = 64  # full exchanges that may still be answered, and that were answered last
+FIRST_TIMER_TOKEN = 1 << 40  # the decision module's timers have lower numbers
 
 
 class Post(NamedTuple):
-    """A note to a relay."""
+    """A note to another relay."""
 
     to: int
     data: bytes
 
 
 class Wake(NamedTuple):
-    """A timer: so long from now, with this number."""
+    """A timer that expires after a delay, with its number."""
 
     after: int
     token: int
 
 
 class Line(NamedTuple):
-    """For the log."""
+    """A line for the log."""
 
     text: str
 
@@ -71,18 +74,18 @@
 
 
 def address_of(relay: int) -> SocketAddress:
-    """The address that stands for a relay's number."""
+    """Returns the address that represents a relay's number."""
     return SocketAddress(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
 
 
 def relay_at(at: SocketAddress) -> int:
-    """The relay that an address stands for."""
+    """Returns the relay number that an address represents."""
     _, high, middle, low = (int(part) for part in at.host.split("."))
     return high << 16 | middle << 8 | low
 
 
 def initial_claims(relays: int) -> dict[str, Claim]:
-    """What every relay holds at its beginning, by name."""
+    """Returns the claims that every relay starts with, by name."""
     return {
         f"r{relay}": Claim(f"r{relay}", 1, 0, 1, 0, Status.ALIVE, *address_of(relay), SETTINGS.versions)
         for relay in range(relays)
@@ -90,14 +93,14 @@
 
 
 def settings_at(price: float) -> Settings:
-    """The time between two probes follows from what notes cost (``price``: points for 256 bytes a first try): a question
-    and its answer in each may take ``WORTH`` off the result."""
+    """Derives the probe interval from the cost of notes (``price``: points for 256 bytes per first try): one request
+    and its answer per interval may cost ``MAX_COST_SHARE`` of the result."""
     every = 2 * TYPICAL_NOTE_BYTES / MAX_NOTE_BYTES * price / (MAX_COST_SHARE * MIN_TRIES_PER_S)
     return dataclasses.replace(SETTINGS, probe_interval=max(SETTINGS.probe_interval, int(every * SECOND)))
 
 
 class SimulatorMember:
-    """One relay's part in the fleet of a simulated day."""
+    """One relay's membership in a simulated fleet."""
 
     def __init__(self, me: int, relays: int, seed: int, now: int, price: float = 0.0) -> None:
         self.codec = fr.Codec([SECRET])
@@ -109,20 +112,20 @@
         )
         self._first = self.members.start_with(now, list(others.values()))
         self.refused = 0
-        self._exchanges_asked: dict[int, int] = {}  # when a full exchange was asked for, by its number
+        self._exchanges_asked: dict[int, int] = {}  # when each full exchange was requested, by its number
         self._exchanges_answered: deque[int] = deque(maxlen=MAX_OPEN_EXCHANGES)
         self._token = FIRST_TIMER_TOKEN
 
     def begin(self, now: int) -> list[Reply]:
-        """The first timer."""
+        """Starts the member; returns its first timer."""
         return self._carry_out(now, self._first)
 
     def alarm(self, now: int, token: int) -> list[Reply]:
-        """A timer of its own has come; only the newest counts."""
+        """Handles a timer of this member; only the newest counts."""
         return self._carry_out(now, self.members.tick(now)) if token == self._token else []
 
     def mail(self, now: int, origin: int, data: bytes) -> list[Reply]:
-        """A note has come. One that can't be used changes nothing."""
+        """Handles a note; one that cannot be used changes nothing."""
         try:
             frame = self._decode(data)
         except fr.Refused:
@@ -140,7 +143,7 @@
             ours, effects = self.members.receive_whole(now, frame, frame.number, asked_at)
             if not frame.ask or frame.ask in self._exchanges_answered:
                 return self._carry_out(now, effects)
-            self._exchanges_answered.append(frame.ask)  # many pieces ask for ours: it goes back once
+            self._exchanges_answered.append(frame.ask)  # several pieces request this relay's claims: they are sent once
             return self._carry_out(now, effects, list(self._pieces(origin, ours)))
         return self._carry_out(now, self.members.receive(now, frame, address_of(origin)))
 
@@ -153,13 +156,13 @@
         return self.codec.decode(data, exchange=True)
 
     def _remember(self, asked: int, now: int) -> None:
-        """A question that pieces may answer for a while."""
+        """Remembers a request that pieces may answer for a while."""
         self._exchanges_asked[asked] = now
         while len(self._exchanges_asked) > MAX_OPEN_EXCHANGES:
             del self._exchanges_asked[next(iter(self._exchanges_asked))]
 
     def _pieces(self, to: int, whole: fr.Whole) -> Iterator[Post]:
-        """What a frame holds beyond what is presumed, in notes."""
+        """Yields the claims of a frame that differ from the initial ones, in notes."""
         room = MAX_NOTE_BYTES - fr.HEADER_BYTES - 64 - whole.sender.size()
         claims = [claim for claim in whole.claims if claim != self.initial_claims.get(claim.name)]
         while True:
@@ -187,7 +190,7 @@
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
                     made.append(Post(relay_at(at), self.codec.encode(hello, 1)))
-                case StoreLife(life):  # there is no folder: kept at once
+                case StoreLife(life):  # there is no folder: counts as stored at once
                     waiting += self.members.life_stored(now, life)
                 case LogLine(text, _):
                     made.append(Line(f"fleet: {text}"))
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -1,4 +1,4 @@
-"""What staff are told of the fleet: lines, and figures in the text form of Prometheus. No I/O."""
+"""Fleet status for operators: status lines, and metrics in the Prometheus text format. No I/O."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """A member as this relay holds it. Times in seconds, None where there is none."""
+    """Another member as this relay sees it. Times are in seconds; None if not known."""
 
     name: str
     life: int
-    born: int  # the life in which its process began
+    born: int  # the life in which its process started
     status: str
     place: str
-    word_age: float | None  # it was there so long ago at most
+    word_age: float | None  # it was up at most this long ago
     view: str  # "same", "other" or "unknown"
     path: str
     by: str
-    since: float  # this status
+    since: float  # time in this status
     zone: int = 0  # 0: not known
 
 
 class State(msgspec.Struct, frozen=True):
-    """This relay itself."""
+    """The state of this relay itself."""
 
     name: str
     life: int
@@ -44,13 +44,13 @@
     same: int
     other: int
     oldest_word: float | None
-    word_bound: float  # what that age may reach where links are whole
+    word_bound: float  # upper bound of that age while all links work
     slow: int
     zone: int = 0  # 0: not known
 
 
 def state(members: Membership, now: int) -> State:
-    """What this relay's picture is worth."""
+    """Returns the state of this relay and its view."""
     same, other = members.count_views()
     ages = [members.age(name, now) for name in members.table.members]
     oldest = None if not ages or None in ages else max(age for age in ages if age is not None) / 1e9
@@ -74,13 +74,13 @@
 
 
 def lines(members: Membership, now: int) -> Iterator[Line]:
-    """All others, by name; those that have gone behind."""
+    """Yields the status of all other members by name, departed ones last."""
     for member in sorted(members.table, key=lambda member: (member.claim.final, member.claim.name)):
         yield line(members, member, now)
 
 
 def line(members: Membership, member: Member, now: int) -> Line:
-    """What is said of one member: ages in seconds, and whether it holds the view of ``members``."""
+    """Returns the status of one member; ages are in seconds."""
     claim = member.claim
     fresh = member.seen_at is not None and member.seen_at >= members.view_changed_at and member.seen_view >= 0
     return Line(
@@ -99,75 +99,86 @@
 
 
 def explain(members: Membership, name: str, now: int) -> list[str] | None:
-    """Why a member is held for what it is, in sentences; None where the name is not known."""
+    """Explains a member's status in sentences; None if the name is not known."""
     if name == members.local.claim.name:
         return _explain_self(members, now)
     member = members.table.get(name)
     if member is None:
         return None
-    claim, told = member.claim, line(members, member, now)
-    said = [f"{claim.said()}, for {told.since:.1f} s; at {claim.address}, reads frames up to version {claim.speaks}"]
+    claim, status = member.claim, line(members, member, now)
+    sentences = [
+        f"{claim.describe()}, for {status.since:.1f} s; at {claim.address}, reads frames up to version {claim.speaks}"
+    ]
     if claim.born < claim.life:
-        said.append(f"its process began in life {claim.born}, and went on in this one after others held it for failed")
+        sentences.append(
+            f"its process started in life {claim.born} and continued in this one after it was declared failed"
+        )
     if claim.status is Status.SUSPECT and member.suspicion is not None:
-        left = (members.local_view.suspicion_deadline(member) - now) / 1e9
+        remaining = (members.local_view.suspicion_deadline(member) - now) / 1e9
         also = ", ".join(sorted(member.suspicion.confirmed_by)) or "nobody else"
-        said.append(f"suspected by {claim.by}, also by {also}; failed in {left:.1f} s unless it speaks up")
+        sentences.append(
+            f"suspected by {claim.by}, also by {also}; failed in {remaining:.1f} s unless it refutes the suspicion"
+        )
     if claim.status is Status.FAILED:
-        said.append(f"judged by {claim.by}; this life does not come back, the relay may in its next")
-    if told.word_age is None:
-        said.append("no word of it in this life")
+        sentences.append(f"declared failed by {claim.by}; this life does not come back, the relay may return in its next")
+    if status.word_age is None:
+        sentences.append("it has not been observed in this life")
     else:
-        said.append(
-            f"it was there {told.word_age:.1f} s ago or later"
-            + ("" if member.answered_directly else ", by what others said: it has never answered this relay itself")
+        sentences.append(
+            f"it was up {status.word_age:.1f} s ago or later"
+            + (
+                ""
+                if member.answered_directly
+                else ", according to other members: it has never answered this relay itself"
+            )
         )
     if not claim.final:
-        said.append(
+        sentences.append(
             {
-                "same": "it held this relay's view then",
-                "other": "it held another view then",
-                "unknown": "whether it holds this relay's view is not known yet",
-            }[told.view]
+                "same": "it had the same view as this relay then",
+                "other": "it had another view then",
+                "unknown": "whether it has the same view as this relay is not known yet",
+            }[status.view]
         )
     if member.link_state is not LinkState.WHOLE:
-        said.append(
+        sentences.append(
             f"{member.link_state.value}, for {(now - member.link_state_since) / 1e9:.1f} s; "
             f"{member.reached_through} reaches it: a link is at fault, not the relay"
         )
-    return said
+    return sentences
 
 
 def _explain_self(members: Membership, now: int) -> list[str]:
-    own, told = members.local, state(members, now)
-    said = [
-        f"this relay: {own.claim.said()}, {told.condition} for {told.since:.1f} s: {told.why}",
-        f"to be relied on: {told.relies}",
-        f"{told.members} in its view {told.view}: {told.same} others are known to hold it, {told.other} another one",
+    own, own_state = members.local, state(members, now)
+    sentences = [
+        f"this relay: {own.claim.describe()}, {own_state.condition} for {own_state.since:.1f} s: {own_state.why}",
+        f"usable: {own_state.relies}",
+        f"{own_state.members} in its view {own_state.view}: {own_state.same} others are known to have the same view, "
+        f"{own_state.other} another one",
     ]
     if own.name_holder is not None:
-        said.append(
-            f"it stands aside for {own.name_holder.said()} at {own.name_holder.address}, a process of the same name"
+        sentences.append(
+            f"inactive because of {own.name_holder.describe()} at {own.name_holder.address}, a process of the same name"
         )
     if own.wanted_life:
-        said.append(f"it goes on in life {own.wanted_life} once that number is in its folder")
+        sentences.append(f"it continues in life {own.wanted_life} once that number is stored in its folder")
     if own.left:
-        said.append("it has left the fleet and acts alone")
+        sentences.append("it has left the fleet and acts alone")
     if members.slow:
-        said.append(f"it has been slow: its probes and judgements take {members.slow + 1} times as long")
-    return said
+        sentences.append(f"it has been slow: its probes and failure declarations take {members.slow + 1} times as long")
+    return sentences
 
 
 def metrics(members: Membership, refused: Counter[str], frames_out: int, bytes_in: int, bytes_out: int, now: int) -> str:
-    """The fleet's part of the figures, a line each."""
-    told, count = state(members, now), Counter(member.claim.status.name.lower() for member in members.table)
+    """Returns the fleet's part of the metrics, one per line."""
+    own_state, count = state(members, now), Counter(member.claim.status.name.lower() for member in members.table)
     rows: list[tuple[str, float]] = [
-        ("members", told.members),
+        ("members", own_state.members),
         ("condition", float(members.condition)),
-        ("life", told.life),
-        ("views_same", told.same),
-        ("views_other", told.other),
-        ("slow", told.slow),
+        ("life", own_state.life),
+        ("views_same", own_state.same),
+        ("views_other", own_state.other),
+        ("slow", own_state.slow),
         ("suspicions", members.local_view.counters.suspected),
         ("judged_failed", members.local_view.counters.failed),
         ("refuted", members.local_view.counters.refuted),
@@ -176,8 +187,8 @@
         ("bytes_in", bytes_in),
         ("bytes_out", bytes_out),
     ]
-    if told.oldest_word is not None:
-        rows.append(("oldest_word_seconds", told.oldest_word))
+    if own_state.oldest_word is not None:
+        rows.append(("oldest_word_seconds", own_state.oldest_word))
     rows += [(f'others{{status="{status}"}}', count[status]) for status in ("alive", "suspect", "failed", "left")]
     rows += [
         (f'frames_in{{kind="{escaped(kind.lower())}"}}', number)
--- a/garnetrelay/fleet/transport.py
+++ b/garnetrelay/fleet/transport.py
@@ -1,7 +1,8 @@
-"""The fleet's only sockets: datagrams, and TCP for full exchanges, on one address.
+"""The fleet's sockets: UDP datagrams and TCP connections for full exchanges, on one address.
 
-Bounded: frames read in a round and in a second, exchanges at once in each direction, the bytes and the time of one. What
-goes over is dropped and counted; every frame may be lost anyhow.
+Bounded: the datagrams read per loop iteration and per second, the concurrent exchanges in each direction, and the
+bytes and duration of one exchange. Anything beyond a bound is dropped and counted, since the protocol has to tolerate
+lost frames anyway.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_TICK = 64  # datagrams read in a round of the loop
-MAX_DATAGRAMS_PER_S = 4000  # datagrams taken; 1,000 members that all ask at once
-MAX_INBOUND_EXCHANGES = 8  # exchanges that others began
-MAX_OUTBOUND_EXCHANGES = 2
-EXCHANGE_TIMEOUT_S = 3.0  # seconds for the whole of one
-RECEIVE_BUFFER_BYTES = 1 << 18  # bytes of the kernel's, for a process that was stopped for a while
+MAX_DATAGRAMS_PER_TICK = 64  # datagrams read in one iteration of the event loop
+MAX_DATAGRAMS_PER_S = 4000  # enough for 1,000 members that all probe at the same time
+MAX_INBOUND_EXCHANGES = 8  # concurrent exchanges started by other members
+MAX_OUTBOUND_EXCHANGES = 2  # concurrent exchanges started by this relay
+EXCHANGE_TIMEOUT_S = 3.0  # for one whole exchange
+RECEIVE_BUFFER_BYTES = 1 << 18  # kernel buffer; holds the datagrams that arrive while the process is stopped for a while
 LENGTH = struct.Struct(">I")
-BIND_TRIES = 40  # an upgraded process has just let go of the address
+BIND_TRIES = 40  # the previous process may have released the address only just before
 BIND_RETRY_S = 0.05
 
 FrameHandler = Callable[[fr.AnyFrame, SocketAddress], None]
@@ -33,15 +34,13 @@
 
 
 class Transport:
-    """Frames in and out of one process."""
+    """Sends and receives the frames of one process."""
 
     def __init__(self, codec: fr.Codec, on_frame: FrameHandler) -> None:
         self.codec = codec
         self.refused: Counter[str] = Counter()
         self.bytes_in = self.bytes_out = self.frames_out = 0
-        self.protocols: dict[
-            bytes, DatagramHandler
-        ] = {}  # others on this address, by the first two bytes; they count apart
+        self.protocols: dict[bytes, DatagramHandler] = {}  # by the first two bytes; they count their own traffic
         self._on_frame = on_frame
         self._loop = asyncio.get_running_loop()
         self._datagrams: socket.socket | None = None
@@ -53,7 +52,8 @@
         self._received = 0
 
     async def start(self, listen: SocketAddress, answer: Callable[[Stream], Awaitable[None]]) -> SocketAddress:
-        """Take the address; the one that came of it. ``answer`` is called for each exchange that another begins."""
+        """Binds the address and returns the one actually bound. ``answer`` is called for each exchange that another
+        member starts."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             stream = Stream(self, reader, writer)
@@ -66,7 +66,7 @@
                 async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                     await answer(stream)
             except (OSError, TimeoutError, EOFError, ValueError) as error:
-                log.debug("fleet: an exchange that another began broke off: %s", error)
+                log.debug("fleet: an exchange started by another member was aborted: %s", error)
             finally:
                 self._inbound -= 1
                 stream.close()
@@ -98,7 +98,7 @@
         return found
 
     def close(self) -> None:
-        """Let go of the address, at once."""
+        """Closes the sockets, which frees the address immediately."""
         if self._datagrams is not None:
             self._loop.remove_reader(self._datagrams)
             self._datagrams.close()
@@ -108,21 +108,21 @@
             self._server = None
 
     def send(self, address: SocketAddress, frame: fr.Frame, version: int) -> None:
-        """A datagram; one that can't go now is lost, as others are on their way."""
+        """Sends a frame as a datagram. One that cannot be sent now is dropped, like a datagram lost on the network."""
         data = self.codec.encode(frame, version)
         if self.send_bytes(address, data):
             self.frames_out += 1
             self.bytes_out += len(data)
 
     def send_bytes(self, address: SocketAddress, data: bytes) -> bool:
-        """The same for a datagram of any protocol; whether it went."""
+        """Sends a datagram of any protocol; returns whether it was sent."""
         if self._datagrams is None:
             return False
         try:
             self._datagrams.sendto(data, address)
         except OSError as error:
             self.refused["not sent"] += 1
-            log.debug("fleet: to %s: %s", address, error)
+            log.debug("fleet: cannot send a datagram to %s: %s", address, error)
             return False
         return True
 
@@ -134,8 +134,8 @@
                 data, source = self._datagrams.recvfrom(fr.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # an earlier one did not arrive: that is told here
-                log.debug("fleet: %s", error)
+            except OSError as error:  # the error of an earlier datagram that did not arrive is reported here
+                log.debug("fleet: receive error: %s", error)
                 continue
             self._dispatch(data, SocketAddress(*source[:2]))
 
@@ -164,7 +164,7 @@
         return self._received > MAX_DATAGRAMS_PER_S
 
     async def connect(self, address: SocketAddress) -> Stream | None:
-        """A connection for an exchange; None where as many as may be are open."""
+        """Opens a connection for an exchange; returns None if the maximum number is open already."""
         if self._outbound >= MAX_OUTBOUND_EXCHANGES or self._server is None:
             return None
         self._outbound += 1
@@ -178,12 +178,12 @@
         return Stream(self, reader, writer)
 
     def release(self) -> None:
-        """An exchange that this side began is over."""
+        """Releases the slot of an exchange that this relay started."""
         self._outbound -= 1
 
 
 class Stream:
-    """One connection of an exchange: frames behind their length (4 bytes, big-endian)."""
+    """One connection of an exchange: each frame is preceded by its length (4 bytes, big-endian)."""
 
     def __init__(self, transport: Transport, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._transport = transport
@@ -191,18 +191,18 @@
         self._writer = writer
 
     async def send(self, frame: fr.Frame, version: int) -> None:
-        """Write a frame, and wait where the other side does not read; OSError where the connection is lost."""
+        """Writes a frame and waits while the send buffer is full. Raises OSError if the connection is lost."""
         data = self._transport.codec.encode(frame, version)
         self._writer.write(LENGTH.pack(len(data)) + data)
         self._transport.bytes_out += len(data) + LENGTH.size
         await self._writer.drain()
 
     async def receive(self) -> fr.AnyFrame:
-        """The next frame; EOFError or ValueError where none comes that can be used."""
+        """Returns the next frame. Raises EOFError or ValueError if no usable frame arrives."""
         (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
         if length > fr.MAX_EXCHANGE_BYTES:
             self._transport.refused["long"] += 1
-            raise ValueError(f"a frame of {length} bytes")
+            raise ValueError(f"frame of {length} bytes is too long")
         data = await self._reader.readexactly(length)
         self._transport.bytes_in += length + LENGTH.size
         try:
@@ -212,5 +212,5 @@
             raise
 
     def close(self) -> None:
-        """End the connection; what is written goes out first."""
+        """Closes the connection after the data already written has been sent."""
         self._writer.close()
--- a/tests/fleet/test_life_and_options.py
+++ b/tests/fleet/test_life_and_options.py
@@ -26,8 +26,8 @@
     file = LifeFile(tmp_path, True)
     assert file.read() is None
     file.store(3, [SocketAddress("10.0.0.1", number) for number in range(1, 40)])
-    kept = LifeFile(tmp_path, False).read()
-    assert kept is not None and kept.life == 3 and len(kept.places) == life_file.MAX_ADDRESSES
+    stored = LifeFile(tmp_path, False).read()
+    assert stored is not None and stored.life == 3 and len(stored.places) == life_file.MAX_ADDRESSES
     assert len((tmp_path / life_file.FILE).read_bytes()) <= life_file.MAX_FILE_BYTES
 
 
