--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -68,7 +68,7 @@
             log.error("fleet: the life number can't be read, the others will tell it: %s", error)
             return None
 
-    def store(self, life: int, places: list[SocketAddress]) -> None:
+    def store(self, life: int, addresses: list[SocketAddress]) -> None:
         """Stores a life and up to ``MAX_ADDRESSES`` addresses. Raises OSError if the file cannot be written."""
-        stored = StoredLife(life, [(place.host, place.port) for place in places[:MAX_ADDRESSES]])
+        stored = StoredLife(life, [(address.host, address.port) for address in addresses[:MAX_ADDRESSES]])
         self._folder.replace(FILE, encode(stored), self._sync)
--- a/garnetrelay/fleet/members/claims.py
+++ b/garnetrelay/fleet/members/claims.py
@@ -33,7 +33,7 @@
 Process = Annotated[int, Meta(ge=0, lt=1 << 32)]
 Host = Annotated[str, Meta(min_length=1, max_length=45, pattern="^[0-9a-fA-F.:]+$")]
 Port = Annotated[int, Meta(ge=1, le=65535)]
-Speaks = Annotated[int, Meta(ge=1, le=255)]
+FrameVersion = Annotated[int, Meta(ge=1, le=255)]
 Zone = Annotated[int, Meta(ge=UNKNOWN_ZONE, le=MAX_ZONE)]
 
 
@@ -77,7 +77,7 @@
     status: Status
     host: Host
     port: Port
-    speaks: Speaks  # the highest frame version that it reads
+    max_version: FrameVersion  # the highest frame version that it reads
     by: NameOrNone = ""  # the member that made the claim about another; empty if the member speaks for itself
     # Last and with a default: relays of earlier versions omit it when writing and skip it when reading.
     zone: Zone = UNKNOWN_ZONE  # machines of one zone may fail together
@@ -104,7 +104,7 @@
             return self.life, self.process, 1, self.status, self.incarnation
         return self.life, self.process, 0, self.incarnation, self.status
 
-    def judged(self, status: Status, by: str, incarnation: int | None = None) -> Claim:
+    def with_status(self, status: Status, by: str, incarnation: int | None = None) -> Claim:
         """Returns a claim about the same life with another status."""
         return msgspec.structs.replace(
             self, status=status, by=by, incarnation=self.incarnation if incarnation is None else incarnation
--- a/garnetrelay/fleet/members/digests.py
+++ b/garnetrelay/fleet/members/digests.py
@@ -46,7 +46,7 @@
     excluded: several relays declare it at the same time and each keeps the claim that arrived first. For a suspicion
     it is included, because every relay that suspects counts."""
     by = claim.by if claim.status is Status.SUSPECT else ""
-    text = _encoder.encode((*claim.rank, claim.name, claim.host, claim.port, claim.speaks, claim.zone, by))
+    text = _encoder.encode((*claim.rank, claim.name, claim.host, claim.port, claim.max_version, claim.zone, by))
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest())
 
 
--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -33,7 +33,7 @@
         outgoing: Outgoing,
         settings: Settings,
         effects: list[Effect],
-        draw: random.Random,
+        rng: random.Random,
         now: int,
         seeds: Sequence[SocketAddress],
     ) -> None:
@@ -43,7 +43,7 @@
         self._outgoing = outgoing
         self._settings = settings
         self._effects = effects
-        self._draw = draw
+        self._rng = rng
         self._seeds = seeds
         self._join_tries = 0
         self._next_address: SocketAddress | None = None  # the other side of the next periodic exchange, if already chosen
@@ -51,9 +51,9 @@
 
     # ---- scheduling
 
-    def postpone_until(self, moment: int) -> None:
+    def postpone_until(self, earliest: int) -> None:
         """Starts no periodic exchange before that time."""
-        self.next_at = moment
+        self.next_at = earliest
 
     def join(self, now: int) -> None:
         """Tries the next seed if it is due; after each round over all seeds the interval doubles."""
@@ -62,7 +62,7 @@
         address = self._seeds[self._join_tries % len(self._seeds)]
         self._join_tries += 1
         gap = self._settings.probe_interval // 5 << min(MAX_JOIN_DOUBLINGS, self._join_tries // len(self._seeds))
-        self.join_at = now + gap // 2 + self._draw.randrange(gap)
+        self.join_at = now + gap // 2 + self._rng.randrange(gap)
         self._effects.append(StartExchange(address))
 
     def start_due(self, now: int) -> None:
@@ -70,7 +70,7 @@
         if now < self.next_at:
             return
         gap = self._settings.exchange_gap(self._local_view.count)
-        self.next_at = now + gap // 2 + self._draw.randrange(gap)
+        self.next_at = now + gap // 2 + self._rng.randrange(gap)
         address = self._next_address or self._random_address()
         self._next_address = None
         if address is not None and self._local_view.local.active:
@@ -82,10 +82,9 @@
         backoff, transfer_time = self._settings.settle_time(self._local_view.count), self._bulk_transfer_time()
         if transfer_time > BULK_PERIODS * self._settings.probe_interval:
             backoff = transfer_time
-            if (
-                now - self._repair_at > transfer_time
-            ):  # the difference is recent, and many relays notice it at the same time
-                self._repair_at = now + self._draw.randrange(transfer_time)
+            # The difference is recent, and many relays notice it at the same time.
+            if now - self._repair_at > transfer_time:
+                self._repair_at = now + self._rng.randrange(transfer_time)
         elif now - changed_at < backoff:
             return
         if now < self._repair_at:
@@ -93,26 +92,26 @@
         self._repair_at = now + backoff
         self._effects.append(StartExchange(address))
 
-    def after_new_life(self, now: int, told_by: SocketAddress | None) -> None:
+    def after_new_life(self, now: int, reported_by: SocketAddress | None) -> None:
         """Starts an exchange after this relay has continued in a new life, with the member that reported the end of
         the previous one, or a random one. Immediately if little has changed, otherwise after a random delay, because
         many relays will start one at the same time."""
-        address = told_by or self._random_address()
+        address = reported_by or self._random_address()
         if address is None:
             return
         transfer_time = self._bulk_transfer_time()
         if transfer_time <= BULK_PERIODS * self._settings.probe_interval:
             self._effects.append(StartExchange(address))
             return
-        self.next_at = now + self._draw.randrange(transfer_time)
+        self.next_at = now + self._rng.randrange(transfer_time)
         self._repair_at = now + transfer_time
         self._next_address = address
 
     def _random_address(self) -> SocketAddress | None:
         members = self._local_view.table.members
         if members:
-            return members[self._draw.choice(list(members))].claim.address
-        return self._draw.choice(self._seeds) if self._seeds else None
+            return members[self._rng.choice(list(members))].claim.address
+        return self._rng.choice(self._seeds) if self._seeds else None
 
     def _bulk_transfer_time(self) -> int:
         """Returns how long full exchanges have to pause so that they use no more bandwidth than frames may: two full
@@ -131,7 +130,7 @@
         return fr.Hello(
             sender=self._outgoing.sender,
             sequence=self._outgoing.next_sequence(),
-            number=self._draw.getrandbits(62),
+            number=self._rng.getrandbits(62),
             digests=self._digests(digests.buckets_for(self._local_view.count)) if self._settings.digests else b"",
         )
 
@@ -140,7 +139,7 @@
         claims, ours = list(self._local_view.table.claims()), self.digests_like(hello.digests)
         if ours:
             claims = digests.in_differing_buckets(claims, ours, hello.digests)
-        return self._whole(hello.number, self._draw.getrandbits(62), claims, ours)
+        return self._whole(hello.number, self._rng.getrandbits(62), claims, ours)
 
     def answer_whole(self, whole: fr.Whole, ours: bytes) -> fr.Whole:
         """Returns the claims that the other relay still lacks. ``ours`` are this relay's digests from before it
--- a/garnetrelay/fleet/members/local_member.py
+++ b/garnetrelay/fleet/members/local_member.py
@@ -78,7 +78,7 @@
     def leave(self) -> Claim:
         """Deactivates the member and returns the last claim of this life."""
         self.left, self.active = True, False
-        return self.claim.judged(Status.LEFT, "")
+        return self.claim.with_status(Status.LEFT, "")
 
     def _request_life(self, ended: Claim, same: bool) -> SelfClaimResult:
         if self.wanted_life > ended.life or ended.life >= MAX_LIFE:
--- a/garnetrelay/fleet/members/local_view.py
+++ b/garnetrelay/fleet/members/local_view.py
@@ -130,7 +130,7 @@
         self.counters.suspected += 1
         if member.suspicion is None:
             self._log(f"suspects {name}: {why}")
-        self.apply_claim(now, member.claim.judged(Status.SUSPECT, self.name))
+        self.apply_claim(now, member.claim.with_status(Status.SUSPECT, self.name))
         return True
 
     def expire_suspicions(self, now: int, answered_at: int | None) -> None:
@@ -156,7 +156,7 @@
                 f"{(now - suspicion.started_at) / 1e9:.1f} s, last observation {ago}",
                 logging.WARNING,
             )
-            self.apply_claim(now, current.judged(Status.FAILED, self.name))
+            self.apply_claim(now, current.with_status(Status.FAILED, self.name))
 
     def extend_suspicions(self, by: int) -> None:
         """Extends all suspicions by a time in which this relay did not run and could not receive refutations."""
@@ -179,28 +179,28 @@
         self._effects.append(LogLine(text, level))
 
     def _apply_claim_on_self(self, claim: Claim, source: SocketAddress | None) -> SelfClaimResult:
-        answer = self.local.apply_claim(claim)
-        if answer is SelfClaimResult.REFUTED:
+        result = self.local.apply_claim(claim)
+        if result is SelfClaimResult.REFUTED:
             self.counters.refuted += 1
             self.dissemination.add(self.local.claim)
             self._log(f"was {claim.describe()}: refutes this as {self.local.claim.describe()}")
-        elif answer is SelfClaimResult.OUTDATED_LIFE:
+        elif result is SelfClaimResult.OUTDATED_LIFE:
             self.dissemination.add(self.local.claim)
-        elif answer is SelfClaimResult.NEEDS_NEW_LIFE:
+        elif result is SelfClaimResult.NEEDS_NEW_LIFE:
             self.dissemination.remove(claim.name)
             self.life_end_reported_by = source
             self._log(
                 f"is {claim.describe()}: continues in life {self.local.wanted_life} once that is stored", logging.WARNING
             )
             self._effects.append(StoreLife(self.local.wanted_life))
-        elif answer is SelfClaimResult.NAME_TAKEN:
+        elif result is SelfClaimResult.NAME_TAKEN:
             self.dissemination.remove(claim.name)
             self._log(
                 f"another process at {claim.address} has this name: {claim.describe()}; inactive until that life "
                 "has ended",
                 logging.ERROR,
             )
-        return answer
+        return result
 
     def _log_change(self, current: Claim | None, claim: Claim, change: Change) -> None:
         if change is Change.UPDATE and current is not None and not claim.final:
@@ -211,7 +211,7 @@
             if claim.status is Status.SUSPECT and claim.by != self.name:
                 self._log(f"{claim.describe()}{where}")
             elif current.status is Status.SUSPECT:
-                self._log(f"{claim.describe()}: refuted the suspicion by {current.by}{where}")
+                self._log(f"{claim.describe()}: refuted the suspicion that {current.by} had raised{where}")
             elif moved:
                 self._log(f"{claim.describe()}{where}")
         elif claim.final:
--- a/garnetrelay/fleet/members/observations.py
+++ b/garnetrelay/fleet/members/observations.py
@@ -13,9 +13,7 @@
 from garnetrelay.fleet.members.settings import MS
 from garnetrelay.fleet.members.table import Member, Table
 
-CANDIDATES_PER_OBSERVATION = (
-    3  # per observation that is sent: this many members are considered, and the most recent observations win
-)
+CANDIDATES_PER_OBSERVATION = 3  # members considered for each observation sent; the most recent are chosen
 MAX_CLOCK_DRIFT = 0.01  # how much faster another machine's clock may run
 
 
--- a/garnetrelay/fleet/members/outgoing.py
+++ b/garnetrelay/fleet/members/outgoing.py
@@ -35,7 +35,7 @@
 
     def version(self, claim: Claim) -> int:
         """Returns the frame version to use with a member."""
-        return min(claim.speaks, self._settings.versions)
+        return min(claim.max_version, self._settings.versions)
 
     def free_bytes(self) -> int:
         """Returns the bytes of a frame that are free for claims and observations."""
--- a/garnetrelay/fleet/members/pending_requests.py
+++ b/garnetrelay/fleet/members/pending_requests.py
@@ -45,8 +45,8 @@
 class PendingRequests:
     """All pending requests."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._open: dict[int, PendingRequest] = {}
         self._to_unknown: dict[SocketAddress, int] = {}
 
@@ -54,7 +54,7 @@
         """Registers a request and returns its number; None if too many are pending."""
         if len(self._open) >= MAX_PENDING_REQUESTS:
             return None
-        number = self._draw.getrandbits(62)
+        number = self._rng.getrandbits(62)
         self._open[number] = request
         return number
 
--- a/garnetrelay/fleet/members/probe_order.py
+++ b/garnetrelay/fleet/members/probe_order.py
@@ -15,8 +15,8 @@
 class ProbeOrder:
     """The order in which members are probed, and the order in which they are reported to others."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._remaining: list[str] = []  # the rest of this round, the next target last
         self._report_order: deque[str] = deque()
 
@@ -25,11 +25,11 @@
 
     def add(self, name: str) -> None:
         """Adds a new member."""
-        self._remaining.insert(self._draw.randint(0, len(self._remaining)), name)
+        self._remaining.insert(self._rng.randint(0, len(self._remaining)), name)
         self._report_order.append(name)
 
     def put_back(self, name: str) -> None:
-        """Probes a member again next, because its probe failed through this relay's own fault."""
+        """Makes a member the next target again, because its probe failed through this relay's own fault."""
         self._remaining.append(name)
 
     def next_target(self, members: Collection[str]) -> str | None:
@@ -40,8 +40,8 @@
                 if name in members:
                     return name
             self._remaining = list(members)
-            self._draw.shuffle(self._remaining)
-            self._report_order = deque(self._draw.sample(self._remaining, len(self._remaining)))
+            self._rng.shuffle(self._remaining)
+            self._report_order = deque(self._rng.sample(self._remaining, len(self._remaining)))
         return None
 
     def next_to_report(self, limit: int) -> list[str]:
@@ -53,4 +53,4 @@
     def sample(self, names: Iterable[str], limit: int) -> list[str]:
         """Returns a random sample of the names."""
         found = list(names)
-        return self._draw.sample(found, min(limit, len(found)))
+        return self._rng.sample(found, min(limit, len(found)))
--- a/garnetrelay/fleet/members/probing.py
+++ b/garnetrelay/fleet/members/probing.py
@@ -48,11 +48,11 @@
         requests: PendingRequests,
         health: LocalHealth,
         settings: Settings,
-        draw: random.Random,
+        rng: random.Random,
         now: int,
     ) -> None:
         self.current: Probe | None = None
-        self.next_probe_at = now + draw.randrange(settings.probe_interval)
+        self.next_probe_at = now + rng.randrange(settings.probe_interval)
         self._local_view = local_view
         self._outgoing = outgoing
         self._probe_order = probe_order
@@ -133,8 +133,8 @@
         self.current = Probe(claim.name, claim.identity, number, now, now + self._settings.probe_timeout * slow, ends_at)
         # A suspected member is told of the suspicion first (Lifeguard's buddy system).
         claims = [claim] if member.suspicion is not None and self._settings.lifeguard else []
-        room = self._outgoing.free_bytes() - sum(one.size() for one in claims)
-        claims += self._outgoing.piggyback_claims(room, claim.name)
+        free_bytes = self._outgoing.free_bytes() - sum(one.size() for one in claims)
+        claims += self._outgoing.piggyback_claims(free_bytes, claim.name)
         self._outgoing.ping(
             claim.address, self._outgoing.version(claim), number, claims, summary=self._outgoing.summary()
         )
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -52,14 +52,14 @@
         self,
         own: Claim,
         settings: Settings,
-        draw: random.Random,
+        rng: random.Random,
         now: int,
         seeds: Sequence[SocketAddress] = (),
         sequence: int = 0,
     ) -> None:
         self.settings = settings
         self._effects: list[Effect] = []
-        self._probe_order = ProbeOrder(draw)
+        self._probe_order = ProbeOrder(rng)
         self.local_view = LocalView(own, settings, self._effects, self._probe_order.add)
         self.outgoing = Outgoing(self.local_view, settings, self._effects, sequence)
         self.condition_tracker = ConditionTracker(now)
@@ -67,15 +67,15 @@
         self.seeds = [seed for seed in seeds if seed != own.address]
         self.joined = not self.seeds  # without seeds there is nobody to join
         self.view_changed_at = now
-        self._draw = draw
-        self._requests = PendingRequests(draw)
+        self._rng = rng
+        self._requests = PendingRequests(rng)
         self.health = LocalHealth(settings)
         self._prober = Prober(
-            self.local_view, self.outgoing, self._probe_order, self._requests, self.health, settings, draw, now
+            self.local_view, self.outgoing, self._probe_order, self._requests, self.health, settings, rng, now
         )
         self._contact_at = now + settings.contact_interval
         self._contact_count = 0
-        self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, draw, now, self.seeds)
+        self._exchanges = Exchanges(self.local_view, self.outgoing, settings, self._effects, rng, now, self.seeds)
         self._answered_at: int | None = None
         self._last_view = 0  # the view at the last update of the condition
         self._view_counts = (0, 0, 0)  # recent failures, members with this view and with another one, as last counted
@@ -339,14 +339,12 @@
     def _send_ack(self, now: int, ping: fr.Ping, member: Member, source: SocketAddress) -> None:
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.frame_received_at is None else (now - origin.frame_received_at) // MS
-        room = self.outgoing.free_bytes()
-        reserved = min(
-            room // 3, len(self._probe_order) * fr.OBSERVATION.size
-        )  # leaves room for observations when there are many claims
-        claims = self.outgoing.piggyback_claims(room - reserved, ping.sender.name)
-        room -= sum(claim.size() for claim in claims)
+        free_bytes = self.outgoing.free_bytes()
+        reserved = min(free_bytes // 3, len(self._probe_order) * fr.OBSERVATION.size)  # for observations
+        claims = self.outgoing.piggyback_claims(free_bytes - reserved, ping.sender.name)
+        free_bytes -= sum(claim.size() for claim in claims)
         selected = observations.select(
-            self.table, self._probe_order, now, min(room, self.settings.max_observations * fr.OBSERVATION.size)
+            self.table, self._probe_order, now, min(free_bytes, self.settings.max_observations * fr.OBSERVATION.size)
         )
         self.outgoing.send(
             source,
@@ -379,9 +377,9 @@
         )
         if number is None:
             return
-        place = SocketAddress(ask_for.host, ask_for.port) if target is None else target.claim.address
+        address = SocketAddress(ask_for.host, ask_for.port) if target is None else target.claim.address
         self.outgoing.send(
-            place,
+            address,
             fr.Ping(
                 sender=self.local.claim,
                 sequence=self.outgoing.next_sequence(),
@@ -425,20 +423,20 @@
         if member is None:
             return
         member.seen_at = max(member.seen_at or request.sent_at, request.sent_at)
-        lately = 4 * self.settings.probe_timeout // MS
-        path = (
+        recent_ms = 4 * self.settings.probe_timeout // MS
+        link_state = (
             LinkState.INBOUND_CUT
-            if 0 <= vouch.heard <= lately
+            if 0 <= vouch.heard <= recent_ms
             else LinkState.OUTBOUND_CUT
             if vouch.heard >= 0
             else LinkState.INDIRECT_ONLY
         )
-        if member.link_state is not path:
+        if member.link_state is not link_state:
             self.outgoing.log(
-                f"{member.claim.name} does not answer this relay, and answers {by.claim.name}: {path.value}"
+                f"{member.claim.name} does not answer this relay, and answers {by.claim.name}: {link_state.value}"
             )
             member.link_state_since = now
-        member.link_state, member.reached_through = path, by.claim.name
+        member.link_state, member.reached_through = link_state, by.claim.name
 
     def _record_answer(self, now: int, member: Member, asked_at: int, view: int) -> None:
         """Records that a member was up when this relay's request arrived, or later."""
@@ -511,18 +509,18 @@
         self._view_counts = (failed, *self.count_views())
 
     def _next_deadline(self, now: int) -> int:
-        moments = [self._contact_at, self._exchanges.next_at, self._prober.next_at(now)]
+        deadlines = [self._contact_at, self._exchanges.next_at, self._prober.next_at(now)]
         if not self.joined and self.seeds:
-            moments.append(self._exchanges.join_at)
+            deadlines.append(self._exchanges.join_at)
         if self._retry_life_at is not None:
-            moments.append(self._retry_life_at)
-        maybe = (
+            deadlines.append(self._retry_life_at)
+        optional = (
             self.local_view.next_suspicion_deadline(),
             self._requests.next_nack_at(),
             self.condition_tracker.improves_at(self.settings.settle_time(self.count)),
         )
-        moments += [moment for moment in maybe if moment is not None]
-        return max(min(moments), now + MS // 10)
+        deadlines += [deadline for deadline in optional if deadline is not None]
+        return max(min(deadlines), now + MS // 10)
 
     def _expire_requests(self, now: int) -> None:
         """Drops expired requests and sends a Nack for indirect probes that are due one."""
@@ -592,8 +590,8 @@
             ]
         if not candidates:
             return
-        place, claims, version = candidates[self._contact_count % len(candidates)]
+        address, claims, version = candidates[self._contact_count % len(candidates)]
         self._contact_count += 1
         number = self._requests.add(PendingRequest(Purpose.CONTACT, now, now + self.settings.probe_interval))
         if number is not None:
-            self.outgoing.ping(place, version, number, claims)
+            self.outgoing.ping(address, version, number, claims)
--- a/garnetrelay/fleet/members/table.py
+++ b/garnetrelay/fleet/members/table.py
@@ -80,9 +80,8 @@
         self.max_members = max_members
         self.members: dict[str, Member] = {}
         self.gone: dict[str, Member] = {}  # failed or left, the longest departed first
-        self.last_ranks: dict[
-            str, tuple[int, int, int, int, int]
-        ] = {}  # rank of the last claim about each forgotten name
+        # The rank of the last claim about each forgotten name.
+        self.last_ranks: dict[str, tuple[int, int, int, int, int]] = {}
         self.view_hash = 0  # exclusive or over the current members, without this relay itself
         self._by_short_hash: dict[int, str] = {}  # empty name if two members share the 48 bits
 
@@ -120,10 +119,10 @@
         if claim.rank == current.rank:
             # The addresses may differ although the process number does not: the same one has to win on all relays. A
             # relay of an earlier version drops the zone when it passes a claim on: the claim that has the zone wins.
-            if (claim.host, claim.port, claim.speaks, claim.zone) > (
+            if (claim.host, claim.port, claim.max_version, claim.zone) > (
                 current.host,
                 current.port,
-                current.speaks,
+                current.max_version,
                 current.zone,
             ):
                 member.claim = claim
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -62,7 +62,7 @@
     slow: int  # local health multiplier
 
 
-def judge(facts: Facts) -> tuple[Condition, str]:
+def evaluate(facts: Facts) -> tuple[Condition, str]:
     """Returns the condition that follows from the facts, and the reason in words."""
     if not facts.active:
         return Condition.JOINING, "it is not active under its name"
@@ -101,7 +101,7 @@
     def update(self, now: int, facts: Facts, settle_time: int) -> bool:
         """Applies the facts of a moment; returns whether the condition changed. ``settle_time`` is how long better
         facts have to last before the condition improves."""
-        seen, why = judge(facts)
+        seen, why = evaluate(facts)
         better_since = now
         while self._seen and self._seen[-1][1] < seen:
             better_since, _ = self._seen.pop()
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -43,11 +43,11 @@
     claims: list[Claim]
 
 
-def _as_configured(own: Claim, place: SocketAddress, config: FleetConfig) -> Claim:
+def _as_configured(own: Claim, address: SocketAddress, config: FleetConfig) -> Claim:
     """Returns the member's claim in the process that takes over. If the new options change the claim, it takes the
     next incarnation, so that it supersedes the previous claim on all members."""
     now = msgspec.structs.replace(
-        own, host=place.host, port=place.port, speaks=config.settings.versions, zone=config.zone
+        own, host=address.host, port=address.port, max_version=config.settings.versions, zone=config.zone
     )
     if now == own or own.incarnation >= MAX_INCARNATION:
         return now
@@ -75,8 +75,8 @@
     async def start(self) -> SocketAddress:
         """Binds the address, stores the life number and starts the protocol. Raises OSError if binding or storing
         fails."""
-        found = await self.transport.start(self.config.listen, self._answer)
-        place = self.config.advertise or found
+        bound = await self.transport.start(self.config.listen, self._answer)
+        address = self.config.advertise or bound
         stored = self.file.read()
         seeds = list(self.config.seeds)
         if stored is not None:  # the seeds may all be down: these addresses were other members' in an earlier life
@@ -92,23 +92,23 @@
                 life,
                 0,
                 Status.ALIVE,
-                place.host,
-                place.port,
+                address.host,
+                address.port,
                 self.config.settings.versions,
                 zone=self.config.zone,
             )
             self.members = Membership(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
         else:
             passed = self._passed
-            own = _as_configured(passed.own, place, self.config)
+            own = _as_configured(passed.own, address, self.config)
             self.members = Membership(
                 own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + SEQUENCE_GAP
             )
             self._carry_out(self.members.resume_from(now, passed.claims))
-        log.info("fleet: %s hears at %s, life %d", self.name, found, own.life)
+        log.info("fleet: %s hears at %s, life %d", self.name, bound, own.life)
         self._start_leases()
         self._tick()
-        return found
+        return bound
 
     def _start_leases(self) -> None:
         if self.config.leases is None:
@@ -146,16 +146,16 @@
         members = self.members
         if members is None or not members.local.active:
             return None
-        found = HandoverState(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
-        return msgspec.to_builtins(found)  # type: ignore[no-any-return]
+        handed_over = HandoverState(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
+        return msgspec.to_builtins(handed_over)  # type: ignore[no-any-return]
 
     def read_secrets(self) -> None:
         """Reloads the secrets from their file (SIGHUP); a file that cannot be used changes nothing."""
         try:
-            found = self.config.secrets()
-            self.transport.codec = fr.Codec(found)
+            secrets_now = self.config.secrets()
+            self.transport.codec = fr.Codec(secrets_now)
             if self.leases is not None:
-                self.leases.read_secrets(found)
+                self.leases.read_secrets(secrets_now)
         except ValueError as error:
             log.error("fleet: the old secrets stay: %s", error)
         else:
@@ -202,7 +202,7 @@
         """Returns the fleet's part of the metrics, one per line, with those of leases if they are enabled."""
         assert self.members is not None
         transport = self.transport
-        found = status.metrics(
+        text = status.metrics(
             self.members,
             transport.refused,
             transport.frames_out,
@@ -211,10 +211,10 @@
             time.monotonic_ns(),
         )
         if self.leases is None:
-            return found
+            return text
         from garnetrelay.fleet import clock, lease_status
 
-        return found + lease_status.figures(self.leases, clock.now())
+        return text + lease_status.figures(self.leases, clock.now())
 
     # ---- events and effects
 
@@ -230,10 +230,10 @@
         assert self.members is not None
         for effect in effects:
             match effect:
-                case SendFrame(place, frame, version):
-                    self.transport.send(place, frame, version)
-                case StartExchange(place):
-                    self._spawn(self._exchange(place))
+                case SendFrame(address, frame, version):
+                    self.transport.send(address, frame, version)
+                case StartExchange(address):
+                    self._spawn(self._exchange(address))
                 case StoreLife(life):
                     self._spawn(self._store_life(life))
                 case LogLine(text, level):
@@ -266,13 +266,13 @@
         if not self.closed:
             self._carry_out(self.members.life_stored(time.monotonic_ns(), life))
 
-    async def _exchange(self, place: SocketAddress) -> None:
+    async def _exchange(self, address: SocketAddress) -> None:
         """Runs a full exchange that this relay starts: Hello, Whole, Whole."""
         assert self.members is not None
         stream: Stream | None = None
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                stream = await self.transport.connect(place)
+                stream = await self.transport.connect(address)
                 if stream is None:
                     return
                 began = time.monotonic_ns()
@@ -283,9 +283,9 @@
                     raise ValueError(f"{type(whole).__name__} frame instead of Whole")
                 ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
                 self._carry_out(effects)
-                await stream.send(ours, min(whole.sender.speaks, self.config.settings.versions))
+                await stream.send(ours, min(whole.sender.max_version, self.config.settings.versions))
         except (OSError, TimeoutError, EOFError, ValueError) as error:
-            log.debug("fleet: no exchange with %s: %s", place, error or type(error).__name__)
+            log.debug("fleet: no exchange with %s: %s", address, error or type(error).__name__)
         finally:
             if stream is not None:
                 stream.close()
@@ -298,7 +298,7 @@
             raise ValueError("the first frame of an exchange is not Hello")
         asked_at = time.monotonic_ns()
         whole = self.members.answer_hello(asked_at, hello)
-        await stream.send(whole, min(hello.sender.speaks, self.config.settings.versions))
+        await stream.send(whole, min(hello.sender.max_version, self.config.settings.versions))
         theirs = await stream.receive()
         if not isinstance(theirs, fr.Whole) or self.closed:
             raise ValueError("the last frame of an exchange is not Whole")
@@ -306,5 +306,5 @@
         self._carry_out(effects)
 
 
-def _json_lines(found: Iterable[msgspec.Struct]) -> str:
-    return "".join(f"{msgspec.json.encode(each).decode()}\n" for each in found)
+def _json_lines(structs: Iterable[msgspec.Struct]) -> str:
+    return "".join(f"{msgspec.json.encode(each).decode()}\n" for each in structs)
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -107,7 +107,8 @@
         return None
     claim, status = member.claim, line(members, member, now)
     sentences = [
-        f"{claim.describe()}, for {status.since:.1f} s; at {claim.address}, reads frames up to version {claim.speaks}"
+        f"{claim.describe()}, for {status.since:.1f} s; at {claim.address}, "
+        f"reads frames up to version {claim.max_version}"
     ]
     if claim.born < claim.life:
         sentences.append(
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -494,7 +494,7 @@
     def merge(self, claim: Claim, now: int) -> Any:
         member = self.get(claim.name)
         if member is not None and claim.life == member.claim.life and claim.process != member.claim.process:
-            return super().merge(claim.judged(claim.status, claim.by), now) if claim.final else self._nothing()
+            return super().merge(claim.with_status(claim.status, claim.by), now) if claim.final else self._nothing()
         return super().merge(claim, now)
 
     def _nothing(self) -> Any:
@@ -519,7 +519,7 @@
 
     def apply_claim(self, claim: Claim) -> Any:
         if claim.identity == self.claim.identity and claim.status is Status.SUSPECT:
-            return super().apply_claim(claim.judged(Status.ALIVE, ""))
+            return super().apply_claim(claim.with_status(Status.ALIVE, ""))
         return super().apply_claim(claim)
 
 
@@ -546,7 +546,7 @@
     """Takes no word on itself for true."""
 
     def apply_claim(self, claim: Claim) -> Any:
-        return super().apply_claim(claim) if not claim.final else super().apply_claim(claim.judged(Status.ALIVE, ""))
+        return super().apply_claim(claim) if not claim.final else super().apply_claim(claim.with_status(Status.ALIVE, ""))
 
 
 class Pushy(LocalMember):
@@ -565,7 +565,7 @@
     def apply_claim(self, claim: Claim) -> Any:
         answer = super().apply_claim(claim)
         if self.claim.incarnation > 1:
-            self.claim = self.claim.judged(Status.ALIVE, "", 0)
+            self.claim = self.claim.with_status(Status.ALIVE, "", 0)
         return answer
 
 
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -98,12 +98,12 @@
     names = [claim(f"n{number}", zone=number % 7) for number in range(620)]
     one, other = relay("one", [*names, claim("other")]), relay("other", [*names, claim("one")])
     assert exchange(one, other) == (0, 0)
-    judged = names[77].judged(Status.FAILED, "n1")
-    one.local_view.apply_claim(4, judged)
+    with_status = names[77].with_status(Status.FAILED, "n1")
+    one.local_view.apply_claim(4, with_status)
     told, back = exchange(one, other)
     # Of some sixteen names; what the answering side has told is not told back.
     assert 1 <= told <= 3 * digests.NAMES_PER_BUCKET and back == 1
-    assert other.table.gone["n77"].claim == judged
+    assert other.table.gone["n77"].claim == with_status
 
 
 def test_relays_of_before_tell_all_and_are_told_what_they_lack() -> None:
@@ -115,7 +115,7 @@
 
 def test_each_that_suspects_is_told() -> None:
     suspect = claim("n1", status=Status.SUSPECT, by="a")
-    one, other = relay("one", [suspect]), relay("other", [suspect.judged(Status.SUSPECT, "b")])
+    one, other = relay("one", [suspect]), relay("other", [suspect.with_status(Status.SUSPECT, "b")])
     exchange(one, other)
     for members in (one, other):
         suspicion = members.table.members["n1"].suspicion
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -36,7 +36,7 @@
         "sender": CLAIM,
         "sequence": 9,
         "number": 1 << 62,
-        "claims": [CLAIM.judged(Status.FAILED, "n2")],
+        "claims": [CLAIM.with_status(Status.FAILED, "n2")],
         "summary": fr.Summary(0xFFFFFFFF, 1000),
         "observations": fr.pack_observations([fr.Observation(1, 20, 3)] * fr.MAX_OBSERVATIONS),
     }
@@ -69,7 +69,7 @@
     status: Status
     host: str
     port: int
-    speaks: int
+    max_version: int
     by: str = ""
 
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -16,7 +16,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Table
-from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts, judge
+from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts, evaluate
 
 claims = st.builds(
     Claim,
@@ -103,7 +103,7 @@
     tracker, now, seen = ConditionTracker(0), 0, [(0, Condition.JOINING)]
     for gap, fact in looks:
         now += gap
-        wanted = judge(fact)[0]
+        wanted = evaluate(fact)[0]
         seen.append((now, wanted))
         tracker.update(now, fact, 5)
         assert tracker.condition >= wanted
@@ -133,7 +133,7 @@
     dissemination, old = DisseminationQueue(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
     dissemination.add(old)
     assert [dissemination.take(1000, 3) for _ in range(2)] == [[old], [old]]
-    new = old.judged(Status.SUSPECT, "b")
+    new = old.with_status(Status.SUSPECT, "b")
     dissemination.add(new)
     assert [dissemination.take(1000, 3) for _ in range(4)] == [[new], [new], [new], []] and len(dissemination) == 0
 
@@ -141,7 +141,7 @@
 def test_who_is_suspected_is_asked_by_all_that_hold_it_for_so() -> None:
     settings = Settings()
     others = [Claim(f"m{number}", 1, 1, 1, 0, Status.ALIVE, f"10.0.0.{number}", 1, 2) for number in range(2, 60)]
-    suspect = others[7].judged(Status.SUSPECT, "m5")
+    suspect = others[7].with_status(Status.SUSPECT, "m5")
     members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
     members.resume_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
     told: list[SendFrame] = []
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -110,7 +110,7 @@
     members.resume_from(0, others(count, failed))
     began = now = members.next_at
     members.local_view.apply_claim(
-        now, members.local.claim.judged(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count)
+        now, members.local.claim.with_status(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count)
     )
     effects = members.life_stored(now, 2)
     while not any(isinstance(effect, StartExchange) for effect in effects):
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -105,8 +105,8 @@
     again = msgspec.structs.replace(moved, incarnation=moved.incarnation + 1)
     words = {
         "not at all": [moved],
-        "before": [held.judged(Status.SUSPECT, "n3"), moved],
-        "in the new word": [moved.judged(Status.SUSPECT, "n3"), again],
+        "before": [held.with_status(Status.SUSPECT, "n3"), moved],
+        "in the new word": [moved.with_status(Status.SUSPECT, "n3"), again],
     }
     for word in words[suspected]:
         member.local_view.apply_claim(world.now, word)
