--- a/benchmarks/capacity/lists.py
+++ b/benchmarks/capacity/lists.py
@@ -13,10 +13,10 @@
 from benchmarks.capacity.size import CONTROL_MEMORY, READY, SIZE, Budget, Mark, Unit
 from benchmarks.capacity.subject import Quantity, Subject
 from garnetrelay.config.deployment import load
-from garnetrelay.membership.listing import MOST_LINE, Lines, Reader, UnreadableListError
+from garnetrelay.discovery.host_list import MAX_VERSION_BYTES, ListReader, ObjectSplitter, UnreadableListError
 
 CHUNK = 65_536  # bytes that a watch reads at once
-WATCH_LINE = Budget("bytes of one version on a watch", float(MOST_LINE), Mark.COMPUTED)
+WATCH_LINE = Budget("bytes of one version on a watch", float(MAX_VERSION_BYTES), Mark.COMPUTED)
 
 
 class Sample(msgspec.Struct):
@@ -32,7 +32,7 @@
 
 def refuses(line: bytes) -> bool:
     """Whether a watch takes a version of the list for a line without end."""
-    lines = Lines()
+    lines = ObjectSplitter()
     try:
         for start in range(0, len(line), CHUNK):
             lines.feed(line[start : start + CHUNK])
@@ -49,7 +49,7 @@
 
         def read() -> None:
             config = load({"RELAY_NAME": "measured", **environment})
-            Reader(config).read(config.known)
+            ListReader(config).read(config.known_hosts)
 
         seconds = spent(read)
         version = json.dumps(listing(destinations, "Ready")).encode() + b"\n"
--- a/benchmarks/lease_cluster.py
+++ b/benchmarks/lease_cluster.py
@@ -233,7 +233,7 @@
         """It should own these from now on."""
         if self._killed:
             return
-        self._carry_out(self.holder.wish(clock.now(), partitions))
+        self._carry_out(self.holder.set_assigned(clock.now(), partitions))
 
     def kill(self) -> None:
         """End without a word, as a crash does."""
@@ -372,7 +372,7 @@
 
     def gather(self) -> HollowFleet:
         """The relays, which don't yet know of each other; their settings are what a real one has by default."""
-        places = self.controllers[0].config.places
+        places = self.controllers[0].config.addresses
         told = {
             "controllers": [str(place) for place in places],
             "partitions": self.terms.partitions,
--- a/garnetrelay/delivery/http/hosts.py
+++ b/garnetrelay/delivery/http/hosts.py
@@ -32,7 +32,7 @@
 SECOND = 1_000_000_000
 IDLE_SHARE = 0.8  # of the host's own idle limit: a call written just as it closes would end as a reset
 OUR_OWN = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # errors of a connect that no host has made
-DRAIN_TIME = 0.5  # seconds for what is left of an answer once it has begun
+ANSWER_REST_TIMEOUT_S = 0.5  # seconds for what is left of an answer once it has begun
 
 Prepare = Callable[[Address], bytes | None]
 
@@ -43,13 +43,13 @@
 
 class Exchange:
     """One call or probe: ``prepare`` gives its request at the last instant, or None to abandon it. Where some time
-    may pass between that and its first byte, ``still_clear`` looks once more."""
+    may pass between that and its first byte, ``final_check`` looks once more."""
 
     __slots__ = (
         "host",
         "stop_at",
         "prepare",
-        "still_clear",
+        "final_check",
         "_done",
         "ended",
         "connection",
@@ -65,11 +65,11 @@
         stop_at: int,
         prepare: Prepare,
         done: Callable[[Outcome], None],
-        still_clear: Callable[[], bool] = always,
+        final_check: Callable[[], bool] = always,
         ref: str | None = None,
     ) -> None:
         self.ref = ref  # of the message that it calls with; None: a probe
-        self.still_clear = still_clear
+        self.final_check = final_check
         self.at_first_byte: Callable[[], None] | None = None  # called just before it
         self.host = host
         self.stop_at = stop_at
@@ -95,7 +95,7 @@
             self.opening.cancel()
         self.end(Outcome(io.Status.ABANDONED))
 
-    def stops(self) -> None:
+    def start_timer(self) -> None:
         """See that it ends in its time. An answer that lies there by then is read first."""
         self.timer = asyncio.get_running_loop().call_at(self.stop_at / SECOND, after_socket_poll, self._time_is_up)
 
@@ -174,7 +174,7 @@
         return not poll.poll(0)
 
     @property
-    def can_pass(self) -> bool:
+    def can_hand_over(self) -> bool:
         """Whether another process can read on from here: all is written, and nothing of an answer has come."""
         return (
             self.written_in_full()
@@ -189,7 +189,7 @@
         assert self.transport is not None
         return int(self.transport.get_extra_info("socket").fileno())
 
-    def let_go(self) -> None:
+    def close_after_handover(self) -> None:
         """Another process has the connection: close it here without a word, also to whoever waits for an answer."""
         exchange = self.exchange
         self.abort()
@@ -230,7 +230,7 @@
         elif not reader.pending:
             self._stop_timer()
         elif self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(DRAIN_TIME, self._overdue)
+            self.timer = asyncio.get_running_loop().call_later(ANSWER_REST_TIMEOUT_S, self._overdue)
 
     def _judged(self, outcome: Outcome) -> Outcome:
         """A host with too many connections turns a new one away, before it looks at limits: no answer on one
@@ -282,15 +282,15 @@
     def __init__(
         self,
         settings: io.Settings,
-        room: Callable[[], int],
-        more_room: Callable[[], bool],
+        remaining_capacity: Callable[[], int],
+        free_descriptor: Callable[[], bool],
         on_record: Callable[[Callable[[bool], None]], None],
         delayed: bool = False,
     ) -> None:
         self.connect_time = settings.limits.connect_timeout / SECOND or 1.0
         self.idle_time = IDLE_SHARE * settings.limits.conn_idle / SECOND
-        self.room = room  # how many more connections there may be
-        self.more_room = more_room  # frees a descriptor elsewhere, where one can be had
+        self.remaining_capacity = remaining_capacity  # how many more connections there may be
+        self.free_descriptor = free_descriptor  # frees a descriptor elsewhere, where one can be had
         self.on_record = on_record
         self.delayed = delayed
         self.addresses: dict[str, Address] = {}
@@ -299,7 +299,7 @@
         self.resting: dict[Connection, None] = {}  # all that are idle, longest first
         self.opening: set[asyncio.Task[None]] = set()
         self.calls_written = 0  # since the start of the process
-        self._gathered: list[Ready] | None = None
+        self._gathered: list[PreparedCall] | None = None
         self._retiring: asyncio.TimerHandle | None = None
 
     @property
@@ -307,7 +307,7 @@
         """Connections that there are, or will be in a moment."""
         return len(self.open) + len(self.opening)
 
-    def place(self, host: str, address: Address, draining: bool) -> None:
+    def set_address(self, host: str, address: Address, draining: bool) -> None:
         """Where a host listens now; connections to elsewhere, or to one that drains, are not kept."""
         if draining or self.addresses.get(host, address) != address:
             log.debug("idle connections to %s close: %s", host, "it drains" if draining else "it moved")
@@ -322,12 +322,12 @@
         """Hold back the calls that begin from now on, until ``release``."""
         self._gathered = []
 
-    def gathered(self) -> list[Ready]:
+    def gathered(self) -> list[PreparedCall]:
         """What was held back since ``gather``; it waits for ``release``."""
         gathered, self._gathered = self._gathered or [], None
         return gathered
 
-    def release(self, gathered: list[Ready], recorded: bool) -> None:
+    def release(self, gathered: list[PreparedCall], recorded: bool) -> None:
         """Start gathered calls, now that their attempts are on record; without that none of them runs."""
         for connection, exchange, request in gathered:
             self._start(connection, exchange, request, recorded)
@@ -335,7 +335,7 @@
     def begin(self, exchange: Exchange) -> None:
         """Start a call or a probe, on an idle connection where there is a good one."""
         loop = asyncio.get_running_loop()
-        exchange.stops()
+        exchange.start_timer()
         idle = self.idle.get(exchange.host)
         while idle:
             connection = idle.pop()  # the latest used: the others may age and go
@@ -349,14 +349,14 @@
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         # An idle client costs nothing to close; an idle connection to a host saves a call its handshake.
-        if self.room() <= 0 and not self.more_room() and not self.close_longest_idle():
+        if self.remaining_capacity() <= 0 and not self.free_descriptor() and not self.close_longest_idle():
             loop.call_soon(exchange.end, Outcome(io.Status.ABANDONED))
             return
         exchange.opening = task = loop.create_task(self._connect(exchange, address))
         self.opening.add(task)
         task.add_done_callback(self._opened)
 
-    def passing(self) -> list[Connection]:
+    def connections_to_hand_over(self) -> list[Connection]:
         """Idle connections that are good."""
         return [connection for connection in self.resting if connection.usable]
 
@@ -369,7 +369,7 @@
         connection.used, connection.exchange = used, exchange
         if exchange is not None:
             exchange.connection = connection
-            exchange.stops()
+            exchange.start_timer()
         await loop.create_connection(lambda: connection, sock=found)
         if exchange is None:
             self.rest(connection)
@@ -419,7 +419,7 @@
 
     def _still_good(self, connection: Connection, exchange: Exchange) -> bool:
         """A last look at what may have changed while the record was under way: also a write may take its time."""
-        return exchange.still_clear() and (not self.delayed or connection.usable)
+        return exchange.final_check() and (not self.delayed or connection.usable)
 
     def rest(self, connection: Connection) -> None:
         """Keep a connection for the next call, or not."""
@@ -478,10 +478,10 @@
         return oldest is not None
 
 
-Ready = tuple[Connection, Exchange, bytes]  # a call that may start, and its request
+PreparedCall = tuple[Connection, Exchange, bytes]  # a call that may start, and its request
 
 
-def call(address: Address, ref: str, key: str | None, body: bytes, stop_at: int) -> bytes:
+def call_request(address: Address, ref: str, key: str | None, body: bytes, stop_at: int) -> bytes:
     """A message's call, as the protocol words it. What goes into the headers holds no space and no control
     character: the front sees to that."""
     left = max(1, (stop_at - time.monotonic_ns()) // 1_000_000)
@@ -493,6 +493,6 @@
     return head.encode("ascii") + body
 
 
-def probe(address: Address, with_report: bool) -> bytes:
+def probe_request(address: Address, with_report: bool) -> bytes:
     path = "/-/load" if with_report else "/-/healthy"
     return f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode("ascii")
--- a/garnetrelay/fleet/leases/holder.py
+++ b/garnetrelay/fleet/leases/holder.py
@@ -15,7 +15,7 @@
 
 from garnetrelay.fleet.leases.link import Link, Request, Vote
 from garnetrelay.fleet.leases.messages import (
-    MOST_GRANTS,
+    MAX_GRANTS,
     Acquire,
     Answer,
     Grant,
@@ -29,7 +29,7 @@
 )
 from garnetrelay.fleet.leases.settings import Settings
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 SPREAD = 8  # renewals come up to an eighth early, so that relays that began together don't stay in step
 SHARES = 1 << 20
 NEVER = 1 << 62
@@ -60,11 +60,11 @@
     def __init__(self, session: Session, settings: Settings, random: random.Random) -> None:
         self.session = session
         self.settings = settings
-        self.figures: Counter[str] = Counter()
+        self.event_counts: Counter[str] = Counter()
         self._random = random
         self._holder_time = settings.holder_time
         self._quorum = settings.quorum
-        self._links = [Link(number, session, settings.terms) for number in range(settings.controllers)]
+        self._links = [Link(number, session, settings.fingerprint) for number in range(settings.controllers)]
         self._claims: dict[int, _Claim] = {}
         self._known: dict[int, int] = {}  # the highest epoch by partition that was heard of or used here
         self._refused: dict[int, dict[int, int]] = {}  # by partition and controller: until when, in this round
@@ -92,11 +92,11 @@
         return self._links
 
     @property
-    def wished(self) -> Collection[int]:
+    def assigned(self) -> Collection[int]:
         """Partitions that it should own."""
         return self._claims.keys()
 
-    def reached(self, now: int) -> list[int]:
+    def reached_controllers(self, now: int) -> list[int]:
         """Controllers that accepted a request which still counts."""
         since = now - self._holder_time
         return [link.controller for link in self._links if link.accepted_at is not None and link.accepted_at > since]
@@ -118,7 +118,7 @@
 
     # ---- what happens
 
-    def wish(self, now: int, partitions: Collection[int]) -> list[HolderEffect]:
+    def set_assigned(self, now: int, partitions: Collection[int]) -> list[HolderEffect]:
         """These are the partitions that it should own from now on; others are released."""
         if self._ended:
             return []
@@ -144,7 +144,7 @@
         old_boot = link.boot
         request = link.answered(answer)
         if request is None:
-            self.figures["late answers"] += 1
+            self.event_counts["late answers"] += 1
             return []
         link.send_at = now + self.settings.request_gap
         if answer.accepted:
@@ -152,7 +152,7 @@
             link.accepted_at = request.sent_at
             self._accepted(now, link, request, answer)
         elif not answer.matches:
-            self.figures["mismatches"] += 1
+            self.event_counts["mismatches"] += 1
             link.differs(answer)
             self._reckon(self._claims)
             link.renew_at = now
@@ -167,7 +167,7 @@
         self._start(now)
         for link in self._links:
             if link.request is not None and now >= link.request.ends_at:
-                self.figures["unanswered"] += 1
+                self.event_counts["unanswered"] += 1
                 self._back_off(now, link)
                 if isinstance(link.request.message, Renew):
                     link.renew_at = link.send_at
@@ -245,11 +245,11 @@
         claim.owned = False
         claim.tries += 1
         claim.retry_at = now + self._backoff(now, claim.tries)
-        self.figures["rounds given up"] += 1
+        self.event_counts["rounds given up"] += 1
 
     def _not_accepted(self, now: int, link: Link, old_boot: int) -> None:
         """Another process, one that is not ready yet, or one with other terms."""
-        self.figures["not accepted"] += 1
+        self.event_counts["not accepted"] += 1
         if link.boot != old_boot:
             link.renew_at = now
             return
@@ -272,13 +272,13 @@
             if link.request is None and now >= link.send_at:
                 message = self._due(now, link)
                 if message is not None:
-                    self.figures[type(message).__name__] += 1
+                    self.event_counts[type(message).__name__] += 1
                     effects.append(SendToController(link.controller, message))
         return effects
 
     def _begin_rounds(self, now: int) -> None:
         """Nothing new is asked for with no majority within reach, nor is anything given up then."""
-        in_reach = len(self.reached(now)) >= self._quorum
+        in_reach = len(self.reached_controllers(now)) >= self._quorum
         later = now + self.settings.first_retry
         for partition, claim in self._claims.items():
             if claim.epoch and not claim.owned and now >= claim.round_ends:
@@ -307,12 +307,12 @@
             Grant(partition, epoch) for partition, epoch in link.unsure.items() if not self._asks(partition, epoch)
         ]
         if released:
-            return link.release(now, ends_at, released[:MOST_GRANTS])
+            return link.release(now, ends_at, released[:MAX_GRANTS])
         if now >= link.renew_at and not link.unsure:
             link.renew_at = now + self.settings.renew_every - self._part_of(now, self.settings.renew_every // SPREAD)
             return link.renew(now, ends_at)
         wanted = list(self._to_acquire(now, link))
-        return link.acquire(now, ends_at, wanted[:MOST_GRANTS]) if wanted else None
+        return link.acquire(now, ends_at, wanted[:MAX_GRANTS]) if wanted else None
 
     def _asks(self, partition: int, epoch: int) -> bool:
         claim = self._claims.get(partition)
@@ -372,8 +372,8 @@
             claim.owned = owned
         if not gained and not lost:
             return []
-        self.figures["gained"] += gained
-        self.figures["lost"] += lost
+        self.event_counts["gained"] += gained
+        self.event_counts["lost"] += lost
         count = sum(claim.owned for claim in self._claims.values())
         text = f"partitions: {gained} gained, {lost} lost, {count} of {len(self._claims)} owned"
         return [LogLine(text, logging.WARNING if lost else logging.INFO)]
@@ -383,8 +383,8 @@
         link.send_at = now + min(self._backoff(now, link.failures), self.settings.renew_every)
 
     def _backoff(self, now: int, failures: int) -> int:
-        """first_retry, doubled with each failure after the first up to most_retry; the second half of it is drawn."""
-        time = min(self.settings.first_retry << min(failures - 1, MOST_DOUBLINGS), self.settings.most_retry)
+        """first_retry, doubled with each failure after the first up to max_retry; the second half of it is drawn."""
+        time = min(self.settings.first_retry << min(failures - 1, MAX_DOUBLINGS), self.settings.max_retry)
         return time // 2 + self._part_of(now, time - time // 2)
 
     def _part_of(self, now: int, time: int) -> int:
--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -22,7 +22,7 @@
 FILE = "fleet"
 VERSION = 1
 MAX_ADDRESSES = 16
-MAX_FILE_BYTES = 2048  # four disk blocks; old and new copy together take FLEET_FILE of ``config/deployment.py``
+MAX_FILE_BYTES = 2048  # four disk blocks; old and new copy together take FLEET_STATE_BYTES of ``config/deployment.py``
 
 
 class StoredLife(msgspec.Struct, frozen=True):
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -26,7 +26,7 @@
 from garnetrelay.fleet.transport import EXCHANGE_TIMEOUT_S, Stream, Transport
 
 if TYPE_CHECKING:
-    from garnetrelay.fleet.lease_service import Leases
+    from garnetrelay.fleet.lease_service import LeaseService
 
 log = logging.getLogger(__name__)
 
@@ -66,7 +66,7 @@
         self.closed = False
         self.transport = Transport(fr.Codec(config.secrets()), self._on_frame)
         self.members: Membership | None = None
-        self.leases: Leases | None = None  # None: leases are not enabled
+        self.leases: LeaseService | None = None  # None: leases are not enabled
         self._passed = None if passed is None else msgspec.convert(passed, HandoverState)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
@@ -113,21 +113,21 @@
     def _start_leases(self) -> None:
         if self.config.leases is None:
             return
-        from garnetrelay.fleet.lease_service import Leases
+        from garnetrelay.fleet.lease_service import LeaseService
         from garnetrelay.fleet.leases import codec  # imported only if leases are enabled
 
         assert self.members is not None
-        self.leases = Leases(
+        self.leases = LeaseService(
             self.config.leases, self.name, self.config.secrets(), self.members, self.transport.send_bytes
         )
-        self.transport.protocols[codec.MAGIC] = self.leases.hear
+        self.transport.protocols[codec.MAGIC] = self.leases.receive
         self.leases.start()
 
     def leave(self) -> None:
         """Announces to the other members that this relay leaves."""
         if self.members is not None and not self.closed:
             if self.leases is not None:
-                self.leases.leave()
+                self.leases.release_all()
             self._carry_out(self.members.leave(time.monotonic_ns()))
 
     def close(self) -> None:
@@ -155,7 +155,7 @@
             secrets_now = self.config.secrets()
             self.transport.codec = fr.Codec(secrets_now)
             if self.leases is not None:
-                self.leases.read_secrets(secrets_now)
+                self.leases.set_secrets(secrets_now)
         except ValueError as error:
             log.error("fleet: the old secrets stay: %s", error)
         else:
@@ -214,7 +214,7 @@
             return text
         from garnetrelay.fleet import clock, lease_status
 
-        return text + lease_status.figures(self.leases, clock.now())
+        return text + lease_status.metrics_text(self.leases, clock.now())
 
     # ---- events and effects
 
@@ -239,7 +239,7 @@
                 case LogLine(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
-            self.leases.look()
+            self.leases.on_view_change()
         if self._timer is not None:
             self._timer.cancel()
         if not self.closed:
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -11,7 +11,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.table import LinkState, Member
 from garnetrelay.fleet.members.view_state import RELIES
-from garnetrelay.operators.figures import escaped
+from garnetrelay.operators.metrics import escaped
 
 
 class Line(msgspec.Struct, frozen=True):
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -11,15 +11,15 @@
 
 from garnetrelay.config.deployment import Config
 from garnetrelay.delivery.http.hosts import Hosts
+from garnetrelay.discovery.client import Discovery
 from garnetrelay.fronts.resp.server import Server
-from garnetrelay.membership.register import Discovery
 from garnetrelay.pending import PendingMessage
 from garnetrelay.store.store import Store
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 
 if TYPE_CHECKING:
-    from garnetrelay.store.durability import Syncing  # a thread: only where it is wanted
+    from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
 
 class PassingFleet(Protocol):
@@ -63,7 +63,7 @@
         ...
 
     @property
-    def syncing(self) -> Syncing | None:
+    def syncing(self) -> SyncWorker | None:
         """The journal's syncs, where the machine's power counts."""
         ...
 
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -16,8 +16,8 @@
 from garnetrelay.handover import protocol as p
 from garnetrelay.handover.channel import Channel, ChannelError, Door
 from starlingwick import interface as io
-from starlingwick.hold import NEVER
-from starlingwick.memory import remember
+from starlingwick.queues import NEVER
+from starlingwick.snapshot import take_snapshot
 
 if TYPE_CHECKING:
     from garnetrelay.delivery.http import hosts as net
@@ -136,7 +136,7 @@
         relay = self.relay
         if relay.stopping or not relay.serving or relay.recovering:
             return "it is starting or stopping"
-        if relay.journal.broken:
+        if relay.journal.write_failed:
             return "its folder takes no records"
         ours, theirs = resident(os.getpid()), resident(channel.peer[0])
         held = sum(len(message.body) + OVER_BODY for message in relay.held.values())
@@ -173,14 +173,15 @@
         for _, exchange in list(_out(relay.held.values())):
             if exchange.connection is None:
                 exchange.abandon()
-            elif not exchange.connection.can_pass:
+            elif not exchange.connection.can_hand_over:
                 exchange.give_up(io.Status.CANCELLED)
         return listener
 
     def _unquiet(self) -> bool:
         relay = self.relay
         return bool(relay.turn_due or relay.unreleased or relay.hosts.opening) or any(
-            exchange.connection is None or not exchange.connection.can_pass for _, exchange in _out(relay.held.values())
+            exchange.connection is None or not exchange.connection.can_hand_over
+            for _, exchange in _out(relay.held.values())
         )
 
     def _settled(self) -> bool:
@@ -189,7 +190,7 @@
             self.relay.turn()
             if not self.relay.inbox:
                 break
-        return not self.relay.inbox and self.relay.journal.settle()
+        return not self.relay.inbox and self.relay.journal.flush_and_sync()
 
     def _resume(self) -> None:
         log.error("upgrade: not now, the folder takes no records")
@@ -208,17 +209,19 @@
             channel.send(self._state(), [claim, listener.fileno()])
             os.close(claim)
             claim = -1
-            for clients in _batches(relay.server.passing()):
-                channel.send(p.Clients([p.Client(bytes(one.raw), one.asked) for one in clients]), _descriptors(clients))
+            for clients in _batches(relay.server.connections_to_hand_over()):
+                channel.send(
+                    p.Clients([p.Client(bytes(one.raw), one.has_sent_command) for one in clients]), _descriptors(clients)
+                )
                 for one in clients:
-                    one.let_go()
-            for idle in _batches(relay.hosts.passing()):
+                    one.close_after_handover()
+            for idle in _batches(relay.hosts.connections_to_hand_over()):
                 channel.send(
                     p.IdleHosts([p.Idle(one.host, one.address.host, one.address.port) for one in idle]),
                     _descriptors(idle),
                 )
                 for connection in idle:
-                    connection.let_go()
+                    connection.close_after_handover()
             for calls in _batches(_passing(relay.held.values())):
                 connections = [connection for _, _, connection in calls]
                 channel.send(
@@ -240,7 +243,7 @@
                     _descriptors(connections),
                 )
                 for connection in connections:
-                    connection.let_go()
+                    connection.close_after_handover()
             channel.send(p.End())
         except ChannelError as error:
             log.error("upgrade: broken off: %s", error)
@@ -275,7 +278,7 @@
             str(relay.config.discovery),
             endpoints,
             list(relay.gone),
-            remember(relay.pacer),
+            take_snapshot(relay.pacer),
             None if relay.fleet is None else relay.fleet.passing(),
         )
 
@@ -366,5 +369,5 @@
 def _passing(messages: Iterable[PendingMessage]) -> Iterator[tuple[PendingMessage, net.Exchange, net.Connection]]:
     """Calls that pass. That of a message which has ended meanwhile is not waited for: its connection closes."""
     for message, exchange in _out(messages):
-        if not message.over and exchange.connection is not None and exchange.connection.can_pass:
+        if not message.over and exchange.connection is not None and exchange.connection.can_hand_over:
             yield message, exchange, exchange.connection
--- a/garnetrelay/relay.py
+++ b/garnetrelay/relay.py
@@ -21,11 +21,11 @@
 from garnetrelay.counters import Counters
 from garnetrelay.delivery.http import hosts as net
 from garnetrelay.delivery.http.answers import Outcome
+from garnetrelay.discovery.client import Discovery
+from garnetrelay.discovery.host_list import ListReader, ListUpdate
 from garnetrelay.fronts.resp.requests import RejectedError, Request
 from garnetrelay.fronts.resp.server import Reply, Server
 from garnetrelay.loop_lag import LoopLag
-from garnetrelay.membership.listing import News, Reader
-from garnetrelay.membership.register import Discovery
 from garnetrelay.pending import Newcomer, PendingMessage
 from garnetrelay.platform.notices import Notices
 from garnetrelay.recovery import Recovery
@@ -41,11 +41,11 @@
     from garnetrelay.fleet.service import Fleet
     from garnetrelay.handover.receiver import Inheritance, PredecessorLink
     from garnetrelay.handover.sender import HandoverSender
-    from garnetrelay.operators.figures import Gauges
+    from garnetrelay.operators.metrics import Gauges
     from garnetrelay.operators.service import Operators
     from garnetrelay.ownership import Owners
-    from garnetrelay.store.ahead import Ahead
-    from garnetrelay.store.durability import Syncing
+    from garnetrelay.store.durability import SyncWorker
+    from garnetrelay.store.preload import Preloaded
 
 log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
 class Relay(Recovery, Shutdown):
     """One relay, from its start to its end."""
 
-    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Ahead | None = None) -> None:
+    def __init__(self, config: Config, inheritance: Inheritance | None = None, ahead: Preloaded | None = None) -> None:
         self.config = config
         self.inheritance = inheritance
         self.settings = config.settings
@@ -100,7 +100,7 @@
         self.unreleased = 0  # turns whose records are on their way to the disk
         self.closed = False
         self.tending: asyncio.TimerHandle | None = None
-        self.syncing: Syncing | None = None
+        self.syncing: SyncWorker | None = None
         self.serving = False
         self.stopping = False
         self.time_is_up = False
@@ -110,18 +110,18 @@
             config.settings,
             self._host_room,
             lambda: self.server.close_longest_idle(),
-            self.journal.on_record,
+            self.journal.when_recorded,
             config.machine_durable,
         )
         self.server = Server(self.on_request, self._client_room, self._more_client_room)
         self.server.on_closed = self._end_if_idle
-        self.reader = Reader(config)
+        self.reader = ListReader(config)
         self.discovery = Discovery(config.discovery, self.reader, 0, self.on_news)
         self.notices = Notices(config.discovery, self._told)
 
     def _host_room(self) -> int:
         """How many more connections to hosts there may be."""
-        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.turned_away)
+        clients = max(self.config.client_sockets, len(self.server.connections) - self.server.rejected_count)
         return self.config.shared_sockets - clients - self.hosts.count
 
     def _client_room(self) -> int:
@@ -136,9 +136,9 @@
         """Pick up what an earlier life left, then listen; the address that clients may use."""
         gc.freeze()  # what was read stays: no collection has to look at it again
         if self.config.machine_durable:
-            from garnetrelay.store.durability import Syncing  # a thread: only where it is wanted
+            from garnetrelay.store.durability import SyncWorker  # a thread: only where it is wanted
 
-            self.syncing = Syncing(self.journal)
+            self.syncing = SyncWorker(self.journal)
         if self.config.operators is not None:
             from garnetrelay.operators.service import Operators  # only where staff may call
 
@@ -237,19 +237,19 @@
 
     def gauges(self) -> Gauges:
         """Its figures that go by no class, as they are now."""
-        from garnetrelay.operators.figures import Gauges  # only where staff may call
+        from garnetrelay.operators.metrics import Gauges  # only where staff may call
 
         return Gauges(
             attempts=self.hosts.calls_written,
             in_flight=sum(not message.over for message in self.held.values()) + len(self.recovering),
             hosts_known=len(self.listed),
-            hosts_excluded=self.pacer.avoided(),
+            hosts_excluded=self.pacer.count_avoided_hosts(),
             reloads_ok=self.counts.reloads_ok,
             reloads_failed=self.counts.reloads_failed,
             discovery_calls=self.discovery.watches.calls,
-            discovery_failures=self.pacer.asking.failures,
+            discovery_failures=self.pacer.discovery_schedule.failures,
             list_version=self.discovery.index,
-            list_watched=int(self.discovery.heard),
+            list_watched=int(self.discovery.up_to_date),
         )
 
     def knows_host(self, host: str) -> bool:
@@ -276,12 +276,12 @@
 
     def _exclude_as_told(self, host: str, out: bool) -> str:
         """Staff called the process before; why it can't be done, or nothing."""
-        from garnetrelay.operators.calls import CallRefusedError
+        from garnetrelay.operators.commands import CommandRefusedError
 
         assert self.operators is not None
         try:
             self.operators.exclude(host, out)
-        except CallRefusedError as refused:
+        except CommandRefusedError as refused:
             return str(refused)
         return ""
 
@@ -292,7 +292,9 @@
         if request.klass not in self.class_numbers:
             raise RejectedError(f"unknown class '{request.klass[:40]}'")
         if request.dest not in self.dests:
-            if not self.discovery.heard:  # the list that we started with may be old: that it does not name it says little
+            if (
+                not self.discovery.up_to_date
+            ):  # the list that we started with may be old: that it does not name it says little
                 self.counts.refused[request.klass] += 1
                 reply.busy(0)
                 return
@@ -328,7 +330,7 @@
             )
         )
 
-    def on_news(self, news: News | None) -> None:
+    def on_news(self, news: ListUpdate | None) -> None:
         """The list of hosts has changed; None: the watch has failed."""
         if news is None:
             self.post(io.Roster(io.ListScope.FAILED, ()))
@@ -344,7 +346,7 @@
             self.hosts.close_idle(host)
         self.post(io.Excluded(host, out))
 
-    def _place(self, news: News) -> None:
+    def _place(self, news: ListUpdate) -> None:
         """Where each host listens now. Connections to those that drain or went are closed."""
         named = {entry.host for entry in news.entries}
         gone = [host for host in self.listed if host not in named] if news.whole else []
@@ -356,7 +358,7 @@
             self.gone.pop(entry.host, None)
             self.dests.add(entry.dest)
             draining = entry.availability is io.Availability.STOPPING
-            self.hosts.place(entry.host, news.addresses[entry.host], draining)
+            self.hosts.set_address(entry.host, news.addresses[entry.host], draining)
         for host in gone:
             if self.listed.pop(host, None) is not None:
                 self.gone[host] = None
@@ -418,14 +420,14 @@
         # What leaves now depends on what was noted in this turn: it goes once that is on record.
         ends, self.ends = self.ends, []
         self.unreleased += 1
-        self.journal.on_record(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
+        self.journal.when_recorded(functools.partial(self._let_out, ends, newcomers, self.hosts.gathered()))
         self._tend()
         if self.stopping:
             self._end_if_idle()
         self.lag.round_ends(time.monotonic_ns())
 
     def _let_out(
-        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.Ready], recorded: bool
+        self, ends: list[tuple[str, str, int]], newcomers: list[Newcomer], calls: list[net.PreparedCall], recorded: bool
     ) -> None:
         """What a turn has decided, on record or not: notices of ends are owed in any case."""
         self.unreleased -= 1
@@ -434,7 +436,7 @@
         if self.time_is_up and not self.unreleased:
             self.finished.set()
         for end in ends:
-            self.notices.tell(*end)
+            self.notices.add(*end)
         self.notices.send()
         for newcomer in newcomers:
             self._answer(newcomer, recorded)
@@ -444,9 +446,9 @@
         """A small step of compaction, and another soon where there is more to do."""
         if self.closed:
             return
-        self.journal.tend()
-        if self.journal.busy and self.tending is None:
-            pause = BROKEN_PAUSE if self.journal.broken else TEND_PAUSE
+        self.journal.maintain()
+        if self.journal.needs_maintenance and self.tending is None:
+            pause = BROKEN_PAUSE if self.journal.write_failed else TEND_PAUSE
             self.tending = asyncio.get_running_loop().call_later(pause, self._tend_again)
 
     def _tend_again(self) -> None:
@@ -461,12 +463,14 @@
             if ref in ends:
                 continue
             # Others of this turn may have taken the room that there was when it came.
-            if not newcomer.reply.wanted or not self.journal.has_room(ref, request.key, len(request.body)):
+            if not newcomer.reply.client_connected or not self.journal.has_room(ref, request.key, len(request.body)):
                 self.counts.refused[request.klass] += 1
                 newcomer.reply.busy(0)
                 self.post(io.Withdrawn(ref))
                 continue
-            self.journal.taken(Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body))
+            self.journal.record_accepted(
+                Entry(ref, request.klass, request.dest, request.key, newcomer.deadline, request.body)
+            )
             self.held[ref] = PendingMessage(ref, request.klass, request.key, request.body, newcomer.ends_at)
             noted.append(newcomer)
         return noted
@@ -478,7 +482,7 @@
             newcomer.reply.ok()
             return
         self.held.pop(ref, None)
-        self.journal.ended(ref, None)
+        self.journal.record_end(ref, None)
         self.counts.refused[newcomer.request.klass] += 1
         newcomer.reply.busy(0)
         self.post(io.Withdrawn(ref))
@@ -550,22 +554,22 @@
     def _probe(self, probe: io.Probe) -> None:
         started = self.pacer.now
 
-        def still_clear() -> bool:
+        def final_check() -> bool:
             return self.pacer.clear_to_send(time.monotonic_ns(), None, probe.host)
 
         def prepare(address: Address) -> bytes | None:
-            return net.probe(address, self.config.load_reports) if still_clear() else None
+            return net.probe_request(address, self.config.load_reports) if final_check() else None
 
         def done(outcome: Outcome) -> None:
             self.post(io.Probed(probe.host, outcome.status, time.monotonic_ns() - started, outcome.report))
 
-        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, still_clear))
+        self.hosts.begin(net.Exchange(probe.host, probe.stop_at, prepare, done, final_check))
 
     # ---- ends
 
     def _told(self, ref: str) -> None:
         """The platform has acknowledged a notice."""
-        self.journal.told(ref)
+        self.journal.record_notice_acknowledged(ref)
         self._flush_soon()
 
     def _end(self, ref: str, result: str, wait_ms: int) -> None:
@@ -575,7 +579,7 @@
             if message.exchange is None:
                 del self.held[ref]
         elif ref in self.journal.entries:
-            self.journal.ended(ref, result, wait_ms)
+            self.journal.record_end(ref, result, wait_ms)
             self.ends.append((ref, result, wait_ms))
 
     def finish(self, message: PendingMessage, result: str | None, wait_ms: int, tell: str | None = None) -> None:
@@ -590,6 +594,6 @@
         )
         by_class[message.klass] += 1
         told = result or tell
-        self.journal.ended(message.ref, told, wait_ms)
+        self.journal.record_end(message.ref, told, wait_ms)
         if told is not None:
             self.ends.append((message.ref, told, wait_ms))
--- a/garnetrelay/store/recovery.py
+++ b/garnetrelay/store/recovery.py
@@ -12,11 +12,11 @@
 
 from garnetrelay.store import format as fmt
 from garnetrelay.store import legacy
-from garnetrelay.store.ahead import Ahead, catch_up
 from garnetrelay.store.compaction import CompactedLog
 from garnetrelay.store.format import LaterVersionError, Record
 from garnetrelay.store.index import Segment
-from garnetrelay.store.reading import name_of, number_in
+from garnetrelay.store.preload import Preloaded, drop_removed_segments
+from garnetrelay.store.reading import segment_name, segment_number
 from garnetrelay.store.segment_log import StoreError
 from garnetrelay.store.storage import blocks
 
@@ -26,35 +26,35 @@
 class RecoveredLog(CompactedLog):
     """A log that goes on from what earlier lives left. StoreError where that can't be read: nothing is changed then."""
 
-    def _load(self, ahead: Ahead | None) -> None:
+    def _load(self, preloaded: Preloaded | None) -> None:
         # All that a load makes stays: to look for what may go would take as long as the reading.
         collecting = gc.isenabled()
         gc.disable()
         try:
-            self._read_folder(ahead or Ahead())
+            self._read_folder(preloaded or Preloaded())
         finally:
             if collecting:
                 gc.enable()
 
-    def _read_folder(self, ahead: Ahead) -> None:
+    def _read_folder(self, preloaded: Preloaded) -> None:
         """Read the folder, and begin a segment of this life's own. Nothing is changed before all can be read."""
-        self.index = ahead.index
+        self.index = preloaded.index
         try:
             names = self.storage.names()
-            numbers = sorted(number for name in names if (number := number_in(name)) is not None)
-            read = {number: self.storage.read(name_of(number)) for number in numbers}
+            numbers = sorted(number for name in names if (number := segment_number(name)) is not None)
+            read = {number: self.storage.read(segment_name(number)) for number in numbers}
             old = self.storage.read(legacy.NAME) if legacy.NAME in names else None
         except OSError as error:
             raise StoreError(f"the journal can't be read: {error.strerror}") from None
         try:
-            whole = {number: fmt.number_of(data) == number for number, data in read.items()}
+            whole = {number: fmt.header_number(data) == number for number, data in read.items()}
         except LaterVersionError as error:
             raise StoreError(f"the journal was written by a later version: {error}") from None
-        catch_up(ahead, numbers)
+        drop_removed_segments(preloaded, numbers)
         newest = numbers[-1] if numbers else 0
         torn: tuple[int, int, int] | None = None
         for number in numbers:
-            found = self._replay(number, read.pop(number), whole[number], number == newest, ahead.read.get(number))
+            found = self._replay(number, read.pop(number), whole[number], number == newest, preloaded.read.get(number))
             if found is not None:
                 torn = (number, *found)
         # Where no segment can be begun, what is noted counts in the newest until it can be put on record.
@@ -109,7 +109,7 @@
         self._used -= blocks(self.index.segments[number].size)
         self.index.removed(number)
         try:
-            self.storage.remove(name_of(number))
+            self.storage.remove(segment_name(number))
         except OSError as error:
             log.error("journal: segment %d cannot be removed: %s", number, error.strerror)
 
@@ -133,7 +133,7 @@
         segment = self.index.segments[number]
         tail = fmt.seal(records)
         try:
-            self.storage.cut(name_of(number), end, tail)
+            self.storage.cut(segment_name(number), end, tail)
         except OSError as error:
             log.error("journal: segment %d cannot be sealed: %s", number, error.strerror)
             return
@@ -152,7 +152,7 @@
         if not self.flush():
             raise StoreError("the journal of an earlier version cannot be taken over: no room in the folder")
         self._sync_all()
-        if self.broken:
+        if self.write_failed:
             raise StoreError("the journal of an earlier version cannot be taken over: it can't be synced")
         for name in (legacy.SPARE, legacy.NAME):
             if name in self.storage.names():
--- a/tests/membership/test_watches.py
+++ b/tests/discovery/test_watches.py
@@ -7,9 +7,9 @@
 import pytest
 
 from garnetrelay.config.deployment import Address
-from garnetrelay.membership import watches as module
-from garnetrelay.membership.watches import MOST_CALLS, Patience, State, Watch, Watches
-from starlingwick.asking import ASK_SOON, LEAST_HEDGE, SECOND
+from garnetrelay.discovery import watches as module
+from garnetrelay.discovery.watches import MOST_CALLS, Patience, State, Watch, Watches
+from starlingwick.discovery_schedule import MAX_REOPEN_DELAY_NS, MIN_HEDGE_DELAY_NS, SECOND
 
 OLD, NEW = Address("127.0.0.1", 1), Address("127.0.0.1", 2)
 
@@ -26,7 +26,7 @@
 def test_a_watch_at_the_old_address_goes_on_until_the_new_one_has_brought_a_line() -> None:
     watches, old = watching()
     watches.move(NEW)
-    assert not watches.heard and watches.out == [old]
+    assert not watches.up_to_date and watches.out == [old]
     call, closing = watches.begin()
     assert (call.address, call.index, closing) == (NEW, 0, [])
     watches.taken_up(call)
@@ -34,7 +34,7 @@
     watches.told(old, 50)
     assert watches.index == 0  # the new address counts in a way of its own
     assert watches.line(call) == [old]
-    assert watches.heard and watches.out == [call]
+    assert watches.up_to_date and watches.out == [call]
 
 
 def test_the_first_of_two_calls_that_brings_a_line_is_the_watch() -> None:
@@ -113,19 +113,19 @@
     patience = Patience.begin(100.0)
     assert (patience.doubt_at, patience.end_at) == (None, 100.0 + module.ANSWER_TIME)
     patience.taken_up(101.0, all_asked_for=True)
-    assert (patience.doubt_at, patience.end_at) == (101.0 + module.FIRST_LINE, 101.0 + module.SILENCE)
+    assert (patience.doubt_at, patience.end_at) == (101.0 + module.FIRST_LINE, 101.0 + module.SILENCE_TIMEOUT_S)
     patience.line(102.0)
-    assert (patience.doubt_at, patience.end_at) == (102.0 + module.DOUBT_AFTER, 102.0 + module.SILENCE)
+    assert (patience.doubt_at, patience.end_at) == (102.0 + module.DOUBT_AFTER, 102.0 + module.SILENCE_TIMEOUT_S)
     patience.unfinished(102.1)
     assert patience.doubt_at == 102.1 + module.LINE_TIME
     for tenth in range(1, 40):  # a trickle
         patience.unfinished(102.1 + tenth / 10)
         assert patience.doubt_at is not None
         assert patience.doubt_at <= 102.0 + module.DOUBT_AFTER
-        assert patience.end_at == 102.0 + module.SILENCE
+        assert patience.end_at == 102.0 + module.SILENCE_TIMEOUT_S
 
 
 def test_what_a_silent_watch_misses_can_be_asked_for_three_times_before_it_counts_as_told() -> None:
     """6 s: the doubt, the longest gap behind it, and two calls beside the first one, among few relays."""
-    assert module.DOUBT_AFTER + (ASK_SOON + 2 * LEAST_HEDGE) / SECOND < 6.0
+    assert module.DOUBT_AFTER + (MAX_REOPEN_DELAY_NS + 2 * MIN_HEDGE_DELAY_NS) / SECOND < 6.0
     assert module.DOUBT_AFTER > 2.0  # a line comes every 2 s
--- a/tests/store/test_ahead.py
+++ b/tests/store/test_preload.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from garnetrelay.store import ahead as reading
+from garnetrelay.store import preload
 from garnetrelay.store.format import Entry
-from garnetrelay.store.reading import number_in
+from garnetrelay.store.reading import segment_number
 from garnetrelay.store.storage import Folder
 from garnetrelay.store.store import Store
 
@@ -24,18 +24,18 @@
     if what < 0.45 or not refs:
         body = bytes(draw.randrange(400))
         if store.has_room(f"m{count}", None, len(body)):
-            store.taken(Entry(f"m{count}", "keyed", 3, None, 10**12 + count, body))
+            store.record_accepted(Entry(f"m{count}", "keyed", 3, None, 10**12 + count, body))
     elif what < 0.6:
-        store.trying(draw.choice(refs), "north", 10**12)
+        store.record_attempt(draw.choice(refs), "north", 10**12)
     elif what < 0.7:
-        store.outcome(draw.choice(refs), draw.random() < 0.5)
+        store.record_outcome(draw.choice(refs), draw.random() < 0.5)
     else:
-        store.ended(draw.choice(refs), draw.choice((None, None, "dead")))
+        store.record_end(draw.choice(refs), draw.choice((None, None, "dead")))
     for ref in [ref for ref, entry in store.entries.items() if entry.ended is not None and draw.random() < 0.2]:
-        store.told(ref)
+        store.record_notice_acknowledged(ref)
     if draw.random() < 0.5:
         store.flush()
-        store.tend()
+        store.maintain()
 
 
 def meant(store: Store) -> tuple[object, ...]:
@@ -60,7 +60,7 @@
         step(store, draw, count)
     if draw.random() < 0.5:
         store.flush()
-    found = reading.read_ahead(Folder(live), number_in)
+    found = preload.preload_folder(Folder(live), segment_number)
     assert found is not None
     for count in range(1000, 1000 + draw.choice((0, 3, 100, 1200))):
         step(store, draw, count)
@@ -68,12 +68,12 @@
     if draw.random() < 0.5:
         store.close()
     else:  # killed, perhaps in the middle of a record
-        store.storage.release()  # type: ignore[attr-defined]
+        store.storage.unlock()  # type: ignore[attr-defined]
         newest = max(live.glob("*.seg"))
         newest.write_bytes(newest.read_bytes() + draw.randbytes(draw.randrange(9)))
     shutil.copytree(live, copy)
-    assert Folder(live).claimed() is False
-    whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, ahead=found)
+    assert Folder(live).is_locked() is False
+    whole, caught_up = Store.open(live, DISK), Store.open(copy, DISK, preloaded=found)
     assert meant(whole) == meant(caught_up)
     assert whole.used == caught_up.used
     whole.close()
@@ -89,4 +89,4 @@
     data = bytearray(first.read_bytes())
     data[len(data) // 2] ^= 1
     first.write_bytes(data)
-    assert reading.read_ahead(Folder(tmp_path), number_in) is None
+    assert preload.preload_folder(Folder(tmp_path), segment_number) is None
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,9 +16,9 @@
 import pytest
 import pytest_asyncio
 
-from garnetrelay.config.deployment import OPERATORS, RESERVED
+from garnetrelay.config.deployment import OPERATOR_DESCRIPTORS, RESERVED_DESCRIPTORS
 from garnetrelay.fronts.resp import server as clients
-from garnetrelay.operators.front import MOST_CALLERS
+from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from garnetrelay.relay import Relay
 from tests.sockets import Client, Field, endpoint, listing, until
@@ -76,7 +76,7 @@
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
     assert relay._client_room() <= 0
-    assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED
+    assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED_DESCRIPTORS
     for one in burst:
         one.close()
 
@@ -130,7 +130,7 @@
     (await field.host.next_call()).answer(200)
     await until(lambda: not relay.held)
     dest, host = relay.pacer.hosts["s-1"]
-    assert not short and dest.bad_at == 0 and host.bad == 0.0
+    assert not short and dest.last_failure_at == 0 and host.failure_share == 0.0
 
 
 async def test_a_burst_of_callers_takes_no_descriptor_that_is_kept_for_others(field: Field) -> None:
@@ -139,18 +139,18 @@
     before = descriptors()
     await field.start()
     relay = field.relays[0]
-    assert relay.operators is not None and relay.operators.front._server is not None
+    assert relay.operators is not None and relay.operators.listener._server is not None
     idle = descriptors() - before - 1  # its first client is the test's own, too
-    burst = connect_at_once(relay.operators.front._server.sockets[0].getsockname()[1], 16)
+    burst = connect_at_once(relay.operators.listener._server.sockets[0].getsockname()[1], 16)
     others = before + len(burst) + 1
     most = 0
-    while len(relay.operators.front.callers) < MOST_CALLERS:
+    while len(relay.operators.listener.connections) < MAX_CONNECTIONS:
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
     for _ in range(100):
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
-    assert most <= idle + OPERATORS - 1  # its listener is there
+    assert most <= idle + OPERATOR_DESCRIPTORS - 1  # its listener is there
     for one in burst:
         one.close()
 
@@ -190,7 +190,7 @@
         await asyncio.sleep(0)
     await until(lambda: connection in relay.server.idle)
     open_before = descriptors()
-    now = relay.server.now() + clients.IDLE_TIME + 1
+    now = relay.server.now() + clients.MIN_IDLE_S + 1
     relay.server.now = lambda: now
     while connection in relay.server.connections:
         assert relay.server.close_longest_idle()
@@ -204,7 +204,7 @@
     field: Field, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its answers can't be written, so its connection never closed, and as one with work to do it made no room either."""
-    monkeypatch.setattr(clients, "LINGER", 0.0)
+    monkeypatch.setattr(clients, "LINGER_S", 0.0)
     await field.start()
     relay = field.relays[0]
     deaf = await Client.connect(field.port)
