--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -1,9 +1,11 @@
-"""Every order in which words, losses, doubles, kills, restarts and suspicions can meet at three members, to the end.
+"""Explores every order in which claims, losses, duplicates, kills, restarts and suspicions can occur among three
+members.
 
-What runs is `Holding`, as the relay drives it; time is counted in steps of a suspicion. A message is all that its sender
-holds at that moment; it may arrive late, twice or never, so a cut between members is among the orders.
+The code under test is `LocalView`, driven as the relay drives it; time is counted in steps of a suspicion. A message
+is everything that its sender holds at that moment. It may arrive late, twice or never, so partitions between members
+are among the orders.
 
-    python -m tests.fleet.explore            # all orders within the bounds below, and each planted fault
+    python -m tests.fleet.explore            # all orders within the bounds below, and each injected fault
 """
 
 from __future__ import annotations
@@ -26,42 +28,43 @@
 NAMES = ("a", "b", "c")
 # A suspicion lasts two steps, or one if it is confirmed.
 SETTINGS = Settings(probe_interval=1, probe_timeout=0, suspicion_multiplier=1.0, max_suspicion_multiplier=2.0)
-HEAL_ROUNDS = 12
+MAX_CONVERGENCE_ROUNDS = 12
 
 
 class Bounds(NamedTuple):
-    """How much may happen in one order."""
+    """How many events of each kind one order may contain."""
 
-    starts: int = 2  # lives that a process of a member may begin
+    starts: int = 2  # processes that one member may start
     kills: int = 1
     suspicions: int = 2
     leaves: int = 1
     lost_folders: int = 1
-    messages: int = 1  # on their way at once
-    doubles: int = 1
+    messages: int = 1  # in flight at the same time
+    duplicates: int = 1
 
 
-SMALL = Bounds(starts=1, kills=0, suspicions=1, leaves=0, lost_folders=0, messages=1, doubles=0)
+SMALL = Bounds(starts=1, kills=0, suspicions=1, leaves=0, lost_folders=0, messages=1, duplicates=0)
 
 
 class Site(NamedTuple):
-    """A member's folder and process. ``holding``: its number among those that were met; -1: no process."""
+    """A member's folder and process. ``local_view`` is the number of its view among those found so far; -1: no
+    process."""
 
     folder: int
     starts: int
     local_view: int
 
 
-class World(NamedTuple):
-    """One state. ``flying``: to whom, and the number of what is said."""
+class State(NamedTuple):
+    """One global state. ``in_flight`` has the receiver and the message number of each message."""
 
     sites: tuple[Site, ...]
-    flying: tuple[tuple[int, int], ...]
-    bounds: Bounds  # what is left of them
+    in_flight: tuple[tuple[int, int], ...]
+    bounds: Bounds  # the events that remain
 
 
-Kinds = tuple[type[LocalView], type[LocalMember], type[Table]]
-PLAIN: Kinds = (LocalView, LocalMember, Table)
+Classes = tuple[type[LocalView], type[LocalMember], type[Table]]
+CORRECT: Classes = (LocalView, LocalMember, Table)
 
 
 def _short(claim: Claim) -> tuple[Any, ...]:
@@ -90,27 +93,27 @@
     )
 
 
-def clone(local_view: LocalView, kinds: Kinds, older: int = 0) -> LocalView:
-    """A copy; ``older``: so many steps have passed (times are kept relative to now, which is 0)."""
+def clone(local_view: LocalView, classes: Classes, steps: int = 0) -> LocalView:
+    """Copies a view; ``steps`` steps have passed (times are relative to now, which is 0)."""
     effects: list[Effect] = []
-    made = kinds[0](local_view.local.claim, SETTINGS, effects)
-    made.local = kinds[1].__new__(kinds[1])
-    made.local.__dict__.update(local_view.local.__dict__)
-    made.table = kinds[2](SETTINGS.max_members)
-    made.table.view_hash = local_view.table.view_hash
-    made.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
-    made.table.gone = {name: dataclasses.replace(member) for name, member in local_view.table.gone.items()}
-    made.suspects = dict(local_view.suspects)
-    for member in made.table:
+    copy_ = classes[0](local_view.local.claim, SETTINGS, effects)
+    copy_.local = classes[1].__new__(classes[1])
+    copy_.local.__dict__.update(local_view.local.__dict__)
+    copy_.table = classes[2](SETTINGS.max_members)
+    copy_.table.view_hash = local_view.table.view_hash
+    copy_.table.members = {name: dataclasses.replace(member) for name, member in local_view.table.members.items()}
+    copy_.table.gone = {name: dataclasses.replace(member) for name, member in local_view.table.gone.items()}
+    copy_.suspects = dict(local_view.suspects)
+    for member in copy_.table:
         if member.suspicion is not None:
             member.suspicion = Suspicion(
-                member.suspicion.started_at - older, member.suspicion.view_size, set(member.suspicion.confirmed_by)
+                member.suspicion.started_at - steps, member.suspicion.view_size, set(member.suspicion.confirmed_by)
             )
-    return made
+    return copy_
 
 
-class Broken(Exception):
-    """A property does not hold. ``step``: in which step, where that is not the one under way."""
+class PropertyViolation(Exception):
+    """A property does not hold. ``step`` names the step if it is not the one under way."""
 
     def __init__(self, text: str, step: str = "") -> None:
         super().__init__(text)
@@ -118,290 +121,296 @@
 
 
 class Explorer:
-    """One run over all orders. ``kinds`` may carry a planted fault.
+    """One run over all orders. ``classes`` may contain an injected fault.
 
-    Holdings that are alike are one, and what becomes of one is worked out once: a state is a few numbers.
+    Equal views are stored once and each of their successors is computed once, so a state consists of a few numbers.
     """
 
     def __init__(
         self,
         bounds: Bounds,
-        kinds: Kinds = PLAIN,
-        keep: Callable[[int, int], int] = max,
-        first_life: Callable[[int], int] = lambda folder: folder + 1,
+        classes: Classes = CORRECT,
+        store: Callable[[int, int], int] = max,
+        next_life: Callable[[int], int] = lambda folder: folder + 1,
     ) -> None:
-        self.kinds = kinds
-        self.keep = keep  # the folder's life from what it was and what is to be kept
-        self.first_life = first_life
-        self.met: list[LocalView] = []
+        self.classes = classes
+        self.store = store  # computes the folder's life from its old value and the life to store
+        self.next_life = next_life
+        self.local_views: list[LocalView] = []
         self._numbers: dict[Any, int] = {}
-        self._texts: list[tuple[Claim, ...]] = []  # what is said
-        self._text_numbers: dict[Any, int] = {}
-        self._made: dict[Any, int] = {}  # what becomes of a holding, by what happens to it
-        self._words: dict[int, int] = {}
+        self._messages: list[tuple[Claim, ...]] = []  # the claims of each message
+        self._message_numbers: dict[Any, int] = {}
+        self._successors: dict[Any, int] = {}  # the successor of a view, by the event applied to it
+        self._message_by_view: dict[int, int] = {}
         self._compared: set[tuple[int, int]] = set()
-        self._healed: set[tuple[int, ...]] = set()
-        self.first = World(tuple(self.begun(number, Site(0, 0, -1), False) for number in range(len(NAMES))), (), bounds)
+        self._converged: set[tuple[int, ...]] = set()
+        self.first = State(tuple(self.started(number, Site(0, 0, -1), False) for number in range(len(NAMES))), (), bounds)
         self.states = self.steps = 0
 
     @property
-    def healed(self) -> int:
-        """Different threes of holdings from which views were seen to meet."""
-        return len(self._healed)
+    def converged(self) -> int:
+        """The number of different combinations of views from which the members converged."""
+        return len(self._converged)
 
     def run(self) -> tuple[str, list[str]] | None:
-        """Breadth first: the first property that breaks, with its shortest trace; None where all hold."""
-        came: dict[World, tuple[World, str] | None] = {self.first: None}
+        """Explores breadth first. Returns the first violated property with its shortest trace; None if all hold."""
+        predecessors: dict[State, tuple[State, str] | None] = {self.first: None}
         waiting = deque([self.first])
         while waiting:
-            world = waiting.popleft()
+            state = waiting.popleft()
             self.states += 1
             text = ""
             try:
-                self.heal(world)
-                for text, after in self.moves(world):
+                self.check_convergence(state)
+                for text, after in self.moves(state):
                     self.steps += 1
-                    self.compare(world, after)
-                    if after not in came:
-                        came[after] = (world, text)
+                    self.compare(state, after)
+                    if after not in predecessors:
+                        predecessors[after] = (state, text)
                         waiting.append(after)
-            except Broken as broken:
-                trace = [broken.step or text] if broken.step or text else []
-                back = came[world]
+            except PropertyViolation as violation:
+                trace = [violation.step or text] if violation.step or text else []
+                back = predecessors[state]
                 while back is not None:
                     trace.insert(0, back[1])
-                    back = came[back[0]]
-                return str(broken), trace
+                    back = predecessors[back[0]]
+                return str(violation), trace
         return None
 
-    # ---- holdings
+    # ---- views
 
     def number(self, local_view: LocalView) -> int:
-        """Its number: the same for all that are alike."""
+        """Returns the number of a view; equal views have the same number."""
         key = _key(local_view)
         number = self._numbers.get(key)
         if number is None:
-            number = self._numbers[key] = len(self.met)
-            self.met.append(local_view)
+            number = self._numbers[key] = len(self.local_views)
+            self.local_views.append(local_view)
         return number
 
-    def after(self, local_view: int, what: tuple[Any, ...], change: Callable[[LocalView], object], older: int = 0) -> int:
-        """What becomes of a holding."""
+    def after(self, local_view: int, what: tuple[Any, ...], change: Callable[[LocalView], object], steps: int = 0) -> int:
+        """Returns the number of the view after an event."""
         key = local_view, *what
-        number = self._made.get(key)
+        number = self._successors.get(key)
         if number is None:
-            made = clone(self.met[local_view], self.kinds, older)
-            change(made)
-            number = self._made[key] = self.number(made)
+            copy_ = clone(self.local_views[local_view], self.classes, steps)
+            change(copy_)
+            number = self._successors[key] = self.number(copy_)
         return number
 
-    def text(self, claims: tuple[Claim, ...]) -> int:
-        """The number of what is said."""
+    def message_number(self, claims: tuple[Claim, ...]) -> int:
+        """Returns the number of a message."""
         key = tuple(_short(claim) for claim in claims)
-        number = self._text_numbers.get(key)
+        number = self._message_numbers.get(key)
         if number is None:
-            number = self._text_numbers[key] = len(self._texts)
-            self._texts.append(claims)
+            number = self._message_numbers[key] = len(self._messages)
+            self._messages.append(claims)
         return number
 
-    def words(self, number: int) -> int:
-        """What a frame of it tells: its own word, and all that it holds."""
-        text = self._words.get(number)
+    def message_of(self, number: int) -> int:
+        """Returns the message that a member sends: its claim about itself, and all that it holds."""
+        text = self._message_by_view.get(number)
         if text is None:
-            local_view = self.met[number]
-            text = self._words[number] = self.text(
+            local_view = self.local_views[number]
+            text = self._message_by_view[number] = self.message_number(
                 (local_view.local.claim, *sorted(local_view.table.claims(), key=_short))
             )
         return text
 
-    def hears(self, local_view: int, text: int) -> int:
-        """A frame came."""
+    def receive(self, local_view: int, message: int) -> int:
+        """Delivers a message to a view."""
 
-        def hear(made: LocalView) -> None:
-            for claim in self._texts[text]:
-                made.apply_claim(0, claim)
+        def hear(copy_: LocalView) -> None:
+            for claim in self._messages[message]:
+                copy_.apply_claim(0, claim)
 
-        return self.after(local_view, ("hears", text), hear)
+        return self.after(local_view, ("hears", message), hear)
 
     def suspects(self, local_view: int, name: str) -> int:
-        """A probe came to nothing."""
-        identity = self.met[local_view].table.members[name].claim.identity
-        return self.after(local_view, ("suspects", name), lambda made: made.suspect(0, name, identity, ""))
+        """Applies a failed probe."""
+        identity = self.local_views[local_view].table.members[name].claim.identity
+        return self.after(local_view, ("suspects", name), lambda copy_: copy_.suspect(0, name, identity, ""))
 
-    def older(self, local_view: int) -> int:
-        """A step has passed."""
+    def advance_time(self, local_view: int) -> int:
+        """Lets a step pass."""
 
-        def judge(made: LocalView) -> None:
-            before = {name: (member.claim, member.suspicion) for name, member in made.table.members.items()}
-            made.expire_suspicions(0, 0)
+        def judge(copy_: LocalView) -> None:
+            before = {name: (member.claim, member.suspicion) for name, member in copy_.table.members.items()}
+            copy_.expire_suspicions(0, 0)
             for name, (claim, suspicion) in before.items():
-                later = made.table.get(name)
+                later = copy_.table.get(name)
                 if later is None or later.claim.identity != claim.identity or later.claim.status is not Status.FAILED:
                     continue
                 if suspicion is None:
-                    raise Broken("a member is failed without a suspicion", "a step passes")
+                    raise PropertyViolation("a member is declared failed without a suspicion", "a step passes")
                 others = {by for by in suspicion.confirmed_by if by in NAMES and by != claim.by}
                 if -suspicion.started_at < SETTINGS.suspicion_time(suspicion.view_size, len(others)):
-                    raise Broken("a member is failed without its time to speak up", "a step passes")
+                    raise PropertyViolation("a member is declared failed without its time to refute", "a step passes")
 
         return self.after(local_view, ("older",), judge, 1)
 
-    def keeps(self, local_view: int) -> int:
-        """The next life is in the folder."""
-        return self.after(local_view, ("keeps",), lambda made: made.life_stored(made.local.wanted_life))
+    def store_life(self, local_view: int) -> int:
+        """Confirms that the next life is stored."""
+        return self.after(local_view, ("keeps",), lambda copy_: copy_.life_stored(copy_.local.wanted_life))
 
-    # ---- what may happen
+    # ---- possible events
 
-    def moves(self, world: World) -> Iterator[tuple[str, World]]:
-        """Every next state. A frame that is lost is one that was never sent: nothing else remembers it."""
-        left, sites, flying = world.bounds, world.sites, world.flying
+    def moves(self, state: State) -> Iterator[tuple[str, State]]:
+        """Yields every next state. A lost message is one that was never sent, since nothing else remembers it."""
+        left, sites, in_flight = state.bounds, state.sites, state.in_flight
         for number, site in enumerate(sites):
             name = NAMES[number]
             if site.local_view < 0:
                 if site.starts < left.starts:
-                    yield f"{name} starts", self.with_site(world, number, self.begun(number, site, False))
+                    yield f"{name} starts", self.with_site(state, number, self.started(number, site, False))
                     if left.lost_folders:
                         yield (
                             f"{name} starts without its folder",
-                            self.with_site(world, number, self.begun(number, site, True))._replace(
+                            self.with_site(state, number, self.started(number, site, True))._replace(
                                 bounds=left._replace(lost_folders=left.lost_folders - 1)
                             ),
                         )
                 continue
-            local_view = self.met[site.local_view]
+            local_view = self.local_views[site.local_view]
             if left.kills:
                 yield (
                     f"{name} is killed",
-                    self.with_site(world, number, site._replace(local_view=-1))._replace(
+                    self.with_site(state, number, site._replace(local_view=-1))._replace(
                         bounds=left._replace(kills=left.kills - 1)
                     ),
                 )
             if local_view.local.wanted_life and not local_view.local.left:
                 yield (
-                    f"{name} keeps life {local_view.local.wanted_life}",
+                    f"{name} stores life {local_view.local.wanted_life}",
                     self.with_site(
-                        world,
+                        state,
                         number,
                         site._replace(
-                            folder=self.keep(site.folder, local_view.local.wanted_life),
-                            local_view=self.keeps(site.local_view),
+                            folder=self.store(site.folder, local_view.local.wanted_life),
+                            local_view=self.store_life(site.local_view),
                         ),
                     ),
                 )
             if not local_view.local.active:
                 continue
-            if len(flying) < left.messages:
-                said = self.words(site.local_view)
+            if len(in_flight) < left.messages:
+                said = self.message_of(site.local_view)
                 for to in range(len(NAMES)):
                     if to != number:
-                        yield f"{name} tells {NAMES[to]}", world._replace(flying=tuple(sorted((*flying, (to, said)))))
+                        yield (
+                            f"{name} sends to {NAMES[to]}",
+                            state._replace(in_flight=tuple(sorted((*in_flight, (to, said))))),
+                        )
             if left.suspicions:
                 for other in local_view.table.members:
                     yield (
                         f"{name} suspects {other}",
                         self.with_site(
-                            world, number, site._replace(local_view=self.suspects(site.local_view, other))
+                            state, number, site._replace(local_view=self.suspects(site.local_view, other))
                         )._replace(bounds=left._replace(suspicions=left.suspicions - 1)),
                     )
             if left.leaves:
-                yield f"{name} leaves", self.leaves(world, number, site)
-        for place, (to, text) in enumerate(flying):
-            what = f"{self._texts[text][0].name}'s word to {NAMES[to]}"
-            once = self.arrives(world, to, text)
-            yield f"arrives: {what}", once._replace(flying=(*flying[:place], *flying[place + 1 :]))
-            if left.doubles:
-                yield f"arrives, and will again: {what}", once._replace(bounds=left._replace(doubles=left.doubles - 1))
-        if any(site.local_view >= 0 and self.met[site.local_view].suspects for site in sites):
+                yield f"{name} leaves", self.leave(state, number, site)
+        for index, (to, message) in enumerate(in_flight):
+            what = f"{self._messages[message][0].name}'s message to {NAMES[to]}"
+            once = self.deliver(state, to, message)
+            yield f"arrives: {what}", once._replace(in_flight=(*in_flight[:index], *in_flight[index + 1 :]))
+            if left.duplicates:
+                yield (
+                    f"arrives, and will again: {what}",
+                    once._replace(bounds=left._replace(duplicates=left.duplicates - 1)),
+                )
+        if any(site.local_view >= 0 and self.local_views[site.local_view].suspects for site in sites):
             yield (
                 "a step passes",
-                world._replace(
+                state._replace(
                     sites=tuple(
-                        site if site.local_view < 0 else site._replace(local_view=self.older(site.local_view))
+                        site if site.local_view < 0 else site._replace(local_view=self.advance_time(site.local_view))
                         for site in sites
                     )
                 ),
             )
 
-    def with_site(self, world: World, number: int, site: Site) -> World:
-        """Another site in a place."""
-        return world._replace(sites=(*world.sites[:number], site, *world.sites[number + 1 :]))
+    def with_site(self, state: State, number: int, site: Site) -> State:
+        """Replaces the site of one member."""
+        return state._replace(sites=(*state.sites[:number], site, *state.sites[number + 1 :]))
 
-    def begun(self, number: int, site: Site, lost: bool) -> Site:
-        """A new process."""
-        life = self.first_life(0 if lost else site.folder)
+    def started(self, number: int, site: Site, lost: bool) -> Site:
+        """Starts a new process."""
+        life = self.next_life(0 if lost else site.folder)
         claim = Claim(NAMES[number], life, 10 * number + site.starts, life, 0, Status.ALIVE, "10.0.0.1", 1, 2)
-        local_view = self.kinds[0](claim, SETTINGS, [])
-        local_view.local, local_view.table = self.kinds[1](claim), self.kinds[2](SETTINGS.max_members)
+        local_view = self.classes[0](claim, SETTINGS, [])
+        local_view.local, local_view.table = self.classes[1](claim), self.classes[2](SETTINGS.max_members)
         return Site(life, site.starts + 1, self.number(local_view))
 
-    def leaves(self, world: World, number: int, site: Site) -> World:
-        """It says so to one other; then its process ends."""
-        claim = clone(self.met[site.local_view], self.kinds).local.leave()
-        flying = world.flying
-        if len(flying) < world.bounds.messages:
-            flying = tuple(sorted((*flying, ((number + 1) % len(NAMES), self.text((claim,))))))
-        return self.with_site(world, number, site._replace(local_view=-1))._replace(
-            flying=flying, bounds=world.bounds._replace(leaves=world.bounds.leaves - 1)
+    def leave(self, state: State, number: int, site: Site) -> State:
+        """Ends the process after it has announced this to one other member."""
+        claim = clone(self.local_views[site.local_view], self.classes).local.leave()
+        in_flight = state.in_flight
+        if len(in_flight) < state.bounds.messages:
+            in_flight = tuple(sorted((*in_flight, ((number + 1) % len(NAMES), self.message_number((claim,))))))
+        return self.with_site(state, number, site._replace(local_view=-1))._replace(
+            in_flight=in_flight, bounds=state.bounds._replace(leaves=state.bounds.leaves - 1)
         )
 
-    def arrives(self, world: World, to: int, text: int) -> World:
-        """A frame reaches whoever is there now."""
-        site = world.sites[to]
+    def deliver(self, state: State, to: int, message: int) -> State:
+        """Delivers a message to the process that runs now, if any."""
+        site = state.sites[to]
         if site.local_view < 0:
-            return world
-        return self.with_site(world, to, site._replace(local_view=self.hears(site.local_view, text)))
+            return state
+        return self.with_site(state, to, site._replace(local_view=self.receive(site.local_view, message)))
 
-    # ---- what has to hold
+    # ---- properties
 
-    def compare(self, before: World, after: World) -> None:
-        """Properties of a step."""
+    def compare(self, before: State, after: State) -> None:
+        """Checks the properties of a step."""
         for old, new in zip(before.sites, after.sites, strict=True):
             if new.local_view < 0 or new == old:
                 continue
-            own = self.met[new.local_view].local
+            own = self.local_views[new.local_view].local
             if own.claim.life > new.folder:
-                raise Broken("a life is used before it is in the folder")
+                raise PropertyViolation("a life is used before it is stored")
             if old.local_view < 0:
                 if new.folder <= old.folder and before.bounds.lost_folders == after.bounds.lost_folders:
-                    raise Broken("a life is used twice")
+                    raise PropertyViolation("a life is used twice")
                 continue
             pair = old.local_view, new.local_view
             if pair not in self._compared:
-                self.compare_site(self.met[old.local_view], self.met[new.local_view])
+                self.compare_site(self.local_views[old.local_view], self.local_views[new.local_view])
                 self._compared.add(pair)
 
     def compare_site(self, old: LocalView, new: LocalView) -> None:
-        """Properties of what becomes of a holding."""
+        """Checks the properties of a view and its successor."""
         if new.local.claim.identity < old.local.claim.identity:
-            raise Broken("a relay goes back to an earlier life")
+            raise PropertyViolation("a relay goes back to an earlier life")
         if new.local.claim.identity == old.local.claim.identity:
             if new.local.claim.incarnation < old.local.claim.incarnation:
-                raise Broken("an incarnation goes back")
+                raise PropertyViolation("an incarnation goes back")
             if old.local.wanted_life and new.local.active:
-                raise Broken("a relay speaks on in a life that it knows has ended")
+                raise PropertyViolation("a relay is active in a life that it knows has ended")
             if old.local.name_holder is not None and new.local.active:
-                raise Broken("a relay speaks beside the process for which it stood aside")
+                raise PropertyViolation("a relay is active although another process has its name")
         for member in old.table:
             claim = member.claim
             later = new.table.get(claim.name)
             if later is None:
-                raise Broken("a member is forgotten")
+                raise PropertyViolation("a member is forgotten")
             if claim.final and later.claim.identity == claim.identity and not later.claim.final:
-                raise Broken("a life that failed or left comes back")
+                raise PropertyViolation("a life that failed or left comes back")
             if later.claim.identity < claim.identity:
-                raise Broken("an earlier life takes the place of a later one")
+                raise PropertyViolation("an earlier life replaces a later one")
         if any(
             other.claim.status is Status.SUSPECT and (other.suspicion is None or name not in new.suspects)
             for name, other in new.table.members.items()
         ):
-            raise Broken("a suspicion has no end")
+            raise PropertyViolation("a suspicion has no deadline")
 
-    def in_peace(self, live: list[int]) -> dict[str, Identity]:
-        """The lives of which nobody knows anything that ends them."""
-        held = [self.met[number] for number in live]
+    def unchallenged(self, live: list[int]) -> dict[str, Identity]:
+        """Returns the lives about which no member holds a claim that ends them."""
+        views = [self.local_views[number] for number in live]
         return {
             one.name: one.local.claim.identity
-            for one in held
+            for one in views
             if one.local.active
             and not any(
                 (member := other.table.get(one.name)) is not None
@@ -410,66 +419,69 @@
                     or member.claim.identity == one.local.claim.identity
                     and member.claim.final
                 )
-                for other in held
+                for other in views
             )
         }
 
-    def heal(self, world: World) -> None:
-        """Links whole from here on, and nothing else happens: each keeps its life, tells all, and probes."""
-        live = [site.local_view for site in world.sites if site.local_view >= 0]
+    def check_convergence(self, state: State) -> None:
+        """From this state on all links work and nothing else happens: each member stores its life, sends all its
+        claims, and probes."""
+        live = [site.local_view for site in state.sites if site.local_view >= 0]
         passed: list[tuple[int, ...]] = []
-        for _ in range(HEAL_ROUNDS):
-            if tuple(live) in self._healed:
+        for _ in range(MAX_CONVERGENCE_ROUNDS):
+            if tuple(live) in self._converged:
                 break
             passed.append(tuple(live))
-            peaceful = self.in_peace(live)
-            self.one_round(live)
-            if not peaceful.items() <= self.in_peace(live).items():
-                raise Broken("links are whole, and a relay that answers is failed", "links are whole")
+            alive_before = self.unchallenged(live)
+            self.run_round(live)
+            if not alive_before.items() <= self.unchallenged(live).items():
+                raise PropertyViolation("all links work, and a relay that answers is declared failed", "all links work")
             if tuple(live) == passed[-1]:
-                self.see_one_view(live)
+                self.check_one_view(live)
                 break
         else:
-            self.see_one_view(live)
-        self._healed.update(passed)
-
-    def one_round(self, live: list[int]) -> None:
-        """Each keeps its life, tells all twice, and probes; a step passes."""
-        live[:] = [self.keeps(number) if self.met[number].local.wanted_life else number for number in live]
-        for place, other in 2 * list(itertools.permutations(range(len(live)), 2)):
-            speaker, hearer = self.met[live[place]], self.met[live[other]]
+            self.check_one_view(live)
+        self._converged.update(passed)
+
+    def run_round(self, live: list[int]) -> None:
+        """Each member stores its life, sends everything twice, and probes; a step passes."""
+        live[:] = [self.store_life(number) if self.local_views[number].local.wanted_life else number for number in live]
+        for index, other in 2 * list(itertools.permutations(range(len(live)), 2)):
+            speaker, hearer = self.local_views[live[index]], self.local_views[live[other]]
             if speaker.local.active:
-                live[other] = self.hears(live[other], self.words(live[place]))
-            elif hearer.local.active and (held := hearer.table.get(speaker.name)) is not None:
-                live[place] = self.hears(live[place], self.text((held.claim,)))  # it knocks, and is told
-        running = {self.met[number].name: self.met[number].local for number in live}
-        for place, number in enumerate(live):
-            for name, member in list(self.met[number].table.members.items()):
+                live[other] = self.receive(live[other], self.message_of(live[index]))
+            elif hearer.local.active and (views := hearer.table.get(speaker.name)) is not None:
+                live[index] = self.receive(
+                    live[index], self.message_number((views.claim,))
+                )  # it sends a contact request and receives the claim about itself
+        running = {self.local_views[number].name: self.local_views[number].local for number in live}
+        for index, number in enumerate(live):
+            for name, member in list(self.local_views[number].table.members.items()):
                 there = running.get(name)
                 if there is None or not there.active or there.claim.identity != member.claim.identity:
                     number = self.suspects(number, name)
-            live[place] = self.older(number)
+            live[index] = self.advance_time(number)
 
-    def see_one_view(self, live: list[int]) -> None:
-        """All that live hold just each other."""
-        held = [self.met[number] for number in live]
-        for local_view in held:
+    def check_one_view(self, live: list[int]) -> None:
+        """Checks that the live members hold exactly each other."""
+        views = [self.local_views[number] for number in live]
+        for local_view in views:
             if not local_view.local.active:
-                raise Broken("links are whole, and a relay never gets its name", "links are whole")
+                raise PropertyViolation("all links work, and a relay never becomes active", "all links work")
             inside = {
                 (name, member.claim.identity, member.claim.status) for name, member in local_view.table.members.items()
             }
             if inside != {
-                (other.name, other.local.claim.identity, Status.ALIVE) for other in held if other is not local_view
+                (other.name, other.local.claim.identity, Status.ALIVE) for other in views if other is not local_view
             }:
-                raise Broken("links are whole, and views do not meet again", "links are whole")
+                raise PropertyViolation("all links work, and views do not converge", "all links work")
 
 
-# ---- faults, each to be found
+# ---- injected faults, each of which has to be found
 
 
-class NoFinal(Table):
-    """Forgets that a life is over."""
+class ForgetsFinal(Table):
+    """Forgets that a life has ended."""
 
     def merge(self, claim: Claim, now: int) -> Any:
         member = self.gone.get(claim.name)
@@ -478,8 +490,8 @@
         return super().merge(claim, now)
 
 
-class AnyLife(Table):
-    """Takes an earlier life for news."""
+class AcceptsEarlierLife(Table):
+    """Accepts an earlier life as new."""
 
     def merge(self, claim: Claim, now: int) -> Any:
         member = self.get(claim.name)
@@ -488,8 +500,8 @@
         return super().merge(claim, now)
 
 
-class NoProcess(Table):
-    """Does not tell two processes of one life apart."""
+class IgnoresProcess(Table):
+    """Does not distinguish two processes of one life."""
 
     def merge(self, claim: Claim, now: int) -> Any:
         member = self.get(claim.name)
@@ -503,8 +515,8 @@
         return Change.NOTHING
 
 
-class OneVoice(Table):
-    """Counts whoever repeats a suspicion as one more who suspects."""
+class CountsRepeats(Table):
+    """Counts a repeated suspicion as one by another member."""
 
     def merge(self, claim: Claim, now: int) -> Any:
         change = super().merge(claim, now)
@@ -514,8 +526,8 @@
         return change
 
 
-class Mute(LocalMember):
-    """Hears that it is suspected, and does not speak up."""
+class NeverRefutes(LocalMember):
+    """Does not refute a suspicion."""
 
     def apply_claim(self, claim: Claim) -> Any:
         if claim.identity == self.claim.identity and claim.status is Status.SUSPECT:
@@ -523,182 +535,194 @@
         return super().apply_claim(claim)
 
 
-class SpeaksOn(LocalMember):
-    """Goes on in a life that has ended until the next is kept."""
+class ActsInEndedLife(LocalMember):
+    """Stays active in a life that has ended until the next one is stored."""
 
     def apply_claim(self, claim: Claim) -> Any:
-        answer = super().apply_claim(claim)
+        result = super().apply_claim(claim)
         self.active = self.active or bool(self.wanted_life)
-        return answer
+        return result
 
 
-class Hasty(LocalMember):
-    """Uses the next life before it is kept."""
+class UsesLifeBeforeStored(LocalMember):
+    """Uses the next life before it is stored."""
 
     def apply_claim(self, claim: Claim) -> Any:
-        answer = super().apply_claim(claim)
+        result = super().apply_claim(claim)
         if self.wanted_life:
             self.life_stored(self.wanted_life)
-        return answer
+        return result
 
 
-class Stubborn(LocalMember):
-    """Takes no word on itself for true."""
+class IgnoresFinalClaims(LocalMember):
+    """Ignores final claims about itself."""
 
     def apply_claim(self, claim: Claim) -> Any:
         return super().apply_claim(claim) if not claim.final else super().apply_claim(claim.with_status(Status.ALIVE, ""))
 
 
-class Pushy(LocalMember):
-    """Does not stand aside for another process of its name."""
+class KeepsTakenName(LocalMember):
+    """Stays active although another process uses its name."""
 
     def apply_claim(self, claim: Claim) -> Any:
-        answer = super().apply_claim(claim)
+        result = super().apply_claim(claim)
         if self.name_holder is not None:
             self.active = True
-        return answer
+        return result
 
 
-class Back(LocalMember):
-    """Begins with its incarnation anew when it is suspected."""
+class ResetsIncarnation(LocalMember):
+    """Resets its incarnation when it is suspected."""
 
     def apply_claim(self, claim: Claim) -> Any:
-        answer = super().apply_claim(claim)
+        result = super().apply_claim(claim)
         if self.claim.incarnation > 1:
             self.claim = self.claim.with_status(Status.ALIVE, "", 0)
-        return answer
+        return result
 
 
-class Rash(LocalView):
-    """Judges at once."""
+class DeclaresEarly(LocalView):
+    """Declares members failed before their suspicion expires."""
 
     def expire_suspicions(self, now: int, answered_at: int | None) -> None:
         super().expire_suspicions(now + 1, answered_at)
 
 
-class Shrinking(LocalView):
-    """Reckons a suspicion's time by the members of the moment."""
+class ShortensSuspicions(LocalView):
+    """Computes a suspicion's time from the current number of members."""
 
     def suspicion_deadline(self, member: Any) -> int:
         suspicion = member.suspicion
         return int(suspicion.started_at + self.settings.suspicion_time(self.count, len(suspicion.confirmed_by)))
 
 
-class Silent(LocalView):
-    """Never judges."""
+class NeverDeclares(LocalView):
+    """Never declares a member failed."""
 
     def expire_suspicions(self, now: int, answered_at: int | None) -> None:
         pass
 
 
-class Anew(LocalView):
-    """A word that comes twice begins the suspicion anew, without an end."""
+class LosesSuspicionDeadline(LocalView):
+    """A claim that arrives twice restarts the suspicion without a deadline."""
 
     def apply_claim(self, now: int, claim: Claim, source: Any = None) -> Any:
-        answer = super().apply_claim(now, claim, source)
+        result = super().apply_claim(now, claim, source)
         if claim.status is Status.SUSPECT and claim.by != self.name:
             self.suspects.pop(claim.name, None)
-        return answer
+        return result
 
 
 class Fault(NamedTuple):
-    """A planted fault, bounds within which it shows, and the property that it breaks."""
+    """An injected fault, the bounds within which it shows, and the property that it violates."""
 
     bounds: Bounds
-    breaks: str
-    how: dict[str, Any]
+    violates: str
+    options: dict[str, Any]
 
 
 def _bounds(**more: int) -> Bounds:
-    """One life each and one frame under way, and what is given besides."""
+    """Bounds with one life per member and one message in flight, plus the given ones."""
     return Bounds(**{**dict.fromkeys(Bounds._fields, 0), "starts": 1, "messages": 1, **more})
 
 
 FAULTS: dict[str, Fault] = {
-    "a final word that is not final": Fault(
-        _bounds(suspicions=1), "a life that failed or left comes back", {"kinds": (LocalView, LocalMember, NoFinal)}
+    "a final claim that is not final": Fault(
+        _bounds(suspicions=1),
+        "a life that failed or left comes back",
+        {"classes": (LocalView, LocalMember, ForgetsFinal)},
     ),
-    "an earlier life taken for news": Fault(
+    "an earlier life accepted as new": Fault(
         _bounds(starts=2, kills=1),
-        "an earlier life takes the place of a later one",
-        {"kinds": (LocalView, LocalMember, AnyLife)},
+        "an earlier life replaces a later one",
+        {"classes": (LocalView, LocalMember, AcceptsEarlierLife)},
     ),
-    "two processes of one life not told apart": Fault(
+    "two processes of one life not distinguished": Fault(
         _bounds(starts=2, kills=1, lost_folders=1),
-        "links are whole, and views do not meet again",
-        {"kinds": (LocalView, LocalMember, NoProcess)},
+        "all links work, and views do not converge",
+        {"classes": (LocalView, LocalMember, IgnoresProcess)},
     ),
-    "one voice counted twice": Fault(
+    "one suspecting member counted twice": Fault(
         _bounds(suspicions=1),
-        "a member is failed without its time to speak up",
-        {"kinds": (LocalView, LocalMember, OneVoice)},
+        "a member is declared failed without its time to refute",
+        {"classes": (LocalView, LocalMember, CountsRepeats)},
     ),
-    "a suspected relay that does not speak up": Fault(
-        _bounds(suspicions=1), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Mute, Table)}
+    "a suspected relay that does not refute": Fault(
+        _bounds(suspicions=1),
+        "all links work, and a relay that answers is declared failed",
+        {"classes": (LocalView, NeverRefutes, Table)},
     ),
-    "a relay that speaks on after its life has ended": Fault(
+    "a relay that stays active after its life has ended": Fault(
         _bounds(suspicions=1),
-        "a relay speaks on in a life that it knows has ended",
-        {"kinds": (LocalView, SpeaksOn, Table)},
+        "a relay is active in a life that it knows has ended",
+        {"classes": (LocalView, ActsInEndedLife, Table)},
     ),
-    "a life used before it is kept": Fault(
-        _bounds(suspicions=1), "a life is used before it is in the folder", {"kinds": (LocalView, Hasty, Table)}
+    "a life used before it is stored": Fault(
+        _bounds(suspicions=1),
+        "a life is used before it is stored",
+        {"classes": (LocalView, UsesLifeBeforeStored, Table)},
     ),
-    "a relay that takes no final word on itself": Fault(
-        _bounds(suspicions=1), "links are whole, and views do not meet again", {"kinds": (LocalView, Stubborn, Table)}
+    "a relay that ignores final claims about itself": Fault(
+        _bounds(suspicions=1),
+        "all links work, and views do not converge",
+        {"classes": (LocalView, IgnoresFinalClaims, Table)},
     ),
-    "a relay that does not stand aside": Fault(
+    "a relay that keeps a name in use elsewhere": Fault(
         _bounds(starts=3, kills=2, lost_folders=1),
-        "a relay speaks beside the process for which it stood aside",
-        {"kinds": (LocalView, Pushy, Table)},
+        "a relay is active although another process has its name",
+        {"classes": (LocalView, KeepsTakenName, Table)},
     ),
-    "an incarnation that begins anew": Fault(
-        _bounds(suspicions=2), "links are whole, and a relay that answers is failed", {"kinds": (LocalView, Back, Table)}
+    "an incarnation that is reset": Fault(
+        _bounds(suspicions=2),
+        "all links work, and a relay that answers is declared failed",
+        {"classes": (LocalView, ResetsIncarnation, Table)},
     ),
-    "a judgement before its time": Fault(
-        _bounds(suspicions=1), "a member is failed without its time to speak up", {"kinds": (Rash, LocalMember, Table)}
+    "a failure declared before its time": Fault(
+        _bounds(suspicions=1),
+        "a member is declared failed without its time to refute",
+        {"classes": (DeclaresEarly, LocalMember, Table)},
     ),
-    "a time that a shrinking view cuts short": Fault(
+    "a suspicion that a shrinking view cuts short": Fault(
         _bounds(suspicions=2),
-        "a member is failed without its time to speak up",
-        {"kinds": (Shrinking, LocalMember, Table)},
+        "a member is declared failed without its time to refute",
+        {"classes": (ShortensSuspicions, LocalMember, Table)},
     ),
-    "no judgement at all": Fault(
-        _bounds(kills=1), "links are whole, and views do not meet again", {"kinds": (Silent, LocalMember, Table)}
+    "no failure declared at all": Fault(
+        _bounds(kills=1), "all links work, and views do not converge", {"classes": (NeverDeclares, LocalMember, Table)}
     ),
-    "a suspicion that loses its end": Fault(
-        _bounds(suspicions=1), "a suspicion has no end", {"kinds": (Anew, LocalMember, Table)}
+    "a suspicion that loses its deadline": Fault(
+        _bounds(suspicions=1), "a suspicion has no deadline", {"classes": (LosesSuspicionDeadline, LocalMember, Table)}
     ),
     "a folder that does not count up": Fault(
-        _bounds(starts=2, kills=1), "a life is used twice", {"first_life": lambda folder: max(1, folder)}
+        _bounds(starts=2, kills=1), "a life is used twice", {"next_life": lambda folder: max(1, folder)}
     ),
-    "a folder that keeps no later life": Fault(
-        _bounds(suspicions=1), "a life is used before it is in the folder", {"keep": lambda was, now: was}
+    "a folder that stores no later life": Fault(
+        _bounds(suspicions=1), "a life is used before it is stored", {"store": lambda was, now: was}
     ),
 }
 
 
 def main() -> int:
-    """Without arguments each planted fault, and the bounds that CI has; with them those bounds alone."""
+    """Without arguments explores the bounds of CI and each injected fault; with arguments only the given bounds."""
     bounds = Bounds(*(int(word) for word in sys.argv[1:])) if sys.argv[1:] else SMALL
     began = time.monotonic()
     explorer = Explorer(bounds)
-    broken = explorer.run()
+    violation = explorer.run()
     print(
-        f"{bounds}\n{explorer.states} states, {explorer.steps} steps, {len(explorer.met)} holdings, views meet from "
-        f"{explorer.healed}, {time.monotonic() - began:.0f} s: {broken or 'all properties hold'}",
+        f"{bounds}\n{explorer.states} states, {explorer.steps} steps, {len(explorer.local_views)} views, convergence "
+        f"from {explorer.converged}, {time.monotonic() - began:.0f} s: {violation or 'all properties hold'}",
         flush=True,
     )
     for name, fault in () if sys.argv[1:] else FAULTS.items():
         began = time.monotonic()
-        explorer = Explorer(fault.bounds, **fault.how)
+        explorer = Explorer(fault.bounds, **fault.options)
         found = explorer.run()
         print(
             f"{name} ({explorer.states} states, {time.monotonic() - began:.1f} s): "
             + ("NOT FOUND" if found is None else f"{found[0]} ({len(found[1])} steps: {'; '.join(found[1])})"),
             flush=True,
         )
-    return 0 if broken is None else 1
+    return 0 if violation is None else 1
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_digests.py
+++ b/tests/fleet/test_digests.py
@@ -1,4 +1,5 @@
-"""Full exchanges that carry only what two relays hold unlike: the join is the same, also beside relays of before."""
+"""Full exchanges that carry only the differing claims: both sides end with the join, also with relays of earlier
+versions."""
 
 from __future__ import annotations
 
@@ -30,53 +31,55 @@
     return members
 
 
-def held(members: Membership) -> dict[str, tuple[object, ...]]:
+def claims_of(members: Membership) -> dict[str, tuple[object, ...]]:
     return {each.name: (each.rank, each.zone) for each in [members.local.claim, *members.table.claims()]}
 
 
-class HelloOfBefore(msgspec.Struct, array_like=True, tag=6, frozen=True):
-    """As a relay of before digests reads and writes it."""
+class EarlierHello(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """As a relay without digests reads and writes it."""
 
     sender: Claim
     sequence: int
     number: int
     claims: list[Claim] = []
     summary: fr.Summary | None = None
-    words: bytes = b""
+    observations: bytes = b""
 
 
-class WholeOfBefore(msgspec.Struct, array_like=True, tag=7, frozen=True):
+class EarlierWhole(msgspec.Struct, array_like=True, tag=7, frozen=True):
     sender: Claim
     sequence: int
     number: int
     claims: list[Claim]
     summary: fr.Summary | None
-    words: bytes
+    observations: bytes
     ask: int
 
 
-def over(frame: fr.Frame, before: type[msgspec.Struct] | None = None) -> fr.AnyFrame:
-    """Over a connection; read and written again on the way as a relay of before does it."""
+def transfer(frame: fr.Frame, earlier: type[msgspec.Struct] | None = None) -> fr.AnyFrame:
+    """Encodes and decodes a frame, optionally as a relay of an earlier version reads and writes it in between."""
     data = CODEC.encode(frame, 1 if isinstance(frame, fr.Hello) else 2)
-    if before is not None:
-        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEADER_BYTES :], type=before)), data[2])
+    if earlier is not None:
+        data = CODEC.sign(msgspec.msgpack.encode(msgspec.msgpack.decode(data[fr.HEADER_BYTES :], type=earlier)), data[2])
     return CODEC.decode(data, exchange=True)
 
 
-def exchange(one: Membership, other: Membership, old_one: bool = False, old_other: bool = False) -> tuple[int, int]:
-    """Hello, Whole, Whole; how many claims each side sent."""
-    hello = over(one.hello(1), HelloOfBefore if old_one or old_other else None)
+def exchange(
+    one: Membership, other: Membership, one_is_earlier: bool = False, other_is_earlier: bool = False
+) -> tuple[int, int]:
+    """Runs an exchange (Hello, Whole, Whole); returns how many claims each side sent."""
+    hello = transfer(one.hello(1), EarlierHello if one_is_earlier or other_is_earlier else None)
     assert isinstance(hello, fr.Hello)
-    told = over(other.answer_hello(1, hello), WholeOfBefore if old_one or old_other else None)
-    assert isinstance(told, fr.Whole)
-    ours, _ = one.receive_whole(2, told, hello.number, 1)
-    answer = over(ours)
+    answer = transfer(other.answer_hello(1, hello), EarlierWhole if one_is_earlier or other_is_earlier else None)
     assert isinstance(answer, fr.Whole)
-    other.receive_whole(3, answer, told.ask, 1)
-    return len(told.claims), len(ours.claims)
+    ours, _ = one.receive_whole(2, answer, hello.number, 1)
+    last = transfer(ours)
+    assert isinstance(last, fr.Whole)
+    other.receive_whole(3, last, answer.ask, 1)
+    return len(answer.claims), len(ours.claims)
 
 
-words = st.builds(
+claims = st.builds(
     claim,
     st.sampled_from("abcdef"),
     st.integers(0, 2),
@@ -86,34 +89,34 @@
 )
 
 
-@given(st.lists(words, max_size=12), st.lists(words, max_size=12), st.booleans())
+@given(st.lists(claims, max_size=12), st.lists(claims, max_size=12), st.booleans())
 def test_both_hold_the_join_after_one_exchange(ours: list[Claim], theirs: list[Claim], old: bool) -> None:
     one, other = relay("one", ours), relay("other", theirs)
     both = relay("one", [*ours, *theirs, claim("other")])
-    exchange(one, other, old_other=old)
-    assert held(one) == held(both) == held(other)
+    exchange(one, other, other_is_earlier=old)
+    assert claims_of(one) == claims_of(both) == claims_of(other)
 
 
-def test_who_hold_the_same_send_no_claims_and_one_difference_costs_a_bucket() -> None:
+def test_equal_relays_send_no_claims_and_one_difference_costs_a_bucket() -> None:
     names = [claim(f"n{number}", zone=number % 7) for number in range(620)]
     one, other = relay("one", [*names, claim("other")]), relay("other", [*names, claim("one")])
     assert exchange(one, other) == (0, 0)
     with_status = names[77].with_status(Status.FAILED, "n1")
     one.local_view.apply_claim(4, with_status)
-    told, back = exchange(one, other)
-    # Of some sixteen names; what the answering side has told is not told back.
-    assert 1 <= told <= 3 * digests.NAMES_PER_BUCKET and back == 1
+    answer, back = exchange(one, other)
+    # of about sixteen names; claims that the answering side has sent are not returned
+    assert 1 <= answer <= 3 * digests.NAMES_PER_BUCKET and back == 1
     assert other.table.gone["n77"].claim == with_status
 
 
-def test_relays_of_before_tell_all_and_are_told_what_they_lack() -> None:
+def test_earlier_versions_send_everything_and_receive_what_they_lack() -> None:
     names = [claim(f"n{number}") for number in range(100)]
     one, other = relay("one", names), relay("other", names[:90])
-    assert exchange(one, other, old_other=True) == (90, 10)
-    assert held(one) == held(other)
+    assert exchange(one, other, other_is_earlier=True) == (90, 10)
+    assert claims_of(one) == claims_of(other)
 
 
-def test_each_that_suspects_is_told() -> None:
+def test_every_suspecting_member_is_exchanged() -> None:
     suspect = claim("n1", status=Status.SUSPECT, by="a")
     one, other = relay("one", [suspect]), relay("other", [suspect.with_status(Status.SUSPECT, "b")])
     exchange(one, other)
@@ -122,8 +125,8 @@
         assert suspicion is not None and {*suspicion.confirmed_by, members.table.members["n1"].claim.by} == {"a", "b"}
 
 
-@given(words, words)
-def test_a_hash_is_of_all_that_has_to_be_alike(one: Claim, other: Claim) -> None:
+@given(claims, claims)
+def test_a_hash_covers_everything_that_has_to_be_equal(one: Claim, other: Claim) -> None:
     def alike(each: Claim) -> tuple[object, ...]:
         return each.name, each.rank, each.zone, each.by if each.status is Status.SUSPECT else ""
 
@@ -138,6 +141,6 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 24, 8 * 65, 8 * 128])
-def test_digests_of_no_such_number_are_refused(size: int) -> None:
+def test_digests_of_an_invalid_length_are_refused(size: int) -> None:
     frame = fr.Hello(sender=claim("one"), sequence=1, number=1, digests=bytes(size))
     assert cause(CODEC, CODEC.encode(frame, 1), exchange=True) == "malformed"
--- a/tests/fleet/test_exchanges.py
+++ b/tests/fleet/test_exchanges.py
@@ -1,4 +1,4 @@
-"""When full exchanges begin and with whom, and local health, each without the rest of a relay."""
+"""The schedule of full exchanges, and local health, each without the rest of a relay."""
 
 import random
 
@@ -17,26 +17,26 @@
 OWN = Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
 
 
-def made(seeds: list[SocketAddress]) -> tuple[Exchanges, list[Effect], LocalView]:
+def make_exchanges(seeds: list[SocketAddress]) -> tuple[Exchanges, list[Effect], LocalView]:
     effects: list[Effect] = []
     local_view = LocalView(OWN, SETTINGS, effects)
     outgoing = Outgoing(local_view, SETTINGS, effects, 0)
     return Exchanges(local_view, outgoing, SETTINGS, effects, random.Random(1), 0, seeds), effects, local_view
 
 
-def test_seeds_are_tried_in_turn_and_the_gap_doubles_up_to_its_bound() -> None:
-    exchanges, effects, _ = made(SEEDS)
-    for tried in range(1, 2 * len(SEEDS) * MAX_JOIN_DOUBLINGS):
+def test_seeds_are_tried_in_rotation_and_the_gap_doubles_up_to_its_bound() -> None:
+    exchanges, effects, _ = make_exchanges(SEEDS)
+    for attempts in range(1, 2 * len(SEEDS) * MAX_JOIN_DOUBLINGS):
         now = exchanges.join_at
         exchanges.join(now)
-        gap = SETTINGS.probe_interval // 5 << min(MAX_JOIN_DOUBLINGS, tried // len(SEEDS))
+        gap = SETTINGS.probe_interval // 5 << min(MAX_JOIN_DOUBLINGS, attempts // len(SEEDS))
         assert gap // 2 <= exchanges.join_at - now < gap // 2 + gap
         exchanges.join(exchanges.join_at - 1)  # too early: nothing
-        assert effects == [StartExchange(SEEDS[each % len(SEEDS)]) for each in range(tried)]
+        assert effects == [StartExchange(SEEDS[each % len(SEEDS)]) for each in range(attempts)]
 
 
-def test_a_turn_without_members_goes_to_a_seed_and_without_a_name_to_nobody() -> None:
-    exchanges, effects, local_view = made(SEEDS[:1])
+def test_a_periodic_exchange_without_members_goes_to_a_seed_and_while_inactive_to_nobody() -> None:
+    exchanges, effects, local_view = make_exchanges(SEEDS[:1])
     exchanges.start_due(exchanges.next_at - 1)
     assert not effects
     exchanges.start_due(exchanges.next_at)
@@ -47,16 +47,16 @@
     assert effects == [StartExchange(SEEDS[0])] and exchanges.next_at > before
 
 
-def test_another_view_is_asked_for_once_words_have_had_their_time_and_once_in_it() -> None:
-    exchanges, effects, local_view = made([])
-    pause = SETTINGS.settle_time(local_view.count)
-    for now, begun in ((pause - 1, 0), (pause, 1), (2 * pause - 1, 1), (2 * pause, 2)):
+def test_another_view_is_requested_after_the_settle_time_and_once_per_settle_time() -> None:
+    exchanges, effects, local_view = make_exchanges([])
+    backoff = SETTINGS.settle_time(local_view.count)
+    for now, started in ((backoff - 1, 0), (backoff, 1), (2 * backoff - 1, 1), (2 * backoff, 2)):
         exchanges.repair(now, SEEDS[0], changed_at=0)
-        assert len(effects) == begun
+        assert len(effects) == started
 
 
 @pytest.mark.parametrize(("lifeguard", "expected"), [(True, SETTINGS.max_slowdown), (False, 0)])
-def test_local_health_stays_in_its_bounds(lifeguard: bool, expected: int) -> None:
+def test_local_health_stays_within_its_bounds(lifeguard: bool, expected: int) -> None:
     health = LocalHealth(Settings(lifeguard=lifeguard))
     health.change(-1)
     assert health.slow == 0
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -1,4 +1,4 @@
-"""What a member takes for a frame of its fleet, and what it refuses."""
+"""Which frames a member accepts from its fleet, and which it refuses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from garnetrelay.laboratory.world import Node, World
 
 CLAIM = Claim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2, zone=6)
-NEW, OLD = b"the secret from now on", b"the secret of before"
+NEW_SECRET, OLD_SECRET = b"the new shared secret", b"the old shared secret"
 
 
 def ping(**more: object) -> fr.Ping:
@@ -30,8 +30,8 @@
     return refused.value.cause
 
 
-def test_every_kind_of_frame_comes_back_as_it_went() -> None:
-    codec = fr.Codec([NEW])
+def test_every_kind_of_frame_round_trips() -> None:
+    codec = fr.Codec([NEW_SECRET])
     rest = {
         "sender": CLAIM,
         "sequence": 9,
@@ -52,14 +52,14 @@
         assert codec.decode(codec.encode(frame, 2), exchange=True) == frame
 
 
-def test_what_a_version_does_not_have_is_left_out() -> None:
-    codec = fr.Codec([NEW])
+def test_fields_that_a_version_lacks_are_left_out() -> None:
+    codec = fr.Codec([NEW_SECRET])
     data = codec.encode(ping(summary=fr.Summary(1, 2), observations=bytes(12)), 1)
     assert data[2] == 1 and codec.decode(data) == ping()
 
 
-class ClaimOfBefore(msgspec.Struct, array_like=True, frozen=True):
-    """As a relay of before zones reads and writes it."""
+class EarlierClaim(msgspec.Struct, array_like=True, frozen=True):
+    """As a relay without zones reads and writes it."""
 
     name: str
     life: int
@@ -74,12 +74,12 @@
 
 
 @pytest.mark.parametrize("version", fr.VERSIONS)
-def test_relays_of_before_zones_are_read_and_read_claims_with_a_zone(version: int) -> None:
-    codec = fr.Codec([NEW])
+def test_claims_with_and_without_a_zone_are_compatible(version: int) -> None:
+    codec = fr.Codec([NEW_SECRET])
     body = codec.encode(ping(claims=[CLAIM]), version)[fr.HEADER_BYTES :]
     kind, sender, *rest = msgspec.msgpack.decode(body)
-    before: ClaimOfBefore = msgspec.msgpack.decode(msgspec.msgpack.encode(sender), type=ClaimOfBefore)
-    assert sender[-1] == 6 and before == ClaimOfBefore("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2)
+    before: EarlierClaim = msgspec.msgpack.decode(msgspec.msgpack.encode(sender), type=EarlierClaim)
+    assert sender[-1] == 6 and before == EarlierClaim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2)
 
     old = msgspec.msgpack.decode(msgspec.msgpack.encode(before))
     frame = codec.decode(codec.sign(msgspec.msgpack.encode([kind, old, *rest[:2], [old]]), version))
@@ -89,19 +89,19 @@
 
 @pytest.mark.parametrize("zone", [-1, 256, "one", None])
 def test_a_zone_out_of_bounds_is_refused(zone: object) -> None:
-    codec = fr.Codec([NEW])
+    codec = fr.Codec([NEW_SECRET])
     kind, sender, *rest = msgspec.msgpack.decode(codec.encode(ping(), 2)[fr.HEADER_BYTES :])
     assert cause(codec, codec.sign(msgspec.msgpack.encode([kind, [*sender[:-1], zone], *rest]), 2)) == "malformed"
 
 
-def test_both_secrets_are_good_during_a_change_and_the_first_signs() -> None:
-    before, during, after = fr.Codec([OLD]), fr.Codec([NEW, OLD]), fr.Codec([NEW])
+def test_both_secrets_are_accepted_during_a_change_and_the_first_signs() -> None:
+    before, during, after = fr.Codec([OLD_SECRET]), fr.Codec([NEW_SECRET, OLD_SECRET]), fr.Codec([NEW_SECRET])
     assert during.decode(before.encode(ping(), 2)) == ping() == after.decode(during.encode(ping(), 2))
     assert cause(before, during.encode(ping(), 2)) == cause(after, before.encode(ping(), 2)) == "secret"
 
 
-def test_secrets_of_one_number_are_both_good() -> None:
-    """The number in the head is one byte of a hash: two secrets may share it."""
+def test_secrets_with_the_same_number_are_both_accepted() -> None:
+    """The secret's number in the header is one byte of a hash: two secrets may share it."""
     numbers: dict[int, bytes] = {}
     for count in itertools.count():
         secret = b"a secret, number %d" % count
@@ -111,9 +111,9 @@
     assert fr.Codec([secret, twin]).decode(fr.Codec([twin]).encode(ping(), 2)) == ping()
 
 
-def test_a_claim_takes_no_more_room_than_is_reckoned() -> None:
+def test_a_claim_takes_no_more_bytes_than_its_size() -> None:
     codec, longest = (
-        fr.Codec([NEW]),
+        fr.Codec([NEW_SECRET]),
         Claim(
             "n" * 64,
             MAX_LIFE,
@@ -132,43 +132,43 @@
     assert two - one <= longest.size()
 
 
-def test_nothing_hostile_changes_a_member() -> None:
-    heard: list[bytes] = []
+def test_hostile_frames_change_nothing() -> None:
+    recorded: list[bytes] = []
 
-    def hear(node: Node, data: bytes) -> None:
-        if node.name == "n1" and len(heard) < 100:
-            heard.append(data)
+    def record(node: Node, data: bytes) -> None:
+        if node.name == "n1" and len(recorded) < 100:
+            recorded.append(data)
 
     world = World(5, Settings(), 1)
-    world.heard = hear
+    world.heard = record
     for name in world.nodes:
         world.start(name)
     assert world.run(20 * SECOND, world.one_view) and not world.run(world.now + 20 * SECOND)
     members = world.nodes["n1"].members
-    assert members is not None and len(heard) > 30
+    assert members is not None and len(recorded) > 30
 
     def state() -> tuple[object, ...]:
         return list(members.table.claims()), members.local.claim, members.view, members.condition
 
-    before, refused, taken = state(), set(), set()
-    for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), 3000):
+    before, refused, accepted = state(), set(), set()
+    for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, recorded), 3000):
         try:
             frame = world.codec.decode(data)
         except fr.Refused:
             refused.add(kind)
         else:
-            taken.add(kind)
+            accepted.add(kind)
             members.receive(world.now, frame, hostile.STRANGER)
         assert state() == before, kind
-    assert taken == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
+    assert accepted == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
     assert members.counters.refused.keys() >= {"replayed", "unproven"}
 
 
 @given(st.lists(st.integers(0, 600), max_size=60))
-def test_a_number_is_taken_once(numbers: list[int]) -> None:
-    window, taken = fr.Window(), set()
+def test_a_sequence_number_is_accepted_once(numbers: list[int]) -> None:
+    window, accepted = fr.Window(), set()
     for number in numbers:
         new = window.accept(number)
-        assert not (new and number in taken)
-        assert new or number in taken or number <= window.highest - fr.Window.WIDTH
-        taken.add(number)
+        assert not (new and number in accepted)
+        assert new or number in accepted or number <= window.highest - fr.Window.WIDTH
+        accepted.add(number)
--- a/tests/fleet/test_life_and_options.py
+++ b/tests/fleet/test_life_and_options.py
@@ -1,4 +1,4 @@
-"""The life number on disk, and what is wrong with a `[fleet]` table, one plain line each."""
+"""The life number on disk, and mistakes in a `[fleet]` table, each reported as one plain line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return options.read(folder / "options.toml", name)[0]
 
 
-def test_a_life_is_kept_and_counted(tmp_path: Path) -> None:
+def test_a_life_is_stored(tmp_path: Path) -> None:
     file = LifeFile(tmp_path, True)
     assert file.read() is None
     file.store(3, [SocketAddress("10.0.0.1", number) for number in range(1, 40)])
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda data: data[:-1],
         lambda data: b"",
@@ -41,10 +41,8 @@
         lambda data: b"noise" + data,
     ],
 )
-def test_a_file_that_cannot_be_read_counts_as_none(
-    tmp_path: Path, spoil: object, caplog: pytest.LogCaptureFixture
-) -> None:
-    (tmp_path / life_file.FILE).write_bytes(spoil(life_file.encode(StoredLife(3))))  # type: ignore[operator]
+def test_an_unreadable_file_counts_as_missing(tmp_path: Path, damage: object, caplog: pytest.LogCaptureFixture) -> None:
+    (tmp_path / life_file.FILE).write_bytes(damage(life_file.encode(StoredLife(3))))  # type: ignore[operator]
     assert LifeFile(tmp_path, False).read() is None
     assert len(caplog.messages) == 1 and "the others will tell it" in caplog.messages[0]
 
@@ -55,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "more, said",
+    "more, message",
     [
         ('lissten = "x"', "lissten"),
         ("probe_every_ms = 10", "probe_every_ms"),
@@ -72,14 +70,14 @@
         ('zone = "b"', "zone"),
     ],
 )
-def test_a_mistake_in_the_table_is_one_plain_line(tmp_path: Path, more: str, said: str) -> None:
+def test_a_mistake_in_the_table_is_one_plain_line(tmp_path: Path, more: str, message: str) -> None:
     with pytest.raises(ValueError) as wrong:
         read(tmp_path, f"[fleet]\n{GOOD}{more}\n")
-    assert said in str(wrong.value) and "\n" not in str(wrong.value)
+    assert message in str(wrong.value) and "\n" not in str(wrong.value)
 
 
 @pytest.mark.parametrize(
-    "table, secret, name, said",
+    "table, secret, name, message",
     [
         ('[fleet]\nsecret_file = "secret"', SECRET, "r1", "listen"),
         (f"[fleet]\n{GOOD}", None, "r1", "No such file"),
@@ -89,10 +87,12 @@
         (f"[fleet]\n{GOOD}", SECRET, "a name", "the relay's name 'a name' is not"),
     ],
 )
-def test_so_is_one_beside_it(tmp_path: Path, table: str, secret: str | None, name: str, said: str) -> None:
+def test_a_mistake_outside_the_table_is_one_plain_line(
+    tmp_path: Path, table: str, secret: str | None, name: str, message: str
+) -> None:
     with pytest.raises(ValueError) as wrong:
         read(tmp_path, table, secret, name)
-    assert said in str(wrong.value) and "\n" not in str(wrong.value)
+    assert message in str(wrong.value) and "\n" not in str(wrong.value)
 
 
 def test_a_good_table_is_read(tmp_path: Path) -> None:
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_mail.py
@@ -1,4 +1,4 @@
-"""The same members on the simulator's wire: notes of 256 bytes, by hand-made batches."""
+"""Fleet members on the simulator's wire: notes of 256 bytes, driven by hand-made batches."""
 
 from __future__ import annotations
 
@@ -29,115 +29,115 @@
 DELAY = 10_000_000
 
 
-class Day:
-    """Relays and the notes between them."""
+class SimulatedRun:
+    """Relays and the notes between them, on a simulated clock."""
 
     def __init__(self, count: int) -> None:
         self.count, self.now, self.posts = count, 0, 0
-        self.mails: dict[int, SimulatorMember] = {}
+        self.relays: dict[int, SimulatorMember] = {}
         self.queue: list[tuple[int, int, int, Callable[..., list[Reply]]]] = []
         self.order = itertools.count()
 
-    def up(self, relay: int) -> None:
-        self.mails[relay] = SimulatorMember(relay, self.count, relay + self.now, self.now)
-        self.take(relay, self.mails[relay].begin(self.now))
+    def start(self, relay: int) -> None:
+        self.relays[relay] = SimulatorMember(relay, self.count, relay + self.now, self.now)
+        self.handle(relay, self.relays[relay].begin(self.now))
 
-    def take(self, relay: int, replies: list[Reply]) -> None:
+    def handle(self, relay: int, replies: list[Reply]) -> None:
         for reply in replies:
             if isinstance(reply, Post):
                 assert len(reply.data) <= MAX_NOTE_BYTES
                 self.posts += 1
                 data = reply.data
-                self.push(DELAY, reply.to, lambda mail, now, data=data: mail.mail(now, relay, data))
+                self.schedule(DELAY, reply.to, lambda member, now, data=data: member.mail(now, relay, data))
             elif isinstance(reply, Wake):
-                own, token = self.mails[relay], reply.token
-                self.push(
+                own, token = self.relays[relay], reply.token
+                self.schedule(
                     reply.after,
                     relay,
-                    lambda mail, now, own=own, token=token: (mail.alarm(now, token) if mail is own else []),
+                    lambda member, now, own=own, token=token: (member.alarm(now, token) if member is own else []),
                 )
 
-    def push(self, after: int, relay: int, what: Callable[..., list[Reply]]) -> None:
-        heapq.heappush(self.queue, (self.now + after, next(self.order), relay, what))
+    def schedule(self, after: int, relay: int, action: Callable[..., list[Reply]]) -> None:
+        heapq.heappush(self.queue, (self.now + after, next(self.order), relay, action))
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, relay, what = heapq.heappop(self.queue)
-            if relay in self.mails:
-                self.take(relay, what(self.mails[relay], self.now))
+            self.now, _, relay, action = heapq.heappop(self.queue)
+            if relay in self.relays:
+                self.handle(relay, action(self.relays[relay], self.now))
         self.now = until
 
     def one_view(self) -> bool:
-        return len({mail.members.view for mail in self.mails.values()}) == 1 and all(
-            mail.members.count == len(self.mails) for mail in self.mails.values()
+        return len({member.members.view for member in self.relays.values()}) == 1 and all(
+            member.members.count == len(self.relays) for member in self.relays.values()
         )
 
 
-def test_members_find_each_other_by_notes_and_know_who_has_gone() -> None:
-    day = Day(20)
+def test_members_find_each_other_by_notes_and_detect_departures() -> None:
+    fleet = SimulatedRun(20)
     for relay in range(20):
-        day.up(relay)
-    day.run(60)
-    assert day.one_view()
-    before = day.posts
-    day.run(20)
-    assert day.posts - before <= 20 * 20 * 1.1  # a question and an answer in two seconds
-    del day.mails[7]
-    day.run(60)
-    assert day.one_view() and all(
-        mail.members.table.gone["r7"].claim.status.name == "FAILED" for mail in day.mails.values()
+        fleet.start(relay)
+    fleet.run(60)
+    assert fleet.one_view()
+    before = fleet.posts
+    fleet.run(20)
+    assert fleet.posts - before <= 20 * 20 * 1.1  # a request and an answer in two seconds
+    del fleet.relays[7]
+    fleet.run(60)
+    assert fleet.one_view() and all(
+        member.members.table.gone["r7"].claim.status.name == "FAILED" for member in fleet.relays.values()
     )
-    day.up(7)  # it knows nothing of its earlier life
-    day.run(60)
-    assert day.one_view() and day.mails[7].members.local.claim.life == 2
+    fleet.start(7)  # it knows nothing of its earlier life
+    fleet.run(60)
+    assert fleet.one_view() and fleet.relays[7].members.local.claim.life == 2
 
 
-def test_a_fleet_of_notes_begins_as_one_and_tells_differences_only() -> None:
-    day = Day(60)
+def test_a_fleet_starts_with_one_view_and_sends_differences_only() -> None:
+    fleet = SimulatedRun(60)
     for relay in range(60):
-        day.up(relay)
-    assert day.one_view() and all(mail.members.condition is not Condition.SETTLED for mail in day.mails.values())
-    day.run(60)
-    assert day.one_view() and all(mail.members.condition is Condition.SETTLED for mail in day.mails.values())
-    assert day.posts <= 60 * 60 * 1.1
+        fleet.start(relay)
+    assert fleet.one_view() and all(member.members.condition is not Condition.SETTLED for member in fleet.relays.values())
+    fleet.run(60)
+    assert fleet.one_view() and all(member.members.condition is Condition.SETTLED for member in fleet.relays.values())
+    assert fleet.posts <= 60 * 60 * 1.1
     for relay in range(0, 60, 3):
-        del day.mails[relay]
-    day.run(5)
+        del fleet.relays[relay]
+    fleet.run(5)
     for relay in range(0, 60, 3):
-        day.up(relay)
-    assert day.one_view()  # nobody has missed them: there is nothing to tell
+        fleet.start(relay)
+    assert fleet.one_view()  # their absence was not noticed: there is nothing to send
     for relay in range(0, 60, 3):
-        del day.mails[relay]
-    day.run(90)
-    before = day.posts
+        del fleet.relays[relay]
+    fleet.run(90)
+    before = fleet.posts
     for relay in range(0, 60, 3):
-        day.up(relay)
-    day.run(60)
-    assert day.one_view() and day.posts - before <= 2 * 60 * 60  # as much again as peace, at most
-    assert {mail.members.local.claim.life for relay, mail in day.mails.items() if relay % 3} == {1}
-    whole = day.mails[1].members.answer_hello(day.now, day.mails[2].members.hello(day.now))
-    pieces = [day.mails[2].codec.decode(post.data, exchange=True) for post in day.mails[1]._pieces(2, whole)]
-    told = {claim.name for piece in pieces for claim in piece.claims}
-    assert told == {f"r{relay}" for relay in range(0, 60, 3)} and len(pieces) <= 8
+        fleet.start(relay)
+    fleet.run(60)
+    assert fleet.one_view() and fleet.posts - before <= 2 * 60 * 60  # at most twice the traffic of an idle fleet
+    assert {member.members.local.claim.life for relay, member in fleet.relays.items() if relay % 3} == {1}
+    whole = fleet.relays[1].members.answer_hello(fleet.now, fleet.relays[2].members.hello(fleet.now))
+    pieces = [fleet.relays[2].codec.decode(post.data, exchange=True) for post in fleet.relays[1]._pieces(2, whole)]
+    output = {claim.name for piece in pieces for claim in piece.claims}
+    assert output == {f"r{relay}" for relay in range(0, 60, 3)} and len(pieces) <= 8
 
 
-def test_a_price_of_notes_stretches_the_time_between_questions() -> None:
+def test_the_price_of_notes_lengthens_the_probe_interval() -> None:
     assert settings_at(0).probe_interval == settings_at(0.001).probe_interval == 2 * SECOND
     assert settings_at(0.01).probe_interval == 5 * SECOND
 
 
-def test_a_note_that_cannot_be_used_changes_nothing() -> None:
-    mail = SimulatorMember(0, 3, 1, 0)
-    mail.begin(0)
-    before = mail.members.local.claim, list(mail.members.table.claims())
-    for data in (b"", b"noise", bytes(300), mail.codec.encode(mail.members.hello(0), 2)[:-1]):
-        assert mail.mail(1, 1, data) == []
-    assert mail.refused == 4 and before == (mail.members.local.claim, list(mail.members.table.claims()))
+def test_an_invalid_note_changes_nothing() -> None:
+    member = SimulatorMember(0, 3, 1, 0)
+    member.begin(0)
+    before = member.members.local.claim, list(member.members.table.claims())
+    for data in (b"", b"noise", bytes(300), member.codec.encode(member.members.hello(0), 2)[:-1]):
+        assert member.mail(1, 1, data) == []
+    assert member.refused == 4 and before == (member.members.local.claim, list(member.members.table.claims()))
     assert all(relay_at(address_of(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
 
 
-def wire(peers: bool, *lines: str) -> str:
+def run_wire(peers: bool, *lines: str) -> str:
     facts = json.loads(json.dumps(FACTS))
     facts["balancers"], facts["me"], facts["limits"]["peers"] = 2, 0, peers
     first = ("sync atTime=0", "instance relay=3", f"up rngSeed=1 facts={json.dumps(facts)}", "eob")
@@ -147,20 +147,20 @@
     return sink.getvalue()
 
 
-def test_the_wire_carries_members_only_where_it_may(capsys: pytest.CaptureFixture[str]) -> None:
-    assert "post" not in wire(False, "sync atTime=5", "instance relay=3", "mail originPeer=1 data=00", "eob")
-    told = wire(True)
+def test_the_wire_carries_members_only_if_the_settings_allow_it(capsys: pytest.CaptureFixture[str]) -> None:
+    assert "post" not in run_wire(False, "sync atTime=5", "instance relay=3", "mail originPeer=1 data=00", "eob")
+    output = run_wire(True)
     wake = next(
-        line for line in told.splitlines() if line.startswith("defer") and int(line.rpartition("=")[2]) >= 1 << 40
+        line for line in output.splitlines() if line.startswith("defer") and int(line.rpartition("=")[2]) >= 1 << 40
     )
     wait, token = (int(part.rpartition("=")[2]) for part in wake.split()[1:])
-    told = wire(True, f"sync atTime={wait}", "instance relay=3", f"alarm ctx={token}", "eob")
-    assert "post neighbourId=1 data=4746" in told  # it asks the other whether it is there
+    output = run_wire(True, f"sync atTime={wait}", "instance relay=3", f"alarm ctx={token}", "eob")
+    assert "post neighbourId=1 data=4746" in output  # a probe of the other relay
 
 
 def test_a_site_file_is_changed_in_its_tables() -> None:
     text = 'stock = "a"\n[scale]\nbalancers = [2, 3]\n[allow]\nprobes = true\n'
-    made = changed(text, [("scale", "balancers", "[30, 31]"), ("allow", "peers", "true"), ("", "stock", '"b"')])
-    assert made == 'stock = "b"\n[scale]\nbalancers = [30, 31]\n[allow]\npeers = true\nprobes = true\n'
+    result = changed(text, [("scale", "balancers", "[30, 31]"), ("allow", "peers", "true"), ("", "stock", '"b"')])
+    assert result == 'stock = "b"\n[scale]\nbalancers = [30, 31]\n[allow]\npeers = true\nprobes = true\n'
     with pytest.raises(ValueError, match="no table"):
         changed(text, [("prices", "peer", "0.1")])
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""Words on members, doubt, and single events by hand."""
+"""Claims about members, the view's condition, and single events."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 @given(st.lists(claims, max_size=12), st.randoms())
-def test_the_same_words_leave_the_same_view_in_any_order(said: list[Claim], draw: object) -> None:
+def test_the_same_claims_leave_the_same_view_in_any_order(claims_in_order: list[Claim], draw: object) -> None:
     one, other = Table(10), Table(10)
-    for claim in said:
+    for claim in claims_in_order:
         one.merge(claim, 0)
-    again = said + said[:3]
-    draw.shuffle(again)  # type: ignore[attr-defined]
-    for claim in again:
+    shuffled = claims_in_order + claims_in_order[:3]
+    draw.shuffle(shuffled)  # type: ignore[attr-defined]
+    for claim in shuffled:
         other.merge(claim, 0)
     assert one.view_hash == other.view_hash
     assert {(member.claim.name, member.claim.rank, member.claim.zone) for member in one} == {
@@ -50,17 +50,19 @@
 
 
 @given(st.lists(claims, max_size=20), st.integers(1, 3))
-def test_a_table_stays_within_its_bounds_and_forgets_no_end(said: list[Claim], most: int) -> None:
-    table = Table(most)
-    over: dict[str, tuple[int, int]] = {}
-    for moment, claim in enumerate(said):
+def test_a_table_stays_within_its_bounds_and_remembers_ended_lives(
+    claims_in_order: list[Claim], max_members: int
+) -> None:
+    table = Table(max_members)
+    ended_lives: dict[str, tuple[int, int]] = {}
+    for moment, claim in enumerate(claims_in_order):
         table.merge(claim, moment)
         table.forget(moment - 2)
         if claim.final:
-            over[claim.name] = max(over.get(claim.name, (0, 0)), claim.identity)
-        assert len(table.members) <= most and len(table.gone) <= most
-        for name, ended in over.items():
-            assert name not in table.members or table.members[name].claim.identity > ended
+            ended_lives[claim.name] = max(ended_lives.get(claim.name, (0, 0)), claim.identity)
+        assert len(table.members) <= max_members and len(table.gone) <= max_members
+        for name, ended_identity in ended_lives.items():
+            assert name not in table.members or table.members[name].claim.identity > ended_identity
 
 
 facts = st.builds(
@@ -99,22 +101,22 @@
 @given(st.lists(st.tuples(st.integers(0, 4), facts), max_size=40))
 @example([(0, JOINING), (0, ALONE), (0, SETTLED), (2, SETTLED), (3, SETTLED)])
 @example([(0, ALONE), (1, SETTLED), (4, SETTLED), (1, SETTLED)])
-def test_doubt_binds_at_once_and_goes_only_after_its_time(looks: list[tuple[int, Facts]]) -> None:
+def test_the_condition_worsens_at_once_and_improves_after_the_settle_time(updates: list[tuple[int, Facts]]) -> None:
     tracker, now, seen = ConditionTracker(0), 0, [(0, Condition.JOINING)]
-    for gap, fact in looks:
+    for gap, fact in updates:
         now += gap
-        wanted = evaluate(fact)[0]
-        seen.append((now, wanted))
+        expected = evaluate(fact)[0]
+        seen.append((now, expected))
         tracker.update(now, fact, 5)
-        assert tracker.condition >= wanted
-        # What it is now was reason enough at some moment of the last five.
-        since = [condition for at, condition in seen if at > now - 5] + [
+        assert tracker.condition >= expected
+        # The present condition was justified at some moment of the last five.
+        recent = [condition for at, condition in seen if at > now - 5] + [
             [condition for at, condition in seen if at <= now - 5][-1:] or [Condition.JOINING]
         ][0]
-        assert tracker.condition <= max(since)
+        assert tracker.condition <= max(recent)
 
 
-def test_what_may_be_relied_on_only_shrinks_with_doubt() -> None:
+def test_a_worse_condition_allows_less() -> None:
     assert all(RELIES[Condition.SETTLED].__getattribute__(what) for what in ("count", "grow", "evidence", "speak"))
     assert not any(RELIES[condition].grow for condition in Condition if condition is not Condition.SETTLED)
     assert not RELIES[Condition.ALONE].speak and not RELIES[Condition.JOINING].speak
@@ -129,23 +131,25 @@
     assert Settings(lifeguard=False).suspicion_time(10, 0) == least
 
 
-def test_a_word_is_told_so_often_and_a_newer_one_from_the_beginning() -> None:
-    dissemination, old = DisseminationQueue(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
-    dissemination.add(old)
-    assert [dissemination.take(1000, 3) for _ in range(2)] == [[old], [old]]
-    new = old.with_status(Status.SUSPECT, "b")
-    dissemination.add(new)
-    assert [dissemination.take(1000, 3) for _ in range(4)] == [[new], [new], [new], []] and len(dissemination) == 0
+def test_a_claim_is_sent_a_limited_number_of_times_and_a_newer_one_starts_again() -> None:
+    dissemination, first = DisseminationQueue(), Claim("a", 1, 1, 1, 0, Status.ALIVE, "10.0.0.1", 1, 2)
+    dissemination.add(first)
+    assert [dissemination.take(1000, 3) for _ in range(2)] == [[first], [first]]
+    second = first.with_status(Status.SUSPECT, "b")
+    dissemination.add(second)
+    assert [dissemination.take(1000, 3) for _ in range(4)] == [[second], [second], [second], []] and len(
+        dissemination
+    ) == 0
 
 
-def test_who_is_suspected_is_asked_by_all_that_hold_it_for_so() -> None:
+def test_a_suspected_member_is_contacted_by_all_that_know_of_the_suspicion() -> None:
     settings = Settings()
     others = [Claim(f"m{number}", 1, 1, 1, 0, Status.ALIVE, f"10.0.0.{number}", 1, 2) for number in range(2, 60)]
     suspect = others[7].with_status(Status.SUSPECT, "m5")
     members = Membership(msgspec.structs.replace(others[0], name="own", host="10.0.1.1"), settings, random.Random(1), 0)
     members.resume_from(0, [suspect, *(claim for claim in others if claim.name != suspect.name)])
-    told: list[SendFrame] = []
+    sent: list[SendFrame] = []
     while members.next_at <= settings.contact_interval + settings.probe_interval:
-        told += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
-    asked = [tell.frame for tell in told if tell.address == suspect.address and isinstance(tell.frame, Ping)]
-    assert asked and all(suspect in frame.claims and frame.number for frame in asked)
+        sent += [effect for effect in members.tick(members.next_at) if isinstance(effect, SendFrame)]
+    pings = [effect.frame for effect in sent if effect.address == suspect.address and isinstance(effect.frame, Ping)]
+    assert pings and all(suspect in frame.claims and frame.number for frame in pings)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -1,6 +1,6 @@
-"""Sixty hollow relays in the driven clock: one view, nobody failed, and no more bytes than the settings allow for.
+"""Sixty simulated relays on a driven clock: one view, no false failures, and no more bytes than the settings allow.
 
-The sizes that are meant: `python -m benchmarks fleet scale --members 310 620 1000`.
+Larger fleets: `python -m benchmarks fleet scale --members 310 620 1000`.
 """
 
 from __future__ import annotations
@@ -24,11 +24,13 @@
 MEMBERS = 60
 ZONES = 6
 SETTINGS = Settings()
-FRAMES = 2  # a question and an answer a period
-ASKED = 4  # for one lost question: three ask, are answered and vouch, and the seeds are knocked at; at 1 % loss far less
+FRAMES_PER_PERIOD = 2  # a request and an answer per period
+# For one lost probe: three indirect probes, their answers and confirmations, and contact requests to seeds. At 1 % loss
+# it is far less.
+FRAMES_PER_LOST_PROBE = 4
 
 
-def gathered(seed: int, loss: float = 0.01) -> tuple[World, Meter]:
+def converged_world(seed: int, loss: float = 0.01) -> tuple[World, Meter]:
     world = World(MEMBERS, SETTINGS, f"scale/{seed}", Fate(loss=loss, jitter_ms=20), zones=lambda number: number % ZONES)
     meter = Meter(world)
     draw = random.Random(seed)
@@ -43,40 +45,41 @@
     return world, meter
 
 
-def peace_bound(world: World) -> float:
-    """Bytes a member a second where nothing happens, by the settings alone."""
+def idle_bytes_bound(world: World) -> float:
+    """Returns the upper bound of the bytes per member and second in an idle fleet, computed from the settings alone."""
     claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
     frame = fr.HEADER_BYTES + FIXED_FRAME_BYTES + claim
     ages = min(SETTINGS.max_observations, MEMBERS - 1) * fr.OBSERVATION.size
     period = SETTINGS.probe_interval / SECOND
-    # Two begun or answered in the mean, three frames each; all hold the same, so they hold digests alone.
+    # On average two exchanges are started or answered, three frames each; all members hold the same claims, so they
+    # carry only digests.
     buckets = digests.buckets_for(MEMBERS) * digests.DIGEST.size
     exchange = 2 * (3 * frame + 2 * buckets) / (SETTINGS.exchange_gap(MEMBERS) / SECOND)
-    return (FRAMES * frame + ages) / period + exchange
+    return (FRAMES_PER_PERIOD * frame + ages) / period + exchange
 
 
-def test_peace_costs_what_the_settings_say_and_nobody_is_failed() -> None:
-    world, meter = gathered(1)
+def test_an_idle_fleet_costs_what_the_settings_allow_and_nobody_fails() -> None:
+    world, meter = converged_world(1)
     began = world.now
     world.run(began + 60 * SECOND)
     span = meter.span(began, world.now)
     assert world.one_view() and not world.failures
     assert span.by_kind[Kind.EXCHANGES] < 20 and span.by_kind[Kind.CLAIMS] < 60
-    assert FRAMES <= span.frames < FRAMES + 0.05 * ASKED * 2 + 0.1
-    assert span.mean < peace_bound(world)
+    assert FRAMES_PER_PERIOD <= span.frames < FRAMES_PER_PERIOD + 0.05 * FRAMES_PER_LOST_PROBE * 2 + 0.1
+    assert span.mean < idle_bytes_bound(world)
 
 
-def test_whole_lists_in_peace_would_be_seen(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_lists_in_an_idle_fleet_would_be_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Exchanges, "digests_like", lambda exchanges, theirs: b"")
     monkeypatch.setattr(Exchanges, "_digests", lambda exchanges, buckets: b"")
-    world, meter = gathered(1)
+    world, meter = converged_world(1)
     began = world.now
     world.run(began + 60 * SECOND)
     assert meter.span(began, world.now).by_kind[Kind.EXCHANGES] > 20
 
 
 def test_a_lost_zone_is_known_to_all() -> None:
-    world, _ = gathered(2)
+    world, _ = converged_world(2)
     zone = [name for name in world.nodes if int(name[1:]) % ZONES == 1]
     for name in zone:
         world.kill(name)
@@ -87,8 +90,8 @@
     assert all(1 not in view.zones.values() and len(view.zones) == MEMBERS - len(zone) for view in views)
 
 
-def others(count: int, failed: int = 0) -> list[Claim]:
-    """Words on so many, the first of them failed."""
+def other_claims(count: int, failed: int = 0) -> list[Claim]:
+    """Returns claims about so many members, the first of them failed."""
     return [
         Claim(f"n{number}", 1, 1, 1, 0, Status.FAILED if number <= failed else Status.ALIVE, "10.0.0.1", number, 2)
         for number in range(1, count + 1)
@@ -99,15 +102,15 @@
     return Membership(Claim("own", 1, 1, 1, 0, Status.ALIVE, "10.0.0.2", 1, 2), SETTINGS, random.Random(1), 0)
 
 
-def pause_for(members: Membership, words: int) -> int:
-    return words * members.local.claim.size() * SETTINGS.probe_interval // SETTINGS.max_frame_bytes
+def backoff_for(members: Membership, claim_count: int) -> int:
+    return claim_count * members.local.claim.size() * SETTINGS.probe_interval // SETTINGS.max_frame_bytes
 
 
-def asks_after(failed: int, count: int) -> tuple[int, int]:
-    """A relay that others held for failed goes on, with so many held for failed by itself: how long until it exchanges,
-    and the pause that so many words ask for."""
+def exchange_delay(failed: int, count: int) -> tuple[int, int]:
+    """A relay that was declared failed continues while it holds a number of members for failed itself. Returns the
+    time until its exchange, and the backoff for so many claims."""
     members = relay()
-    members.resume_from(0, others(count, failed))
+    members.resume_from(0, other_claims(count, failed))
     began = now = members.next_at
     members.local_view.apply_claim(
         now, members.local.claim.with_status(Status.FAILED, f"n{count}"), SocketAddress("10.0.0.1", count)
@@ -116,37 +119,39 @@
     while not any(isinstance(effect, StartExchange) for effect in effects):
         now = members.next_at
         effects = members.tick(now)
-    return now - began, pause_for(members, failed + 1)
+    return now - began, backoff_for(members, failed + 1)
 
 
-def test_who_is_back_asks_at_once_where_little_has_changed_and_in_its_turn_where_much_has() -> None:
-    assert asks_after(3, MEMBERS)[0] == 0
-    after, pause = asks_after(310, 619)
-    assert pause > BULK_PERIODS * SETTINGS.probe_interval and 0 < after <= pause
+def test_a_returning_relay_exchanges_at_once_after_few_changes_and_delayed_after_many() -> None:
+    assert exchange_delay(3, MEMBERS)[0] == 0
+    after, backoff = exchange_delay(310, 619)
+    assert backoff > BULK_PERIODS * SETTINGS.probe_interval and 0 < after <= backoff
 
 
-def test_where_much_has_changed_other_views_are_asked_for_in_turn() -> None:
-    """Answers tell of another view each period; exchanges are begun once in the pause."""
-    members, claims = relay(), others(619)
+def test_exchanges_are_limited_while_much_has_changed() -> None:
+    """Answers report another view each period; exchanges are started once per backoff."""
+    members, claims = relay(), other_claims(619)
     members.resume_from(0, claims[:310])
     for claim in claims[310:]:
         members.local_view.apply_claim(0, claim)
-    by_place = {claim.address: claim for claim in claims}
-    pause = pause_for(members, 309)
-    begun: list[int] = []
-    while members.next_at < pause:
+    by_address = {claim.address: claim for claim in claims}
+    backoff = backoff_for(members, 309)
+    started: list[int] = []
+    while members.next_at < backoff:
         now = members.next_at
         effects = members.tick(now)
-        for tell in [effect for effect in effects if isinstance(effect, SendFrame) and isinstance(effect.frame, fr.Ping)]:
+        for effect in [
+            effect for effect in effects if isinstance(effect, SendFrame) and isinstance(effect.frame, fr.Ping)
+        ]:
             summary = fr.Summary(members.view ^ 1, 620)
-            ack = fr.Ack(sender=by_place[tell.address], sequence=now, number=tell.frame.number, summary=summary)
-            effects += members.receive(now, ack, tell.address)
-        begun += [now for effect in effects if isinstance(effect, StartExchange)]
-    assert 1 <= len(begun) <= 2
+            ack = fr.Ack(sender=by_address[effect.address], sequence=now, number=effect.frame.number, summary=summary)
+            effects += members.receive(now, ack, effect.address)
+        started += [now for effect in effects if isinstance(effect, StartExchange)]
+    assert 1 <= len(started) <= 2
 
 
-def test_regions_that_meet_again_come_to_one_view_without_a_storm() -> None:
-    world, meter = gathered(3, loss=0.0)
+def test_regions_that_reconnect_converge_without_a_traffic_storm() -> None:
+    world, meter = converged_world(3, loss=0.0)
     names = list(world.nodes)
     world.links.rule("cut", between(names[::2], names[1::2]), Fate(cut=True))
     world.run(world.now + 60 * SECOND)
@@ -155,6 +160,7 @@
     began = world.now
     assert world.run(began + 120 * SECOND, world.one_view)
     span = meter.span(began, world.now)
-    # Exchanges pause so that they take no more than full frames do, the first of each relay drawn in that time.
-    full = FRAMES * SETTINGS.max_frame_bytes * SECOND / SETTINGS.probe_interval
+    # Exchanges pause so that they use no more than full frames do; the first one of each relay is at a random time
+    # within the pause.
+    full = FRAMES_PER_PERIOD * SETTINGS.max_frame_bytes * SECOND / SETTINGS.probe_interval
     assert span.by_kind[Kind.EXCHANGES] < full and span.worst < 2 * full
