--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Real relays that know each other, as processes, through the links stand-in. Tests wait for what the relays log."""
+"""Runs real relays as processes that communicate through the simulated links. Tests wait for what the relays log."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.sockets import FACTS
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 30.0  # seconds; a test that needs them has failed
+PATIENCE = 30.0  # seconds; only a failing test waits this long
 SECRET = "a secret of the tests\n"
 
 
 class Process:
-    """One process and what it has logged."""
+    """One process and its log lines."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet = fleet
@@ -36,7 +36,7 @@
         self.secrets = SECRET
 
     async def run(self, *command: str, **environment: str) -> None:
-        """Start it, and read what it logs."""
+        """Starts the process and reads its log."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *command,
@@ -52,8 +52,8 @@
         assert process.stderr is not None
         while line := await process.stderr.readline():
             self.lines.append(line.decode().rstrip())
-            async with self.fleet.news:
-                self.fleet.news.notify_all()
+            async with self.fleet.new_line:
+                self.fleet.new_line.notify_all()
 
     def logged(self, text: str, since: int = 0) -> bool:
         return any(text in line for line in self.lines[since:])
@@ -70,7 +70,7 @@
 
 
 class Relay(Process):
-    """A relay."""
+    """A relay process."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         super().__init__(fleet, name)
@@ -109,7 +109,7 @@
         )
 
     async def upgrade(self) -> None:
-        """A new process takes over from the one that runs."""
+        """Starts a new process that takes over from the running one."""
         old, reading, lines = self.process, self.reading, len(self.lines)
         assert old is not None and reading is not None
         await self.start()
@@ -120,7 +120,7 @@
             await old.wait()
 
     async def ask(self, line: str) -> list[str]:
-        """What staff are answered."""
+        """Returns the answer to an operator command."""
         host, _, port = self.staff.rpartition(":")
         async with asyncio.timeout(PATIENCE):
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -137,7 +137,7 @@
 
 
 class Fleet:
-    """The processes and the network between them."""
+    """The relay processes and the network between them."""
 
     def __init__(self, folder: Path, count: int, seeds: int = 2, base: Fate | None = None) -> None:
         self.folder = folder
@@ -145,7 +145,7 @@
         self.links = Links(base or Fate(), 1)
         self.network = Network(names, self.links)
         self.seeds = names[:seeds]
-        self.news = asyncio.Condition()
+        self.new_line = asyncio.Condition()
         self.relays = {name: Relay(self, name) for name in names}
 
     async def __aenter__(self) -> Fleet:
@@ -161,31 +161,31 @@
         self.network.stop()
 
     async def start(self, *names: str) -> None:
-        """Start them, and wait until each has settled on one view with all that run."""
+        """Starts the relays and waits until each has settled on one view with all running relays."""
         for name in names or self.relays:
             await self.relays[name].start()
         await self.until(
             lambda: all(relay.logged("fleet: joining ->") for relay in self.relays.values() if relay.process is not None)
         )
 
-    async def one_view(self) -> None:
-        """Wait until all are settled on one view of all that there are; asked again at each line that is logged."""
-        async with asyncio.timeout(PATIENCE), self.news:
+    async def wait_for_one_view(self) -> None:
+        """Waits until all relays are settled on one view that contains all of them; checks again after each log line."""
+        async with asyncio.timeout(PATIENCE), self.new_line:
             while True:
                 states = [(await relay.members())[0] for relay in self.relays.values()]
                 if len({state.view for state in states}) == 1 and {
                     (state.members, state.condition) for state in states
                 } == {(len(states), "settled")}:
                     return
-                await self.news.wait()
+                await self.new_line.wait()
 
-    async def holds_alive(self, relay: Relay, name: str) -> None:
-        """Wait until a relay holds another for alive; asked again at each line that is logged."""
-        async with asyncio.timeout(PATIENCE), self.news:
+    async def wait_for_alive(self, relay: Relay, name: str) -> None:
+        """Waits until a relay sees another one as alive; checks again after each log line."""
+        async with asyncio.timeout(PATIENCE), self.new_line:
             while (await relay.members())[1][name].status != "alive":
-                await self.news.wait()
+                await self.new_line.wait()
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until something holds of what has been logged."""
-        async with asyncio.timeout(PATIENCE), self.news:
-            await self.news.wait_for(holds)
+    async def until(self, condition: Callable[[], bool]) -> None:
+        """Waits until a condition on the logged lines holds."""
+        async with asyncio.timeout(PATIENCE), self.new_line:
+            await self.new_line.wait_for(condition)
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -17,7 +17,7 @@
 from garnetrelay.laboratory.world import Node, World
 
 CLAIM = Claim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2, zone=6)
-NEW_SECRET, OLD_SECRET = b"the new shared secret", b"the old shared secret"
+NEW_SECRET, OLD_SECRET = b"the secret from now on", b"the secret of before"
 
 
 def ping(**more: object) -> fr.Ping:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,6 +1,7 @@
-"""Real relays, each a process, that speak through the links stand-in: kills, cuts, a stop, lives, an upgrade, secrets.
+"""Real relay processes that communicate through the simulated links: kills, partitions, a stopped process, restarts,
+an upgrade, and a change of secrets.
 
-Nothing is timed: each test waits for what the relays log, with a period of 100 ms.
+Nothing depends on timing: each test waits for what the relays log, with a probe period of 100 ms.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from tests.fleet.processes import ROOT, SECRET, Fleet
 
 
-async def test_kills_lives_and_leaving_are_known_to_all(tmp_path: Path) -> None:
+async def test_kills_new_lives_and_departures_are_known_to_all(tmp_path: Path) -> None:
     async with Fleet(tmp_path, 5, base=Fate(loss=0.02, jitter_ms=2)) as fleet:
         await fleet.start()
         r1, r2, r5 = (fleet.relays[name] for name in ("r1", "r2", "r5"))
@@ -44,7 +45,7 @@
         await fleet.until(lambda: all(relay.logged("r2 life 1.0 left") or relay.logged("left") for relay in rest))
         assert not any(relay.logged("judges r2") for relay in fleet.relays.values())
 
-        # Its folder is gone: it stands in nobody's way, and the name goes on behind the lives that the others know.
+        # Its folder is lost: the relay continues with the life after those that the others know.
         r5.signal(signal.SIGKILL)
         await r5.ended()
         shutil.rmtree(r5.folder / "state")
@@ -55,14 +56,14 @@
         await fleet.until(lambda: all(relay.logged("r5 life 3.0 alive") for relay in rest))
 
 
-async def test_a_cut_is_doubt_on_both_sides_and_views_meet_again(tmp_path: Path) -> None:
+async def test_a_partition_is_noticed_on_both_sides_and_views_converge(tmp_path: Path) -> None:
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.start()
         ones, rest = ["r4", "r5"], ["r1", "r2", "r3"]
         fleet.links.rule("cut", between(ones, rest), Fate(cut=True))
         fleet.network.changed()
         await fleet.until(lambda: all(relay.logged("-> cut_off") for relay in fleet.relays.values()))
-        # Then r5 is apart from r4 too: whoever hears nobody judges nobody any more.
+        # Then r5 is cut off from r4 too: a relay that hears from nobody declares nobody failed any more.
         fleet.links.rule("alone", between(["r5"], ["r1", "r2", "r3", "r4"]), Fate(cut=True))
         await fleet.until(lambda: fleet.relays["r5"].logged("-> alone"))
         assert "nothing but what is kept for each relay alone" in "\n".join(
@@ -70,10 +71,10 @@
         )
         fleet.links.drop("cut")
         fleet.links.drop("alone")
-        await fleet.one_view()
+        await fleet.wait_for_one_view()
 
 
-async def test_a_link_one_way_and_a_stopped_process(tmp_path: Path) -> None:
+async def test_a_one_way_link_and_a_stopped_process(tmp_path: Path) -> None:
     async with Fleet(tmp_path, 4) as fleet:
         await fleet.start()
         r1, r2, r3 = (fleet.relays[name] for name in ("r1", "r2", "r3"))
@@ -100,7 +101,7 @@
         assert not r3.logged("judges")
 
 
-async def test_an_upgrade_and_a_change_of_secrets_are_no_failure(tmp_path: Path) -> None:
+async def test_an_upgrade_and_a_change_of_secrets_cause_no_failure(tmp_path: Path) -> None:
     async with Fleet(tmp_path, 3) as fleet:
         fleet.relays["r3"].options += "frames = 1\n"
         fleet.relays["r2"].options += "zone = 4\n"
@@ -111,18 +112,19 @@
         r2.options = r2.options.replace("zone = 4", "zone = 3")
         await r2.upgrade()
         assert old is not r2.process and old is not None and old.returncode == 0
-        # For a moment neither process hears: that may be longer than a period here, and raises a suspicion. The new one
-        # refutes it, in the same life, and nobody judges (below).
+        # For a moment neither process receives datagrams. That may take longer than a period here and raise a
+        # suspicion. The new process refutes it in the same life, and nobody declares it failed (below).
         state, lines = await r1.members()
         assert state.members == 3 and lines["r2"].life == 1 and lines["r2"].status in ("alive", "suspect")
-        await fleet.holds_alive(r1, "r2")
+        await fleet.wait_for_alive(r1, "r2")
         state, lines = await r1.members()
         assert state.members == 3 and lines["r2"].life == 1 and lines["r2"].born == 1
-        # What its new options changed is told to all, in the same life.
+        # What its new options changed is known to all, in the same life.
         await fleet.until(lambda: all(relay.logged("zone 3") for relay in (r1, r3)))
         assert (await r1.members())[1]["r2"].zone == 3 == (await r2.members())[0].zone
 
-        # Both are good first; then the new one signs; then the old one is gone. All the while one is killed and known.
+        # First both secrets are accepted; then the new one signs; then the old one is removed. Meanwhile a killed relay
+        # is still noticed.
         new = "another secret of the tests\n"
         for secrets in (SECRET + new, new + SECRET, new):
             for relay in fleet.relays.values():
@@ -139,7 +141,7 @@
         assert not any(relay.logged(f"judges {name}") for relay in (r1, r2, r3) for name in ("r1", "r2"))
 
 
-async def test_a_relay_that_is_off_knows_nothing_of_fleets(tmp_path: Path) -> None:
+async def test_a_relay_without_fleet_options_loads_no_fleet_code(tmp_path: Path) -> None:
     told = subprocess.run(
         [
             sys.executable,
@@ -165,7 +167,7 @@
         assert not (relay.folder / "state" / "fleet").exists() and not relay.logged("fleet")
         assert relay.process is not None
         sockets = Path(f"/proc/{relay.process.pid}/net/udp").read_text()
-        assert f":{fleet.network.port:04X} " in sockets  # the stand-in's
+        assert f":{fleet.network.port:04X} " in sockets  # the socket of the simulated links
         assert len([line for line in sockets.splitlines() if f":{fleet.network.port:04X} " in line]) == 1
         with pytest.raises(AssertionError, match="is not switched on"):
             await relay.ask("FLEET MEMBERS")
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -1,7 +1,7 @@
-"""Many Pacers over one driven clock: what a fleet does together that none of them sees.
+"""Many Pacers on one driven clock, to test the collective behaviour of a fleet that no single Pacer sees.
 
-A small world of its own: destinations with a limit that all relays share, and that refused calls use up too;
-what is left of it comes with answers, as it was a moment ago. Every draw comes from the seed. Nothing sleeps.
+A small simulation of its own: destinations have a limit that all relays share and that refused calls use up too;
+answers report the remaining share with a delay. Every random value comes from the seed. Nothing sleeps.
 """
 
 from __future__ import annotations
@@ -25,24 +25,25 @@
 
 @dataclass
 class Shared:
-    """A destination as all relays meet it: so many calls a second, counted in spans, or as a plain rate (``span`` 0)
-    with so many calls kept for later; refused calls owe as much as others."""
+    """A destination shared by all relays: it allows a number of calls per second, counted in spans or, with ``span``
+    0, as a plain rate that accumulates unused calls; refused calls are counted like others."""
 
     number: int
     limit: float
     span: int = S
-    refresh: int = 300 * MS  # how old what it tells may be
+    refresh: int = 300 * MS  # maximum age of the reports in its answers
     latency: int = 150 * MS
-    wait: int = 0  # that its refusals tell
-    lowered: tuple[int, int, float] = (0, 0, 1.0)  # from, until (since the start), to that share of its limit
-    down: tuple[int, int] = (0, 0)  # connections are refused from, until
-    kept: float = 1.0  # of a plain rate, in seconds of it
-    counts: Counter[int] = field(default_factory=Counter)  # calls, refused ones too, by span
-    allowed: float = math.nan  # calls that a plain rate has left; refused ones may make it a debt
-    allowed_at: int = 0
-    told: io.Report = field(default_factory=lambda: io.Report(1.0, 0.0))
-    told_at: int = -S
-    got: list[tuple[int, io.Status]] = field(default_factory=list)  # when, and how it was answered
+    wait: int = 0  # backoff sent with its refusals
+    # From, until (since the start), and the share of the limit that remains.
+    lowered: tuple[int, int, float] = (0, 0, 1.0)
+    down: tuple[int, int] = (0, 0)  # connections are refused: from, until (since the start)
+    kept: float = 1.0  # for a plain rate: unused calls that accumulate, in seconds of the rate
+    counts: Counter[int] = field(default_factory=Counter)  # calls by span, including refused ones
+    remaining_calls: float = math.nan  # for a plain rate: remaining calls; refused ones may make it negative
+    remaining_at: int = 0
+    last_report: io.Report = field(default_factory=lambda: io.Report(1.0, 0.0))
+    reported_at: int = -S
+    got: list[tuple[int, io.Status]] = field(default_factory=list)  # time and status of each call
 
     def limit_at(self, at: int) -> float:
         since, until, share = self.lowered
@@ -52,54 +53,55 @@
         if self.down[0] <= at < self.down[1]:
             self.got.append((at, io.Status.CONNECT_FAILED))
             return io.Status.CONNECT_FAILED, None
-        left, whole = self.spend(at)
-        if at >= self.told_at + self.refresh:
-            self.told, self.told_at = io.Report(max(0.0, left / whole), self.limit_at(at)), at
-        status = io.Status.OK if left >= 1 else io.Status.FULL
+        remaining, capacity = self.consume(at)
+        if at >= self.reported_at + self.refresh:
+            self.last_report, self.reported_at = io.Report(max(0.0, remaining / capacity), self.limit_at(at)), at
+        status = io.Status.OK if remaining >= 1 else io.Status.FULL
         self.got.append((at, status))
-        return status, self.told
+        return status, self.last_report
 
-    def spend(self, at: int) -> tuple[float, float]:
-        """One call of the limit: how many were left ahead of it, and how many there are at most."""
+    def consume(self, at: int) -> tuple[float, float]:
+        """Counts one call against the limit; returns how many calls remained before it, and the maximum."""
         limit = self.limit_at(at)
         if self.span:
             used = self.counts[at // self.span]
             self.counts[at // self.span] += 1
             return limit * self.span / S - used, limit * self.span / S
-        whole = limit * self.kept
-        known = whole if math.isnan(self.allowed) else self.allowed
-        left = min(whole, known + limit * (at - self.allowed_at) / S)
-        self.allowed, self.allowed_at = max(-whole, left - 1), at
-        return left, whole
+        capacity = limit * self.kept
+        known = capacity if math.isnan(self.remaining_calls) else self.remaining_calls
+        remaining = min(capacity, known + limit * (at - self.remaining_at) / S)
+        self.remaining_calls, self.remaining_at = max(-capacity, remaining - 1), at
+        return remaining, capacity
 
     def share(self, status: io.Status, since: int = 0, until: int = 1 << 62) -> float:
-        """How many of the calls in that time were answered so."""
+        """Returns the share of the calls in a period that were answered with a status."""
         calls = [s for at, s in self.got if since <= at < until]
         return sum(s is status for s in calls) / max(1, len(calls))
 
 
 @dataclass
 class Register:
-    """Discovery as one service for all relays, which works through calls in turn, also those that ran out of time."""
+    """Discovery as one service for all relays. It processes calls in order, including calls that have already timed
+    out."""
 
-    each: int  # its time for a call
-    patience: int = 2 * S  # after which a call has failed
-    overbooked: int = 3 * S  # more to wait than that, and a call is turned away
+    each: int  # processing time of a call
+    patience: int = 2 * S  # timeout after which a call has failed
+    max_queueing_time: int = 3 * S  # calls that would wait longer than this are rejected
     free_at: int = 0
     asked: list[int] = field(default_factory=list)
 
     def ask(self, at: int) -> tuple[int, bool]:
-        """When a call is over, and whether it was answered."""
+        """Returns when a call ends, and whether it was answered."""
         self.asked.append(at)
         done = max(at, self.free_at) + self.each
-        if done - at > self.overbooked:
+        if done - at > self.max_queueing_time:
             return at + MS, False
         self.free_at = done
         return (done, True) if done - at <= self.patience else (at + self.patience, False)
 
 
 class Fleet:
-    """Relays that know of each other only their number, and the messages that come to them."""
+    """Relays that know only the number of relays, and the messages that arrive at them."""
 
     def __init__(
         self,
@@ -112,11 +114,11 @@
         **changes: Any,
     ) -> None:
         self.random = random.Random(seed)
-        self.shares = shares  # of the messages, by relay; None: all alike
+        self.shares = shares  # share of the messages by relay; None: all equal
         self.register = register
-        self.listed: dict[int, int] = {}  # when each relay first had the list from the register
+        self.listed: dict[int, int] = {}  # when each relay first received the list from discovery
         self.shared = {one.number: one for one in shared}
-        self.rate = rate  # messages a second, over all relays and destinations by their limits
+        self.rate = rate  # messages per second over all relays, distributed over the destinations by their limits
         if register is not None:
             changes["discovery"] = io.Discovery.SUBSCRIBE
         changes = {"relays": relays, "slots": 6, "listed_rates": True, "refused_price": 0.1, **changes}
@@ -126,9 +128,9 @@
         self.order = itertools.count()
         self.attempts: Counter[str] = Counter()
         self.arrived: dict[str, int] = {}
-        self.came: list[tuple[int, int]] = []  # when each message came since the start, and to which relay
-        self.times: list[int] = []  # of messages that were delivered, from their arrival
-        self.actions: list[tuple[int, int, io.Action]] = []  # when, which relay, what
+        self.came: list[tuple[int, int]] = []  # when each message arrived since the start, and at which relay
+        self.times: list[int] = []  # from arrival to delivery of each delivered message
+        self.actions: list[tuple[int, int, io.Action]] = []  # time, relay and action
         self.roster = roster = io.Roster(
             io.ListScope.CACHED, tuple(entry(f"h{one.number}", one.number, rate=one.limit) for one in shared)
         )
@@ -139,7 +141,7 @@
         heapq.heappush(self.queue, (when, next(self.order), relay, event))
 
     def run(self, seconds: float) -> None:
-        """Messages come for so long; then the fleet works on until nothing is due within a while."""
+        """Messages arrive for this many seconds; then the simulation runs on until nothing is due for a while."""
         end = START + round(seconds * S)
         numbers = list(self.shared)
         weights = [self.shared[number].limit for number in numbers]
@@ -172,14 +174,12 @@
                 self.attempts[call] += 1
                 shared = self.shared[int(host[1:])]
                 status, report = shared.call(now - START)
-                good = status is io.Status.OK
-                cost = round((shared.latency if good else 30 * MS) * self.random.uniform(0.7, 1.3))
-                if good:
+                ok = status is io.Status.OK
+                cost = round((shared.latency if ok else 30 * MS) * self.random.uniform(0.7, 1.3))
+                if ok:
                     self.times.append(now + cost - self.arrived[call])
                 wait = shared.wait if status is io.Status.FULL else 0
-                self.at(
-                    now + cost, relay, lambda: io.Verdict(call, number, host, status, cost, good, wait, False, report)
-                )
+                self.at(now + cost, relay, lambda: io.Verdict(call, number, host, status, cost, ok, wait, False, report))
             case io.Probe(host, _):
                 status, report = self.shared[int(host[1:])].call(now - START)
                 self.at(now + 30 * MS, relay, lambda: io.Probed(host, status, 30 * MS, report))
