--- a/garnetrelay/fleet/members/settings.py
+++ b/garnetrelay/fleet/members/settings.py
@@ -58,7 +58,7 @@
 
     def settle_time(self, members: int) -> int:
         """How long better facts have to last before the condition improves: the time in which a claim has reached
-        every member. (repeats * scale + 2) periods, at most ten."""
+        every member. retransmit_multiplier * log_scale / 2 + 2 periods, at most ten."""
         return min(10, self.retransmit_multiplier * self.log_scale(members) // 2 + 2) * self.probe_interval
 
     def exchange_gap(self, members: int) -> int:
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -275,13 +275,13 @@
                 stream = await self.transport.connect(address)
                 if stream is None:
                     return
-                began = time.monotonic_ns()
-                hello = self.members.hello(began)
+                started_at = time.monotonic_ns()
+                hello = self.members.hello(started_at)
                 await stream.send(hello, 1)
                 whole = await stream.receive()
                 if not isinstance(whole, fr.Whole):
                     raise ValueError(f"{type(whole).__name__} frame instead of Whole")
-                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
+                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, started_at)
                 self._carry_out(effects)
                 await stream.send(ours, min(whole.sender.max_version, self.config.settings.versions))
         except (OSError, TimeoutError, EOFError, ValueError) as error:
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -155,21 +155,21 @@
                 raise
         return self.codec.decode(data, exchange=True)
 
-    def _remember(self, asked: int, now: int) -> None:
+    def _remember(self, number: int, now: int) -> None:
         """Remembers a request that pieces may answer for a while."""
-        self._exchanges_asked[asked] = now
+        self._exchanges_asked[number] = now
         while len(self._exchanges_asked) > MAX_OPEN_EXCHANGES:
             del self._exchanges_asked[next(iter(self._exchanges_asked))]
 
     def _pieces(self, to: int, whole: fr.Whole) -> Iterator[Post]:
         """Yields the claims of a frame that differ from the initial ones, in notes."""
-        room = MAX_NOTE_BYTES - fr.HEADER_BYTES - 64 - whole.sender.size()
+        free_bytes = MAX_NOTE_BYTES - fr.HEADER_BYTES - 64 - whole.sender.size()
         claims = [claim for claim in whole.claims if claim != self.initial_claims.get(claim.name)]
         while True:
             piece: list[Claim] = []
-            left = room
-            while claims and claims[-1].size() <= left:
-                left -= claims[-1].size()
+            remaining_bytes = free_bytes
+            while claims and claims[-1].size() <= remaining_bytes:
+                remaining_bytes -= claims[-1].size()
                 piece.append(claims.pop())
             part = msgspec.structs.replace(whole, claims=piece, sequence=self._sequence())
             yield Post(to, self.codec.encode(part, 2))
@@ -180,20 +180,20 @@
         return self.members.outgoing.next_sequence()
 
     def _carry_out(self, now: int, effects: list[Effect], replies: list[Reply] | None = None) -> list[Reply]:
-        made: list[Reply] = list(replies or [])
+        carried_out: list[Reply] = list(replies or [])
         waiting = list(effects)
         while waiting:
             match waiting.pop(0):
                 case SendFrame(at, frame, version):
-                    made.append(Post(relay_at(at), self.codec.encode(frame, version)))
+                    carried_out.append(Post(relay_at(at), self.codec.encode(frame, version)))
                 case StartExchange(at):
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
-                    made.append(Post(relay_at(at), self.codec.encode(hello, 1)))
+                    carried_out.append(Post(relay_at(at), self.codec.encode(hello, 1)))
                 case StoreLife(life):  # there is no folder: counts as stored at once
                     waiting += self.members.life_stored(now, life)
                 case LogLine(text, _):
-                    made.append(Line(f"fleet: {text}"))
+                    carried_out.append(Line(f"fleet: {text}"))
         self._token += 1
-        made.append(Wake(max(1, self.members.next_at - now), self._token))
-        return made
+        carried_out.append(Wake(max(1, self.members.next_at - now), self._token))
+        return carried_out
--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -220,11 +220,11 @@
     def receive(self, local_view: int, message: int) -> int:
         """Delivers a message to a view."""
 
-        def hear(copy_: LocalView) -> None:
+        def apply_message(copy_: LocalView) -> None:
             for claim in self._messages[message]:
                 copy_.apply_claim(0, claim)
 
-        return self.after(local_view, ("hears", message), hear)
+        return self.after(local_view, ("hears", message), apply_message)
 
     def suspects(self, local_view: int, name: str) -> int:
         """Applies a failed probe."""
@@ -294,12 +294,12 @@
             if not local_view.local.active:
                 continue
             if len(in_flight) < left.messages:
-                said = self.message_of(site.local_view)
+                message = self.message_of(site.local_view)
                 for to in range(len(NAMES)):
                     if to != number:
                         yield (
                             f"{name} sends to {NAMES[to]}",
-                            state._replace(in_flight=tuple(sorted((*in_flight, (to, said))))),
+                            state._replace(in_flight=tuple(sorted((*in_flight, (to, message))))),
                         )
             if left.suspicions:
                 for other in local_view.table.members:
