--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -141,7 +141,7 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def passing(self) -> dict[str, Any] | None:
+    def handover_state(self) -> dict[str, Any] | None:
         """Returns this member's state for the process that takes over; None if the relay is not an active member now."""
         members = self.members
         if members is None or not members.local.active:
--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -25,7 +25,7 @@
 class PassingFleet(Protocol):
     """This relay as a member of its fleet."""
 
-    def passing(self) -> dict[str, Any] | None:
+    def handover_state(self) -> dict[str, Any] | None:
         """What the new process goes on with as the same member; None where it has no part in the fleet now."""
         ...
 
--- a/garnetrelay/handover/sender.py
+++ b/garnetrelay/handover/sender.py
@@ -279,7 +279,7 @@
             endpoints,
             list(relay.gone),
             take_snapshot(relay.pacer),
-            None if relay.fleet is None else relay.fleet.passing(),
+            None if relay.fleet is None else relay.fleet.handover_state(),
         )
 
     # ---- behind it
