--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -124,7 +124,7 @@
         """Handles a timer of this member; only the newest counts."""
         return self._carry_out(now, self.members.tick(now)) if token == self._token else []
 
-    def mail(self, now: int, origin: int, data: bytes) -> list[Reply]:
+    def receive(self, now: int, origin: int, data: bytes) -> list[Reply]:
         """Handles a note; one that cannot be used changes nothing."""
         try:
             frame = self._decode(data)
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -277,7 +277,7 @@
         except ValueError:
             raise WireError("field 'data' is not hex") from None
         if instance in self.mails:
-            self._note(instance, self.mails[instance].mail(now, origin, data))
+            self._note(instance, self.mails[instance].receive(now, origin, data))
 
     def _note(self, instance: int, replies: list[Any]) -> None:
         from garnetrelay.fleet.simulator_member import Line, Post
--- a/tests/fleet/test_mail.py
+++ b/tests/fleet/test_simulator_member.py
@@ -48,7 +48,7 @@
                 assert len(reply.data) <= MAX_NOTE_BYTES
                 self.posts += 1
                 data = reply.data
-                self.schedule(DELAY, reply.to, lambda member, now, data=data: member.mail(now, relay, data))
+                self.schedule(DELAY, reply.to, lambda member, now, data=data: member.receive(now, relay, data))
             elif isinstance(reply, Wake):
                 own, token = self.relays[relay], reply.token
                 self.schedule(
@@ -132,7 +132,7 @@
     member.begin(0)
     before = member.members.local.claim, list(member.members.table.claims())
     for data in (b"", b"noise", bytes(300), member.codec.encode(member.members.hello(0), 2)[:-1]):
-        assert member.mail(1, 1, data) == []
+        assert member.receive(1, 1, data) == []
     assert member.refused == 4 and before == (member.members.local.claim, list(member.members.table.claims()))
     assert all(relay_at(address_of(relay)) == relay for relay in (0, 1, 255, 256, 70_000))
 
