--- a/garnetrelay/handover/interface.py
+++ b/garnetrelay/handover/interface.py
@@ -47,15 +47,15 @@
     hosts: Hosts
     server: Server
     discovery: Discovery
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
     listed: dict[str, io.HostEntry]  # by host
-    gone: dict[str, None]  # hosts that were listed, the latest last
+    delisted: dict[str, None]  # hosts that were listed, the latest last
     inbox: list[io.Event]  # what the next turn will take up
     finished: asyncio.Event  # set: this process may end
     serving: bool
     stopping: bool
-    turn_due: bool
-    unreleased: int  # turns whose records are on their way to the disk
+    tick_scheduled: bool
+    unrecorded_ticks: int  # turns whose records are on their way to the disk
 
     @property
     def recovering(self) -> Sized:
@@ -63,7 +63,7 @@
         ...
 
     @property
-    def syncing(self) -> SyncWorker | None:
+    def sync_worker(self) -> SyncWorker | None:
         """The journal's syncs, where the machine's power counts."""
         ...
 
@@ -81,7 +81,7 @@
         """Let the next turn take up an event."""
         ...
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
         ...
 
--- a/garnetrelay/recovery.py
+++ b/garnetrelay/recovery.py
@@ -27,13 +27,13 @@
 
 if TYPE_CHECKING:
     from garnetrelay.handover.protocol import State
-    from garnetrelay.handover.receiver import Inheritance
+    from garnetrelay.handover.receiver import ReceivedHandover
 
 log = logging.getLogger(__name__)
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-SLICE = 1000  # messages picked up in a round of the loop: some ten milliseconds
+MAX_SLICE_MESSAGES = 1000  # messages picked up in a round of the loop: some ten milliseconds
 
 
 class Recovery(ABC):
@@ -45,10 +45,10 @@
     journal: Store
     reader: ListReader
     discovery: Discovery
-    inheritance: Inheritance | None  # from the process before; None behind the start, and where there was none
+    handover: ReceivedHandover | None  # from the process before; None behind the start, and where there was none
     class_numbers: dict[str, int]  # by a class's name
-    gone: dict[str, None]  # hosts that were listed, the latest last
-    held: dict[str, PendingMessage]  # by ref
+    delisted: dict[str, None]  # hosts that were listed, the latest last
+    pending: dict[str, PendingMessage]  # by ref
     recovering: deque[Entry]  # picked up, and not yet taken up
     taken_up: list[Entry]  # and not yet with the Pacer: it hears of them in the coming turn
     clock_is_sure: bool  # no time that the journal has lies ahead of the wall clock
@@ -62,15 +62,15 @@
         """Let the next turn take up an event."""
 
     @abstractmethod
-    def _turn_is_due(self) -> None:
+    def _schedule_tick(self) -> None:
         """Let a turn come."""
 
     @abstractmethod
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
 
     @abstractmethod
-    def _place(self, news: ListUpdate) -> None:
+    def _place(self, update: ListUpdate) -> None:
         """Where each host listens now."""
 
     @abstractmethod
@@ -79,13 +79,13 @@
 
     def _read_known(self) -> None:
         try:
-            news = self.reader.read(self.config.known_hosts)
+            update = self.reader.read(self.config.known_hosts)
         except ValueError as error:
             log.warning("the list in the configuration can't be read, starting without one: %s", error)
             return
-        self.discovery.index = news.index
-        self._place(news)
-        self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
+        self.discovery.index = update.index
+        self._place(update)
+        self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
 
     def _inherit(self, state: State) -> None:
         """The list as the process before had it, and what it knew."""
@@ -95,20 +95,20 @@
         for e in state.endpoints:
             entries.append(io.HostEntry(e.name, e.zone, e.kind, e.dest, io.Availability(e.availability), e.rate))
             addresses[e.name] = Address(e.host, e.port)
-        self.gone = dict.fromkeys(state.gone)
+        self.delisted = dict.fromkeys(state.delisted)
         # Another address may count its versions in a way of its own: it is asked for all.
         self.discovery.index = state.index if state.discovery == str(self.config.discovery) else 0
-        news = ListUpdate(state.index, True, tuple(entries), addresses)
-        self._place(news)
-        self.inbox.append(io.Roster(io.ListScope.CACHED, news.entries))
-        self.turn()
-        restore_snapshot(self.pacer, state.memory)
+        update = ListUpdate(state.index, True, tuple(entries), addresses)
+        self._place(update)
+        self.inbox.append(io.Roster(io.ListScope.CACHED, update.entries))
+        self.tick()
+        restore_snapshot(self.pacer, state.pacer_snapshot)
 
     def _recover(self) -> None:
         """Pick up what an earlier life left. Messages that keep an order come before any newcomer of theirs, and calls
         that are out before any other; the rest goes to the Pacer in slices, soonest deadline first, while clients are
         answered."""
-        passed = {} if self.inheritance is None else self.inheritance.calls
+        passed = {} if self.handover is None else self.handover.calls
         self._look_at_the_clock()
         first: list[Entry] = []
         rest: list[Entry] = []
@@ -126,13 +126,13 @@
         if self.journal.entries:
             log.info("picked up %d messages and %d notices", len(first) + len(rest), len(self.ends))
         self.recovering.extend(rest)
-        self._take_up(first)
+        self._restore(first)
 
     def _recover_slice(self) -> None:
         """So many at once, and the others in later rounds of the loop."""
         if self.closed:
             return
-        self._take_up([self.recovering.popleft() for _ in range(min(SLICE, len(self.recovering)))])
+        self._restore([self.recovering.popleft() for _ in range(min(MAX_SLICE_MESSAGES, len(self.recovering)))])
         if self.recovering:
             asyncio.get_running_loop().call_soon(self._recover_slice)
 
@@ -144,21 +144,23 @@
                 "the clock was set back by %d ms or more: no keyed message that may have run is sent again", ahead
             )
 
-    def _take_up(self, entries: list[Entry]) -> None:
+    def _restore(self, entries: list[Entry]) -> None:
         now_ms = time.time_ns() // MS
         for entry in entries:
             if not entry.attempts:
                 self.recovery_stats.find(entry.ref)
             ends_at = time.monotonic_ns() + (entry.deadline - now_ms) * MS
-            self.held[entry.ref] = PendingMessage(entry.ref, entry.klass, entry.key, entry.body, ends_at, entry.attempts)
+            self.pending[entry.ref] = PendingMessage(
+                entry.ref, entry.klass, entry.key, entry.body, ends_at, entry.attempts
+            )
         if entries:
             self.taken_up += entries
-            self._turn_is_due()
+            self._schedule_tick()
 
-    def _recovered(self, entry: Entry, now: int) -> io.Recovered:
+    def _recovered_event(self, entry: Entry, now: int) -> io.Recovered:
         """As the Pacer hears of it in a turn. ``now``: the turn's time by the wall clock. What passes between taking a
         message up and its turn would lengthen its window for repeats, and its time."""
-        passed = None if self.inheritance is None else self.inheritance.calls.get(entry.ref)
+        passed = None if self.handover is None else self.handover.calls.get(entry.ref)
         out = None if passed is None else passed[0]  # its attempt is out still
         if out is None and entry.ran_at is None and entry.trying_at is not None:  # no outcome came: it may have run
             entry.ran_at, entry.ran_zone = entry.trying_at, entry.trying_zone
--- a/garnetrelay/shutdown.py
+++ b/garnetrelay/shutdown.py
@@ -24,10 +24,10 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000_000
-STOP_AFTER = 3 * SECOND  # from SIGTERM to our end: SIGKILL comes no sooner than after 3.7 s
+STOP_TIMEOUT_NS = 3 * SECOND  # from SIGTERM to our end: SIGKILL comes no sooner than after 3.7 s
 DRAIN_AFTER = 0.6  # seconds after SIGTERM: new connections come for up to 0.4 s
 LAST_TURN = SECOND // 4  # before our end: nothing is read from then on, and clients read what they are answered
-LAST_RECORD = SECOND // 2  # behind STOP_AFTER, for records that answers wait for: still ahead of SIGKILL
+LAST_RECORD = SECOND // 2  # behind STOP_TIMEOUT_NS, for records that answers wait for: still ahead of SIGKILL
 
 
 class Shutdown(ABC):
@@ -36,12 +36,12 @@
     server: Server
     notices: Notices
     predecessor: PredecessorLink | None  # the process before, while it has something to say
-    held: dict[str, PendingMessage]  # by ref
+    pending: dict[str, PendingMessage]  # by ref
     recovering: Sized  # picked up, and not yet with the Pacer
-    newcomers: Sized  # whose clients wait to hear whether they are taken on
+    new_requests: Sized  # whose clients wait to hear whether they are taken on
     inbox: list[io.Event]
-    turn_due: bool
-    unreleased: int  # turns whose records are on their way to the disk
+    tick_scheduled: bool
+    unrecorded_ticks: int  # turns whose records are on their way to the disk
     closed: bool  # the relay has passed to a new process
     stopping: bool
     time_is_up: bool
@@ -52,7 +52,7 @@
         """Let the next turn take up an event."""
 
     @abstractmethod
-    def turn(self) -> None:
+    def tick(self) -> None:
         """Decide on all that has come."""
 
     def stop(self) -> None:
@@ -64,25 +64,25 @@
         self.stopping = True
         if self.predecessor is not None:
             self.predecessor.bye()
-        log.info("stopping: %d messages held", len(self.held))
-        at = time.monotonic_ns() + STOP_AFTER
+        log.info("stopping: %d messages held", len(self.pending))
+        at = time.monotonic_ns() + STOP_TIMEOUT_NS
         self.post(io.Stopping(at))
         loop = asyncio.get_running_loop()
         loop.call_later(DRAIN_AFTER, self._drain)
-        loop.call_at((at - LAST_TURN) / SECOND, self._last_turn)
+        loop.call_at((at - LAST_TURN) / SECOND, self._last_tick)
         loop.call_at(at / SECOND, self._time_is_up)
 
-    def _last_turn(self) -> None:
+    def _last_tick(self) -> None:
         """What has been read is answered, and nothing more is read: a request that we read and leave without an answer
         is lost, one that lies unread its client hands in again."""
         if not self.closed:
             self.server.end()
-            self.turn()
+            self.tick()
 
     def _time_is_up(self) -> None:
         """The end, once all that was promised is on record."""
         self.time_is_up = True
-        if self.unreleased and not self.closed:
+        if self.unrecorded_ticks and not self.closed:
             asyncio.get_running_loop().call_later(LAST_RECORD / SECOND, self.finished.set)
         else:
             self.finished.set()
@@ -94,13 +94,13 @@
     def _end_if_idle(self) -> None:
         """The end, unless anything is held, owed, on its way, or may yet come on a connection that is open."""
         if self.server.draining and not (
-            self.held
+            self.pending
             or self.recovering
             or self.notices.queue
-            or self.unreleased
-            or self.turn_due
+            or self.unrecorded_ticks
+            or self.tick_scheduled
             or self.inbox
-            or self.newcomers
+            or self.new_requests
             or self.server.connections
             or self.server.listening
         ):
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -15,11 +15,11 @@
 
 from garnetrelay.rehearsal.http import Call
 from garnetrelay.rehearsal.scripted_peers import Watch
-from garnetrelay.relay import MOST_GONE
+from garnetrelay.relay import MAX_DELISTED_HOSTS
 from starlingwick import interface as io
 from starlingwick.control import Pacer
 from tests.helpers import KEYED, MS, SAFE, TURNS, UNSAFE, Relay, S, entry
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 
 ENDS = (
     io.Status.OK,
@@ -32,7 +32,7 @@
     io.Status.CONNECT_FAILED,
 )
 # Seconds of traffic: the test of the Pacer alone lets these pass. Hosts that went are remembered up to a bound.
-BOUNDED = {"Destination.arrived", "Destination.sent", "Destination.served", "Pacer.expiry", "Relay.gone"}
+BOUNDED = {"Destination.arrived", "Destination.sent", "Destination.served", "Pacer.expiry", "Relay.delisted"}
 SPARE = 64  # what heaps keep of old times before they are cleaned, and such
 
 
@@ -123,14 +123,14 @@
     for n in range(first, first + messages):
         if n % 4 == 0:
             new, old = f"s-{n}", f"s-{n - 4}"
-            watch.line(listing(n, endpoint(field.host, new), endpoint(field.host, old, "Gone")))
+            watch.line(host_list_json(n, endpoint(field.host, new), endpoint(field.host, old, "Gone")))
             await until(lambda: new in relay.listed and old not in relay.listed)  # noqa: B023
         client = await Client.connect(field.port)
         tries = 0
         while await client.enqueue(f"m{n}-{tries}", "unsafe" if n % 5 == 0 else "keyed") != b"OK":
             tries += 1  # refused, as a loop on a busy machine lags
         client.writer.close()
-        await until(lambda: not relay.held and not relay.notices.queue and not relay.server.connections)
+        await until(lambda: not relay.pending and not relay.notices.queue and not relay.server.connections)
 
 
 def answering(call: Call) -> None:
@@ -148,5 +148,5 @@
     before = sizes(relay)
     await hand_in(field, watch, 400, 200)
     after = sizes(relay)
-    assert after["Relay.gone"] < MOST_GONE
+    assert after["Relay.delisted"] < MAX_DELISTED_HOSTS
     assert not grown(before, after).keys() - BOUNDED
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -21,7 +21,7 @@
 from garnetrelay.operators.listener import MAX_CONNECTIONS
 from garnetrelay.rehearsal.scripted_peers import PATIENCE
 from garnetrelay.relay import Relay
-from tests.sockets import Client, Field, endpoint, listing, until
+from tests.sockets import Client, Field, endpoint, host_list_json, until
 from tests.test_process import Process
 
 SOCKETS = 96  # a relay's limit, small so that it is reached soon
@@ -50,7 +50,7 @@
     now = relay.server.now()
     relay.server.now = lambda: now
     found = []
-    while relay._client_room() > 0:
+    while relay._remaining_client_connections() > 0:
         found.append(await Client.connect(port))
         assert await found[-1].ask("PING") == b"PONG"
     while len(relay.server.lingering) < resp_server.MAX_REJECTED_CONNECTIONS:
@@ -75,7 +75,7 @@
     for _ in range(100):
         await asyncio.sleep(0)
         most = max(most, descriptors() - others)
-    assert relay._client_room() <= 0
+    assert relay._remaining_client_connections() <= 0
     assert most <= relay.config.shared_sockets - relay.config.host_sockets + RESERVED_DESCRIPTORS
     for one in burst:
         one.close()
@@ -128,7 +128,7 @@
     monkeypatch.setattr(loop, "create_connection", fail_at_first)
     assert await client.enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not relay.held)
+    await until(lambda: not relay.pending)
     dest, host = relay.pacer.hosts["s-1"]
     assert not short and dest.last_failure_at == 0 and host.failure_share == 0.0
 
@@ -165,8 +165,8 @@
     assert relay.config.host_sockets <= resp_server.MAX_REJECTED_CONNECTIONS
     assert await connected[0].enqueue("m1", "unsafe") == b"OK"
     (await field.host.next_call()).answer(200)
-    await until(lambda: not relay.held)
-    assert relay._host_room() + relay.hosts.count == relay.config.host_sockets
+    await until(lambda: not relay.pending)
+    assert relay._remaining_host_connections() + relay.hosts.count == relay.config.host_sockets
 
 
 @pytest.mark.parametrize("sends_on", [False, True])
@@ -307,7 +307,7 @@
     await field.platform.start(port=port)
     watch = await field.platform.next_watch()
     assert (await field.platform.next_notice())["ref"] == "m1"
-    watch.line(listing(42, endpoint(field.host, "s-1"), endpoint(field.host, "s-2")))
+    watch.line(host_list_json(42, endpoint(field.host, "s-1"), endpoint(field.host, "s-2")))
     process.child.send_signal(signal.SIGHUP)
     await until(lambda: any(b"configuration read again" in line for line in log_lines))
 
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -70,7 +70,7 @@
     """It is ended once, and nothing has been sent."""
     assert await field.platform.next_notice() == {"ref": ref, "result": result}
     relay = field.relays[0]
-    await until(lambda: not relay.held and not relay.notices.queue and not relay.journal.entries)
+    await until(lambda: not relay.pending and not relay.notices.queue and not relay.journal.entries)
     assert field.platform.notices.empty() and field.host.calls.empty() and not relay.hosts.calls_written
 
 
@@ -89,7 +89,7 @@
     on_record(field, tried("k", 200))
     await (await prepared(field)).start()
     (await field.host.next_call()).answer(200)
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.platform.notices.empty()
 
 
@@ -144,17 +144,17 @@
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was measured as the slice was taken up, and held to run from the turn."""
-    monkeypatch.setattr(recovery, "SLICE", 1)
+    monkeypatch.setattr(recovery, "MAX_SLICE_MESSAGES", 1)
     on_record(field, tried("k", 200))
     relay = await prepared(field)
-    soon = relay._turn_soon
+    soon = relay._run_scheduled_tick
 
     def late() -> None:
-        if "k" in relay.held and not clock.passed:
+        if "k" in relay.pending and not clock.passed:
             clock.advance(WINDOW)
         soon()
 
-    relay._turn_soon = late  # type: ignore[method-assign]
+    relay._run_scheduled_tick = late  # type: ignore[method-assign]
     await relay.start()
     await one_end(field, "k")
     assert clock.passed
@@ -164,23 +164,23 @@
     field: Field, clock: SetClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The second slice comes a round later; it goes by its own time."""
-    monkeypatch.setattr(recovery, "SLICE", 1)
+    monkeypatch.setattr(recovery, "MAX_SLICE_MESSAGES", 1)
     on_record(field, tried("s", 200, 4000, "safe"), tried("k", 200))
     relay = await prepared(field)
-    take_up = relay._take_up
+    take_up = relay._restore
 
     def late(entries: list[Entry]) -> None:
         if any(entry.ref == "k" for entry in entries):
             clock.advance(WINDOW)
         take_up(entries)
 
-    relay._take_up = late  # type: ignore[method-assign]
+    relay._restore = late  # type: ignore[method-assign]
     await relay.start()
     call = await field.host.next_call()
     assert call.headers["x-request-id"] == "s"
     call.answer(200)
     assert await field.platform.next_notice() == {"ref": "k", "result": "dead"}
-    await until(lambda: not relay.held and not relay.journal.entries)
+    await until(lambda: not relay.pending and not relay.journal.entries)
     assert field.platform.notices.empty() and field.host.calls.empty() and relay.hosts.calls_written == 1
 
 
@@ -192,9 +192,9 @@
     await relay.start()
     await until(lambda: "k" in relay.pacer.messages)
     clock.advance(WINDOW)
-    relay.on_news(relay.reader.read({"index": 42, "snapshot": False, "endpoints": [endpoint(field.host)]}))
+    relay.on_list_update(relay.reader.read({"index": 42, "snapshot": False, "endpoints": [endpoint(field.host)]}))
     await until(lambda: relay.pacer.hosts["s-1"][1].usable)
-    await until(lambda: not relay.turn_due)
+    await until(lambda: not relay.tick_scheduled)
     assert relay.pacer.messages["k"].call is None and not relay.hosts.count
     clock.advance(3 * SECOND)
     await one_end(field, "k")
@@ -231,5 +231,5 @@
     clock.advance(4 * SECOND)
     second.break_off()
     assert await field.platform.next_notice() == {"ref": "k", "result": "dead"}
-    await until(lambda: not field.relays[0].held)
+    await until(lambda: not field.relays[0].pending)
     assert field.host.calls.empty() and field.platform.notices.empty() and field.relays[0].hosts.calls_written == 2
