--- a/tests/fleet/explore.py
+++ b/tests/fleet/explore.py
@@ -209,13 +209,13 @@
 
     def message_of(self, number: int) -> int:
         """Returns the message that a member sends: its claim about itself, and all that it holds."""
-        text = self._message_by_view.get(number)
-        if text is None:
+        message = self._message_by_view.get(number)
+        if message is None:
             local_view = self.local_views[number]
-            text = self._message_by_view[number] = self.message_number(
+            message = self._message_by_view[number] = self.message_number(
                 (local_view.local.claim, *sorted(local_view.table.claims(), key=_short))
             )
-        return text
+        return message
 
     def receive(self, local_view: int, message: int) -> int:
         """Delivers a message to a view."""
@@ -224,7 +224,7 @@
             for claim in self._messages[message]:
                 copy_.apply_claim(0, claim)
 
-        return self.after(local_view, ("hears", message), apply_message)
+        return self.after(local_view, ("receives", message), apply_message)
 
     def suspects(self, local_view: int, name: str) -> int:
         """Applies a failed probe."""
@@ -234,7 +234,7 @@
     def advance_time(self, local_view: int) -> int:
         """Lets a step pass."""
 
-        def judge(copy_: LocalView) -> None:
+        def check_deadlines(copy_: LocalView) -> None:
             before = {name: (member.claim, member.suspicion) for name, member in copy_.table.members.items()}
             copy_.expire_suspicions(0, 0)
             for name, (claim, suspicion) in before.items():
@@ -247,11 +247,11 @@
                 if -suspicion.started_at < SETTINGS.suspicion_time(suspicion.view_size, len(others)):
                     raise PropertyViolation("a member is declared failed without its time to refute", "a step passes")
 
-        return self.after(local_view, ("older",), judge, 1)
+        return self.after(local_view, ("step passes",), check_deadlines, 1)
 
     def store_life(self, local_view: int) -> int:
         """Confirms that the next life is stored."""
-        return self.after(local_view, ("keeps",), lambda copy_: copy_.life_stored(copy_.local.wanted_life))
+        return self.after(local_view, ("stores life",), lambda copy_: copy_.life_stored(copy_.local.wanted_life))
 
     # ---- possible events
 
@@ -447,13 +447,12 @@
         """Each member stores its life, sends everything twice, and probes; a step passes."""
         live[:] = [self.store_life(number) if self.local_views[number].local.wanted_life else number for number in live]
         for index, other in 2 * list(itertools.permutations(range(len(live)), 2)):
-            speaker, hearer = self.local_views[live[index]], self.local_views[live[other]]
-            if speaker.local.active:
+            sender, receiver = self.local_views[live[index]], self.local_views[live[other]]
+            if sender.local.active:
                 live[other] = self.receive(live[other], self.message_of(live[index]))
-            elif hearer.local.active and (views := hearer.table.get(speaker.name)) is not None:
-                live[index] = self.receive(
-                    live[index], self.message_number((views.claim,))
-                )  # it sends a contact request and receives the claim about itself
+            elif receiver.local.active and (known := receiver.table.get(sender.name)) is not None:
+                # It sends a contact request and receives the claim about itself.
+                live[index] = self.receive(live[index], self.message_number((known.claim,)))
         running = {self.local_views[number].name: self.local_views[number].local for number in live}
         for index, number in enumerate(live):
             for name, member in list(self.local_views[number].table.members.items()):
