--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -13,14 +13,14 @@
 
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from tests.fleet.world import START, Fleet, Shared
+from tests.fleet.world import START, Fleet, SharedDestination
 from tests.helpers import MS, S, settings
 
 DOWN_AT = 20 * S  # since the start: by then rates have settled
 LAST = 45 * S  # behind the return: beyond it a relay has not found it back
 
 
-class Untold(Shared):
+class Untold(SharedDestination):
     """A destination that tells nothing of its limit."""
 
     def call(self, at: int) -> tuple[io.Status, io.Report | None]:
@@ -86,7 +86,7 @@
 
 
 def play(case: Case, seed: int) -> Evening:
-    kind = Shared if case.told else Untold
+    kind = SharedDestination if case.told else Untold
     up = DOWN_AT + case.lasts * S
     shared = kind(1, case.capacity, 0, kept=0.4 if case.capacity > 2.5 else 1.0, latency=150 * MS, down=(DOWN_AT, up))
     shares = [27.0 if case.uneven and n < case.relays // 3 else 1.5 for n in range(case.relays)]
@@ -100,7 +100,7 @@
     return judge(case, fleet, shared, up)
 
 
-def judge(case: Case, fleet: Fleet, shared: Shared, up: int) -> Evening:
+def judge(case: Case, fleet: Fleet, shared: SharedDestination, up: int) -> Evening:
     rules = settings().rules
     informed: dict[int, int] = {}  # by relay: when it was first told of the outage
     calls = [(at, relay) for at, relay, action in fleet.actions if isinstance(action, io.Send | io.Probe)]
--- a/tests/fleet/test_allowance.py
+++ b/tests/fleet/test_allowance.py
@@ -6,13 +6,13 @@
 
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from tests.fleet.world import Fleet, Shared
+from tests.fleet.world import Fleet, SharedDestination
 from tests.helpers import MS, S
 
 
-def busy(seed: int, share: float = 0.85, span: int = 0) -> tuple[Fleet, Shared]:
+def busy(seed: int, share: float = 0.85, span: int = 0) -> tuple[Fleet, SharedDestination]:
     """Forty relays at most of the limit; it is half for a while, and what piled up meanwhile has to go."""
-    shared = Shared(1, 40.0, span, kept=0.4, refresh=450 * MS, lowered=(4 * S, 10 * S, 0.5))
+    shared = SharedDestination(1, 40.0, span, kept=0.4, refresh=450 * MS, lowered=(4 * S, 10 * S, 0.5))
     fleet = Fleet([shared], 40, share * 40.0, seed)
     fleet.run(25)
     return fleet, shared
@@ -34,7 +34,7 @@
 
 def test_a_relay_may_use_what_others_leave() -> None:
     """One relay of forty has all the messages, twice its part: answers say for seconds that all is left."""
-    shared = Shared(1, 40.0, span=0)
+    shared = SharedDestination(1, 40.0, span=0)
     fleet = Fleet([shared], 40, 2.0)
     fleet.pacers = fleet.pacers[:1]
     fleet.queue = [due for due in fleet.queue if due[2] == 0]
@@ -45,7 +45,7 @@
 
 def refused_at_first(seed: int) -> float:
     """Forty relays begin at once, with more to send than the limit takes."""
-    shared = Shared(1, 40.0, span=0, kept=0.4, refresh=450 * MS)
+    shared = SharedDestination(1, 40.0, span=0, kept=0.4, refresh=450 * MS)
     Fleet([shared], 40, 120.0, seed).run(3)
     return shared.share(io.Status.FULL, 0, S)
 
--- a/tests/fleet/test_discovery.py
+++ b/tests/fleet/test_discovery.py
@@ -6,13 +6,13 @@
 
 from starlingwick import discovery_schedule
 from starlingwick.discovery_schedule import DiscoverySchedule
-from tests.fleet.world import Fleet, Register, Shared
+from tests.fleet.world import DiscoveryService, Fleet, SharedDestination
 from tests.helpers import MS, S
 
 
-def restarted(each: int, seed: int, relays: int = 40) -> tuple[Fleet, Register]:
-    register = Register(each)
-    fleet = Fleet([Shared(1, 40.0)], relays, 5.0, seed, register)
+def restarted(each: int, seed: int, relays: int = 40) -> tuple[Fleet, DiscoveryService]:
+    register = DiscoveryService(each)
+    fleet = Fleet([SharedDestination(1, 40.0)], relays, 5.0, seed, register)
     fleet.run(30)
     return fleet, register
 
--- a/tests/fleet/test_untold.py
+++ b/tests/fleet/test_untold.py
@@ -5,11 +5,11 @@
 import pytest
 
 from starlingwick import interface as io
-from tests.fleet.world import Fleet, Shared
+from tests.fleet.world import Fleet, SharedDestination
 from tests.helpers import MS, S
 
 
-class Untold(Shared):
+class Untold(SharedDestination):
     """A destination that tells nothing of its limit."""
 
     def call(self, at: int) -> tuple[io.Status, io.Report | None]:
@@ -18,7 +18,7 @@
 
 def evening(seed: int, load: float) -> tuple[float, float]:
     """200 relays at six destinations for 30 s: the share of the messages that were delivered, of the calls refused."""
-    shared: list[Shared] = [
+    shared: list[SharedDestination] = [
         Untold(n, 16.0 if n < 3 else 8.0, span=2 * S * (n % 2), latency=100 * MS, wait=500 * MS * (n % 2))
         for n in range(6)
     ]
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Shared:
+class SharedDestination:
     """A destination shared by all relays: it allows a number of calls per second, counted in spans or, with ``span``
     0, as a plain rate that accumulates unused calls; refused calls are counted like others."""
 
@@ -80,7 +80,7 @@
 
 
 @dataclass
-class Register:
+class DiscoveryService:
     """Discovery as one service for all relays. It processes calls in order, including calls that have already timed
     out."""
 
@@ -105,11 +105,11 @@
 
     def __init__(
         self,
-        shared: list[Shared],
+        shared: list[SharedDestination],
         relays: int,
         rate: float,
         seed: int = 1,
-        register: Register | None = None,
+        register: DiscoveryService | None = None,
         shares: list[float] | None = None,
         **changes: Any,
     ) -> None:
