--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.leases.settings import MS
 from garnetrelay.laboratory.links import Fate
 from garnetrelay.rehearsal.links.network import Network
-from tests.fleet.processes import PATIENCE, SECRET, Fleet, Process, Relay
+from tests.fleet.processes import SECRET, TIMEOUT_S, Fleet, Process, Relay
 
 PARTITIONS = 64
 LEASE_MS = 2000
@@ -150,7 +150,7 @@
 
     async def wait_for(self, holds: Callable[[], bool]) -> None:
         """Until something holds of the latest answers."""
-        async with asyncio.timeout(PATIENCE), self._news:
+        async with asyncio.timeout(TIMEOUT_S), self._news:
             await self._news.wait_for(lambda: self.faults or holds())
         assert not self.faults, self.faults
 
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -18,7 +18,7 @@
 from tests.sockets import FACTS
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 30.0  # seconds; only a failing test waits this long
+TIMEOUT_S = 30.0  # only a failing test waits this long
 SECRET = "a secret of the tests\n"
 
 
@@ -64,7 +64,7 @@
 
     async def ended(self) -> int:
         assert self.process is not None and self.reading is not None
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.reading
             return await self.process.wait()
 
@@ -115,14 +115,14 @@
         await self.start()
         await self.fleet.until(lambda: self.logged("serves on", lines))
         old.send_signal(signal.SIGTERM)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await reading
             await old.wait()
 
     async def ask(self, line: str) -> list[str]:
         """Returns the answer to an operator command."""
         host, _, port = self.staff.rpartition(":")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(line.encode() + b"\n")
             answer = (await reader.read()).decode()
@@ -170,7 +170,7 @@
 
     async def wait_for_one_view(self) -> None:
         """Waits until all relays are settled on one view that contains all of them; checks again after each log line."""
-        async with asyncio.timeout(PATIENCE), self.new_line:
+        async with asyncio.timeout(TIMEOUT_S), self.new_line:
             while True:
                 states = [(await relay.members())[0] for relay in self.relays.values()]
                 if len({state.view for state in states}) == 1 and {
@@ -181,11 +181,11 @@
 
     async def wait_for_alive(self, relay: Relay, name: str) -> None:
         """Waits until a relay sees another one as alive; checks again after each log line."""
-        async with asyncio.timeout(PATIENCE), self.new_line:
+        async with asyncio.timeout(TIMEOUT_S), self.new_line:
             while (await relay.members())[1][name].status != "alive":
                 await self.new_line.wait()
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition on the logged lines holds."""
-        async with asyncio.timeout(PATIENCE), self.new_line:
+        async with asyncio.timeout(TIMEOUT_S), self.new_line:
             await self.new_line.wait_for(condition)
