--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -75,7 +75,7 @@
             if process.process is not None and process.process.returncode is None:
                 process.signal(signal.SIGCONT)
                 process.signal(signal.SIGKILL)
-                await process.ended()
+                await process.wait_for_exit()
         await super().__aexit__()
 
     async def __aenter__(self) -> Cluster:
--- a/tests/fleet/leases/test_lease_processes.py
+++ b/tests/fleet/leases/test_lease_processes.py
@@ -26,12 +26,12 @@
         # A relay that is killed, and a new process of its name: another session.
         cluster.observer.freeze(r2)
         r2.signal(signal.SIGKILL)
-        await r2.ended()
+        await r2.wait_for_exit()
         await r2.start()
 
         # A controller that is killed and loses its folder is ready again by what others have on record.
         c0.signal(signal.SIGKILL)
-        await c0.ended()
+        await c0.wait_for_exit()
         c0.lose_folder()
         lines = len(c0.lines)
         await c0.start()
@@ -42,10 +42,10 @@
         # Two of five gone: it goes on. A third: nobody owns anything; back again: everything.
         for controller in (c1, c2):
             controller.signal(signal.SIGKILL)
-            await controller.ended()
+            await controller.wait_for_exit()
         await cluster.observer.all_owned(since=clock.now())
         c0.signal(signal.SIGTERM)
-        assert await c0.ended() == 0
+        assert await c0.wait_for_exit() == 0
         await cluster.observer.none_owned()
         for controller in (c0, c1, c2):
             await controller.start()
@@ -72,7 +72,7 @@
         for controller in cluster.controllers.values():
             controller.signal(signal.SIGKILL)
         for controller in cluster.controllers.values():
-            await controller.ended()
+            await controller.wait_for_exit()
             await controller.start()
         await cluster.observer.none_owned()
         await cluster.observer.all_owned(since=clock.now())
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -62,7 +62,7 @@
         assert self.process is not None
         self.process.send_signal(number)
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         assert self.process is not None and self.reading is not None
         async with asyncio.timeout(TIMEOUT_S):
             await self.reading
@@ -157,7 +157,7 @@
             if relay.process is not None and relay.process.returncode is None:
                 relay.process.send_signal(signal.SIGCONT)
                 relay.process.kill()
-                await relay.ended()
+                await relay.wait_for_exit()
         self.network.stop()
 
     async def start(self, *names: str) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -26,7 +26,7 @@
         r1, r2, r5 = (fleet.relays[name] for name in ("r1", "r2", "r5"))
         others = [relay for relay in fleet.relays.values() if relay is not r5]
         r5.signal(signal.SIGKILL)
-        await r5.ended()
+        await r5.wait_for_exit()
         await fleet.until(
             lambda: all(relay.logged("judges r5 life 1 failed") or relay.logged("r5 life 1.0 failed") for relay in others)
         )
@@ -40,14 +40,14 @@
         assert json.loads((r5.folder / "state" / "fleet").read_bytes().split(b"\n", 1)[1])["life"] == 2
 
         r2.signal(signal.SIGTERM)
-        assert await r2.ended() == 0
+        assert await r2.wait_for_exit() == 0
         rest = [relay for relay in others if relay is not r2]
         await fleet.until(lambda: all(relay.logged("r2 life 1.0 left") or relay.logged("left") for relay in rest))
         assert not any(relay.logged("judges r2") for relay in fleet.relays.values())
 
         # Its folder is lost: the relay continues with the life after those that the others know.
         r5.signal(signal.SIGKILL)
-        await r5.ended()
+        await r5.wait_for_exit()
         shutil.rmtree(r5.folder / "state")
         (r5.folder / "state").mkdir()
         since = len(r5.lines)
@@ -134,7 +134,7 @@
                 await fleet.until(lambda relay=relay, since=since: relay.logged("secrets read", since))  # type: ignore[misc]
         r3.secrets = new
         r3.signal(signal.SIGKILL)
-        await r3.ended()
+        await r3.wait_for_exit()
         await fleet.until(lambda: r1.logged("r3 life 1") and r2.logged("r3 life 1"))
         await r3.start()
         await fleet.until(lambda: all(relay.logged("r3 life 2.0 alive") for relay in (r1, r2)))
