--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -122,7 +122,7 @@
     for at, relay in calls:
         if at >= up:
             first.setdefault(relay, (at - up) / S)
-    wanting = {relay for at, relay in fleet.came if up - 5 * S <= at < up + LAST - 10 * S}
+    wanting = {relay for at, relay in fleet.arrivals if up - 5 * S <= at < up + LAST - 10 * S}
     found = [first[relay] for relay in informed if relay in first]
     never = sum(relay in wanting and relay not in first for relay in informed)
     return Evening(most, most_informed, found, never, len(fleet.times) / len(fleet.arrived))
--- a/tests/fleet/test_untold.py
+++ b/tests/fleet/test_untold.py
@@ -31,7 +31,7 @@
         limits={"probes": False, "most_tries": 4, "retry_after": True},
     )
     fleet.run(30)
-    answers = [status for one in shared for _, status in one.got]
+    answers = [status for one in shared for _, status in one.responses]
     return len(fleet.times) / len(fleet.arrived), answers.count(io.Status.FULL) / len(answers)
 
 
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -43,7 +43,7 @@
     remaining_at: int = 0
     last_report: io.Report = field(default_factory=lambda: io.Report(1.0, 0.0))
     reported_at: int = -S
-    got: list[tuple[int, io.Status]] = field(default_factory=list)  # time and status of each call
+    responses: list[tuple[int, io.Status]] = field(default_factory=list)  # time and status of each call
 
     def limit_at(self, at: int) -> float:
         since, until, share = self.lowered
@@ -51,13 +51,13 @@
 
     def call(self, at: int) -> tuple[io.Status, io.Report | None]:
         if self.down[0] <= at < self.down[1]:
-            self.got.append((at, io.Status.CONNECT_FAILED))
+            self.responses.append((at, io.Status.CONNECT_FAILED))
             return io.Status.CONNECT_FAILED, None
         remaining, capacity = self.consume(at)
         if at >= self.reported_at + self.refresh:
             self.last_report, self.reported_at = io.Report(max(0.0, remaining / capacity), self.limit_at(at)), at
         status = io.Status.OK if remaining >= 1 else io.Status.FULL
-        self.got.append((at, status))
+        self.responses.append((at, status))
         return status, self.last_report
 
     def consume(self, at: int) -> tuple[float, float]:
@@ -75,7 +75,7 @@
 
     def share(self, status: io.Status, since: int = 0, until: int = 1 << 62) -> float:
         """Returns the share of the calls in a period that were answered with a status."""
-        calls = [s for at, s in self.got if since <= at < until]
+        calls = [s for at, s in self.responses if since <= at < until]
         return sum(s is status for s in calls) / max(1, len(calls))
 
 
@@ -128,7 +128,7 @@
         self.order = itertools.count()
         self.attempts: Counter[str] = Counter()
         self.arrived: dict[str, int] = {}
-        self.came: list[tuple[int, int]] = []  # when each message arrived since the start, and at which relay
+        self.arrivals: list[tuple[int, int]] = []  # when each message arrived since the start, and at which relay
         self.times: list[int] = []  # from arrival to delivery of each delivered message
         self.actions: list[tuple[int, int, io.Action]] = []  # time, relay and action
         self.roster = roster = io.Roster(
@@ -155,7 +155,7 @@
                 if self.shares
                 else self.random.randrange(len(self.pacers))
             )
-            self.came.append((when - START, relay))
+            self.arrivals.append((when - START, relay))
             self.at(
                 when,
                 relay,
