--- a/garnetrelay/fleet/members/exchanges.py
+++ b/garnetrelay/fleet/members/exchanges.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.members.settings import Settings
 
 BULK_PERIODS = 2  # if changes fill more full frames than this, piggybacking cannot spread them in reasonable time
-MAX_JOIN_DOUBLINGS = 6  # the interval between join attempts starts at a fifth of a period and grows up to 2 ** 6 times
+MAX_JOIN_DOUBLINGS = 6  # join attempts start a fifth of a period apart; the interval grows to 2 ** 6 times that
 
 
 class Exchanges:
--- a/garnetrelay/fleet/members/frames.py
+++ b/garnetrelay/fleet/members/frames.py
@@ -116,8 +116,8 @@
 
 
 class Nack(Frame, tag=5, frozen=True, kw_only=True):
-    """Reports that an indirect probe was not answered in time; it also shows that the receiver and its link to the
-    sender work."""
+    """Reports that an indirect probe was not answered in time. It also shows the member that asked that the sender
+    receives its frames."""
 
 
 class Hello(Frame, tag=6, frozen=True, kw_only=True):
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -340,7 +340,8 @@
         origin = self.table.members.get(ping.origin)
         heard = -1 if origin is None or origin.frame_received_at is None else (now - origin.frame_received_at) // MS
         free_bytes = self.outgoing.free_bytes()
-        reserved = min(free_bytes // 3, len(self._probe_order) * fr.OBSERVATION.size)  # for observations
+        # Reserved for observations, so that they are sent even if there are many claims.
+        reserved = min(free_bytes // 3, len(self._probe_order) * fr.OBSERVATION.size)
         claims = self.outgoing.piggyback_claims(free_bytes - reserved, ping.sender.name)
         free_bytes -= sum(claim.size() for claim in claims)
         selected = observations.select(
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -14,7 +14,7 @@
 class Condition(IntEnum):
     """From the most to the least reliable."""
 
-    SETTLED = 0  # all members it hears from hold the same view, and nobody is suspected
+    SETTLED = 0  # all members that it hears from hold the same view, and no member is suspected
     UNSETTLED = 1  # a member is suspected, has just joined or departed, or holds another view
     CUT_OFF = 2  # many failed at once: either they are down, or this relay and some others are partitioned from them
     ALONE = 3  # no member answers
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -98,12 +98,12 @@
                 }
             )
         )
-        self.staff = f"{network.inner(self.name).rpartition(':')[0]}:{network.port + 1}"
+        self.operators_address = f"{network.inner(self.name).rpartition(':')[0]}:{network.port + 1}"
         await self.run(
             "-m",
             "garnetrelay",
             RELAY_CONFIG=str(self.folder / "config.json"),
-            RELAY_OPS=self.staff,
+            RELAY_OPS=self.operators_address,
             RELAY_STATE=str(self.folder / "state"),
             RELAY_OPTIONS="" if self.off else str(self.folder / "options.toml"),
         )
@@ -121,7 +121,7 @@
 
     async def ask(self, line: str) -> list[str]:
         """Returns the answer to an operator command."""
-        host, _, port = self.staff.rpartition(":")
+        host, _, port = self.operators_address.rpartition(":")
         async with asyncio.timeout(TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(line.encode() + b"\n")
