--- a/garnetrelay/fleet/life_file.py
+++ b/garnetrelay/fleet/life_file.py
@@ -26,7 +26,8 @@
 
 
 class StoredLife(msgspec.Struct, frozen=True):
-    """What is stored across processes: the relay's life, and the addresses of some other members."""
+    """What is stored across processes: the relay's life, and the addresses of some other members. The field names are
+    part of the file's JSON."""
 
     life: Life
     places: list[tuple[str, int]] = []
--- a/garnetrelay/fleet/members/protocol.py
+++ b/garnetrelay/fleet/members/protocol.py
@@ -31,7 +31,7 @@
 from garnetrelay.fleet.members.settings import MS, Settings
 from garnetrelay.fleet.members.table import LinkState, Member, Table
 from garnetrelay.fleet.members.view import FleetView
-from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts
+from garnetrelay.fleet.members.view_state import RELIANCE, Condition, ConditionTracker, Facts
 
 MAX_LEAVE_NOTICES = 8  # members that are notified directly when this relay leaves
 
@@ -139,7 +139,7 @@
         """Handles the passing of time. To be called at ``next_at``."""
         self._detect_pause(now)
         self._expire_requests(now)
-        self.local_view.expire_suspicions(now, self._answered_at if RELIES[self.condition].speak else None)
+        self.local_view.expire_suspicions(now, self._answered_at if RELIANCE[self.condition].authoritative else None)
         self._run_probes(now)
         self._maintain_contact(now)
         return self._finish(now)
--- a/garnetrelay/fleet/members/view.py
+++ b/garnetrelay/fleet/members/view.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from garnetrelay.fleet.members.view_state import RELIES, Condition, Reliance
+from garnetrelay.fleet.members.view_state import RELIANCE, Condition, Reliance
 
 
 class FleetView(NamedTuple):
@@ -27,4 +27,4 @@
     @property
     def relies(self) -> Reliance:
         """What the view may be used for in this condition."""
-        return RELIES[self.condition]
+        return RELIANCE[self.condition]
--- a/garnetrelay/fleet/members/view_state.py
+++ b/garnetrelay/fleet/members/view_state.py
@@ -1,7 +1,7 @@
 """How far this relay may rely on its view of the fleet. No I/O.
 
 The condition gets worse at once and better only after a settle time without contrary evidence. Other parts of the
-program (limits, verdicts, versions) use `RELIES`, never the individual facts.
+program (limits, verdicts, versions) use `RELIANCE`, never the individual facts.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     count: bool  # the number of members: shares of a limit may be computed from it
     grow: bool  # its own share of a limit may grow
     evidence: bool  # observations of others may restrict this relay (never allow it more)
-    speak: bool  # its own claims count: it may declare others failed, lend to them, try on their behalf
-    text: str
+    authoritative: bool  # its own claims count: it may declare others failed, lend to them, try on their behalf
+    text: str  # shown to operators
 
 
-RELIES: dict[Condition, Reliance] = {
+RELIANCE: dict[Condition, Reliance] = {
     Condition.SETTLED: Reliance(
         True, True, True, True, "all of it: numbers, growth, what others saw, its own judgements"
     ),
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -36,7 +36,8 @@
 
 
 class HandoverState(msgspec.Struct):
-    """What a process passes to its successor during an upgrade, so that the same member continues."""
+    """What a process passes to its successor during an upgrade, so that the same member continues. The field names are
+    part of the handover."""
 
     own: Claim
     sequence: int
--- a/garnetrelay/fleet/simulator_member.py
+++ b/garnetrelay/fleet/simulator_member.py
@@ -78,9 +78,9 @@
     return SocketAddress(f"10.{relay >> 16 & 255}.{relay >> 8 & 255}.{relay & 255}", PORT)
 
 
-def relay_at(at: SocketAddress) -> int:
+def relay_at(address: SocketAddress) -> int:
     """Returns the relay number that an address represents."""
-    _, high, middle, low = (int(part) for part in at.host.split("."))
+    _, high, middle, low = (int(part) for part in address.host.split("."))
     return high << 16 | middle << 8 | low
 
 
@@ -180,20 +180,20 @@
         return self.members.outgoing.next_sequence()
 
     def _carry_out(self, now: int, effects: list[Effect], replies: list[Reply] | None = None) -> list[Reply]:
-        carried_out: list[Reply] = list(replies or [])
+        all_replies: list[Reply] = list(replies or [])
         waiting = list(effects)
         while waiting:
             match waiting.pop(0):
-                case SendFrame(at, frame, version):
-                    carried_out.append(Post(relay_at(at), self.codec.encode(frame, version)))
-                case StartExchange(at):
+                case SendFrame(address, frame, version):
+                    all_replies.append(Post(relay_at(address), self.codec.encode(frame, version)))
+                case StartExchange(address):
                     hello = self.members.hello(now)
                     self._remember(hello.number, now)
-                    carried_out.append(Post(relay_at(at), self.codec.encode(hello, 1)))
+                    all_replies.append(Post(relay_at(address), self.codec.encode(hello, 1)))
                 case StoreLife(life):  # there is no folder: counts as stored at once
                     waiting += self.members.life_stored(now, life)
                 case LogLine(text, _):
-                    carried_out.append(Line(f"fleet: {text}"))
+                    all_replies.append(Line(f"fleet: {text}"))
         self._token += 1
-        carried_out.append(Wake(max(1, self.members.next_at - now), self._token))
-        return carried_out
+        all_replies.append(Wake(max(1, self.members.next_at - now), self._token))
+        return all_replies
--- a/garnetrelay/fleet/status.py
+++ b/garnetrelay/fleet/status.py
@@ -10,12 +10,13 @@
 from garnetrelay.fleet.members.claims import Status
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.table import LinkState, Member
-from garnetrelay.fleet.members.view_state import RELIES
+from garnetrelay.fleet.members.view_state import RELIANCE
 from garnetrelay.operators.metrics import escaped
 
 
 class Line(msgspec.Struct, frozen=True):
-    """Another member as this relay sees it. Times are in seconds; None if not known."""
+    """Another member as this relay sees it. Times are in seconds; None if not known. The field names are part of the
+    JSON output."""
 
     name: str
     life: int
@@ -31,7 +32,7 @@
 
 
 class State(msgspec.Struct, frozen=True):
-    """The state of this relay itself."""
+    """The state of this relay itself. The field names are part of the JSON output."""
 
     name: str
     life: int
@@ -61,7 +62,7 @@
         members.condition.name.lower(),
         members.condition_tracker.why,
         round((now - members.condition_tracker.since) / 1e9, 3),
-        RELIES[members.condition].text,
+        RELIANCE[members.condition].text,
         members.count,
         f"{members.view:08x}",
         same,
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -105,10 +105,10 @@
     numbers: dict[int, bytes] = {}
     for count in itertools.count():
         secret = b"a secret, number %d" % count
-        twin = numbers.setdefault(fr.Codec([secret]).good[0][0], secret)
-        if twin is not secret:
+        same_number = numbers.setdefault(fr.Codec([secret]).good[0][0], secret)
+        if same_number is not secret:
             break
-    assert fr.Codec([secret, twin]).decode(fr.Codec([twin]).encode(ping(), 2)) == ping()
+    assert fr.Codec([secret, same_number]).decode(fr.Codec([same_number]).encode(ping(), 2)) == ping()
 
 
 def test_a_claim_takes_no_more_bytes_than_its_size() -> None:
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -16,7 +16,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Table
-from garnetrelay.fleet.members.view_state import RELIES, Condition, ConditionTracker, Facts, evaluate
+from garnetrelay.fleet.members.view_state import RELIANCE, Condition, ConditionTracker, Facts, evaluate
 
 claims = st.builds(
     Claim,
@@ -117,9 +117,11 @@
 
 
 def test_a_worse_condition_allows_less() -> None:
-    assert all(RELIES[Condition.SETTLED].__getattribute__(what) for what in ("count", "grow", "evidence", "speak"))
-    assert not any(RELIES[condition].grow for condition in Condition if condition is not Condition.SETTLED)
-    assert not RELIES[Condition.ALONE].speak and not RELIES[Condition.JOINING].speak
+    assert all(
+        RELIANCE[Condition.SETTLED].__getattribute__(field) for field in ("count", "grow", "evidence", "authoritative")
+    )
+    assert not any(RELIANCE[condition].grow for condition in Condition if condition is not Condition.SETTLED)
+    assert not RELIANCE[Condition.ALONE].authoritative and not RELIANCE[Condition.JOINING].authoritative
 
 
 def test_a_suspicion_lasts_as_the_paper_says() -> None:
--- a/tests/fleet/world.py
+++ b/tests/fleet/world.py
@@ -84,8 +84,8 @@
     """Discovery as one service for all relays. It processes calls in order, including calls that have already timed
     out."""
 
-    each: int  # processing time of a call
-    patience: int = 2 * S  # timeout after which a call has failed
+    call_time: int  # processing time of a call
+    timeout: int = 2 * S  # timeout after which a call has failed
     max_queueing_time: int = 3 * S  # calls that would wait longer than this are rejected
     free_at: int = 0
     asked: list[int] = field(default_factory=list)
@@ -93,11 +93,11 @@
     def ask(self, at: int) -> tuple[int, bool]:
         """Returns when a call ends, and whether it was answered."""
         self.asked.append(at)
-        done = max(at, self.free_at) + self.each
+        done = max(at, self.free_at) + self.call_time
         if done - at > self.max_queueing_time:
             return at + MS, False
         self.free_at = done
-        return (done, True) if done - at <= self.patience else (at + self.patience, False)
+        return (done, True) if done - at <= self.timeout else (at + self.timeout, False)
 
 
 class Fleet:
