--- a/garnetrelay/fleet/members/dissemination.py
+++ b/garnetrelay/fleet/members/dissemination.py
@@ -1,7 +1,7 @@
-"""Which words ride on the next frame, and how often each is told. No I/O.
+"""The queue of claims that are piggybacked on frames, and how often each has been sent. No I/O.
 
-A word is told so often by the logarithm of the members, those told least first; a newer word on a name takes the place of
-the older. Bounded by the number of names.
+A claim is sent a number of times that grows with the logarithm of the members, the least sent first. A newer claim
+about a name replaces the older one, so the queue is bounded by the number of names.
 """
 
 from __future__ import annotations
@@ -9,49 +9,50 @@
 from garnetrelay.fleet.members.claims import Claim
 
 
-class Spreading:
-    """Words on their way, in rows by how often each has been told."""
+class DisseminationQueue:
+    """Claims to spread, grouped by how often each has been sent."""
 
     def __init__(self) -> None:
-        self._rows: list[dict[str, Claim]] = []
-        self._row_of: dict[str, int] = {}
+        self._by_transmissions: list[dict[str, Claim]] = []
+        self._transmissions_of: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._row_of)
+        return len(self._transmissions_of)
 
-    def tell(self, claim: Claim) -> None:
-        """Tell a word from the beginning."""
-        self.drop(claim.name)
+    def add(self, claim: Claim) -> None:
+        """Queues a claim as not yet sent, replacing an older claim about the same name."""
+        self.remove(claim.name)
         self._put(claim, 0)
 
-    def drop(self, name: str) -> None:
-        """Tell nothing of a name any more."""
-        row = self._row_of.pop(name, None)
-        if row is not None:
-            del self._rows[row][name]
+    def remove(self, name: str) -> None:
+        """Removes the claim about a name."""
+        transmissions = self._transmissions_of.pop(name, None)
+        if transmissions is not None:
+            del self._by_transmissions[transmissions][name]
 
-    def take(self, room: int, limit: int, but: str = "") -> list[Claim]:
-        """Words for one frame with so much room (bytes), none of them on ``but``; each is told ``limit`` times."""
+    def take(self, free_bytes: int, max_transmissions: int, exclude: str = "") -> list[Claim]:
+        """Returns claims for one frame, at most ``free_bytes`` in total and none about ``exclude``; each claim is sent
+        at most ``max_transmissions`` times."""
         taken: list[tuple[Claim, int]] = []
-        for row, waiting in enumerate(self._rows):
+        for transmissions, waiting in enumerate(self._by_transmissions):
             for claim in waiting.values():
                 size = claim.size()
-                if size > room:
+                if size > free_bytes:
                     break
-                if claim.name != but:
-                    taken.append((claim, row))
-                    room -= size
-            if room < 64:
+                if claim.name != exclude:
+                    taken.append((claim, transmissions))
+                    free_bytes -= size
+            if free_bytes < 64:
                 break
-        for claim, row in taken:
-            del self._rows[row][claim.name]
-            del self._row_of[claim.name]
-            if row + 1 < limit:
-                self._put(claim, row + 1)
+        for claim, transmissions in taken:
+            del self._by_transmissions[transmissions][claim.name]
+            del self._transmissions_of[claim.name]
+            if transmissions + 1 < max_transmissions:
+                self._put(claim, transmissions + 1)
         return [claim for claim, _ in taken]
 
-    def _put(self, claim: Claim, row: int) -> None:
-        while len(self._rows) <= row:
-            self._rows.append({})
-        self._rows[row][claim.name] = claim
-        self._row_of[claim.name] = row
+    def _put(self, claim: Claim, transmissions: int) -> None:
+        while len(self._by_transmissions) <= transmissions:
+            self._by_transmissions.append({})
+        self._by_transmissions[transmissions][claim.name] = claim
+        self._transmissions_of[claim.name] = transmissions
--- a/garnetrelay/fleet/members/probe_order.py
+++ b/garnetrelay/fleet/members/probe_order.py
@@ -1,7 +1,7 @@
-"""Whose turn it is: SWIM's shuffled rounds, and whose word is told next. No I/O.
+"""Order in which members are probed (SWIM's shuffled rounds), and in which observations of them are reported.
 
-Each member is probed once in a round, and a newcomer enters the present round at a place that is drawn: between two
-probes of a member by this relay there are at most 2n - 1 others.
+Each member is probed once per round, and a new member enters the current round at a random position: there are at most
+2n - 1 other probes between two probes of a member by this relay.
 """
 
 from __future__ import annotations
@@ -12,45 +12,45 @@
 from collections.abc import Collection, Iterable
 
 
-class Rounds:
-    """The order in which members are probed, and that in which their words are told."""
+class ProbeOrder:
+    """The order in which members are probed, and the order in which they are reported to others."""
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
-        self._order: list[str] = []  # the rest of this round, the next one last
-        self._telling: deque[str] = deque()
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._remaining: list[str] = []  # the rest of this round, the next target last
+        self._report_order: deque[str] = deque()
 
     def __len__(self) -> int:
-        return len(self._telling)
+        return len(self._report_order)
 
-    def enter(self, name: str) -> None:
-        """A newcomer."""
-        self._order.insert(self._draw.randint(0, len(self._order)), name)
-        self._telling.append(name)
+    def add(self, name: str) -> None:
+        """Adds a new member."""
+        self._remaining.insert(self._rng.randint(0, len(self._remaining)), name)
+        self._report_order.append(name)
 
-    def again(self, name: str) -> None:
-        """Its probe came to nothing by this relay's own fault."""
-        self._order.append(name)
+    def put_back(self, name: str) -> None:
+        """Makes a member the next target again, because its probe failed through this relay's own fault."""
+        self._remaining.append(name)
 
-    def choose(self, members: Collection[str]) -> str | None:
-        """The next of the round; a new round is shuffled."""
+    def next_target(self, members: Collection[str]) -> str | None:
+        """Returns the next member of the round; starts a newly shuffled round when the current one is exhausted."""
         for _ in range(2):
-            while self._order:
-                name = self._order.pop()
+            while self._remaining:
+                name = self._remaining.pop()
                 if name in members:
                     return name
-            self._order = list(members)
-            self._draw.shuffle(self._order)
-            self._telling = deque(self._draw.sample(self._order, len(self._order)))
+            self._remaining = list(members)
+            self._rng.shuffle(self._remaining)
+            self._report_order = deque(self._rng.sample(self._remaining, len(self._remaining)))
         return None
 
-    def told_next(self, most: int) -> list[str]:
-        """Whose words are weighed for the next frame."""
-        found = list(itertools.islice(self._telling, most))
-        self._telling.rotate(-len(found))
+    def next_to_report(self, limit: int) -> list[str]:
+        """Returns the members whose observations are considered for the next frame."""
+        found = list(itertools.islice(self._report_order, limit))
+        self._report_order.rotate(-len(found))
         return found
 
-    def sample(self, names: Iterable[str], most: int) -> list[str]:
-        """Some of them."""
+    def sample(self, names: Iterable[str], limit: int) -> list[str]:
+        """Returns a random sample of the names."""
         found = list(names)
-        return self._draw.sample(found, min(most, len(found)))
+        return self._rng.sample(found, min(limit, len(found)))
--- a/garnetrelay/fleet/service.py
+++ b/garnetrelay/fleet/service.py
@@ -1,4 +1,5 @@
-"""One relay in its fleet: carries out what `members/` decides. Imported only where `[fleet]` is switched on."""
+"""Runs one relay's fleet membership: executes the effects that `members/` decides on. Imported only if `[fleet]` is
+enabled."""
 
 from __future__ import annotations
 
@@ -16,36 +17,38 @@
 
 from garnetrelay.config.fleet import Fleet as FleetConfig
 from garnetrelay.fleet import status
-from garnetrelay.fleet.life_file import MOST_PLACES, LifeFile
+from garnetrelay.fleet.life_file import MAX_ADDRESSES, LifeFile
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, Claim, SocketAddress, Status
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.view import FleetView
-from garnetrelay.fleet.transport import EXCHANGE_TIME, Stream, Transport
+from garnetrelay.fleet.transport import EXCHANGE_TIMEOUT_S, Stream, Transport
 
 if TYPE_CHECKING:
     from garnetrelay.fleet.lease_service import LeaseService
 
 log = logging.getLogger(__name__)
 
-MOST_TASKS = 64
-AHEAD = 1 << 20  # numbers that an upgraded process leaves out: its forerunner may have used some more
+MAX_TASKS = 64
+# Sequence numbers skipped after an upgrade: the previous process may have used some after it passed its state on.
+SEQUENCE_GAP = 1 << 20
 
 
-class Passing(msgspec.Struct):
-    """What one process of a relay hands to the next: the same member goes on."""
+class HandoverState(msgspec.Struct):
+    """What a process passes to its successor during an upgrade, so that the same member continues. The field names are
+    part of the handover."""
 
     own: Claim
     sequence: int
     claims: list[Claim]
 
 
-def _as_configured(own: Claim, place: SocketAddress, config: FleetConfig) -> Claim:
-    """A member's claim in the process that goes on as it. What the new options change takes the next incarnation, so that
-    it holds everywhere over the claim of before."""
+def _as_configured(own: Claim, address: SocketAddress, config: FleetConfig) -> Claim:
+    """Returns the member's claim in the process that takes over. If the new options change the claim, it takes the
+    next incarnation, so that it supersedes the previous claim on all members."""
     now = msgspec.structs.replace(
-        own, host=place.host, port=place.port, speaks=config.settings.versions, zone=config.zone
+        own, host=address.host, port=address.port, max_version=config.settings.versions, zone=config.zone
     )
     if now == own or own.incarnation >= MAX_INCARNATION:
         return now
@@ -53,7 +56,7 @@
 
 
 class Fleet:
-    """A member."""
+    """This relay as a member of the fleet."""
 
     def __init__(
         self, config: FleetConfig, name: str, state: Path, sync: bool, passed: dict[str, Any] | None = None
@@ -62,26 +65,27 @@
         self.name = name
         self.file = LifeFile(state, sync)
         self.closed = False
-        self.transport = Transport(fr.Codec(config.secrets()), self._heard)
+        self.transport = Transport(fr.Codec(config.secrets()), self._on_frame)
         self.members: Membership | None = None
-        self.leases: LeaseService | None = None  # None: not switched on
-        self._passed = None if passed is None else msgspec.convert(passed, Passing)
+        self.leases: LeaseService | None = None  # None: leases are not enabled
+        self._passed = None if passed is None else msgspec.convert(passed, HandoverState)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> SocketAddress:
-        """Take the address, keep the life number, and begin. OSError where either can't be."""
-        found = await self.transport.start(self.config.listen, self._answer)
-        place = self.config.advertise or found
-        kept = self.file.read()
+        """Binds the address, stores the life number and starts the protocol. Raises OSError if binding or storing
+        fails."""
+        bound = await self.transport.start(self.config.listen, self._answer)
+        address = self.config.advertise or bound
+        stored = self.file.read()
         seeds = list(self.config.seeds)
-        if kept is not None:  # the seeds may all be down: others were there in an earlier life
-            seeds += [SocketAddress(*each) for each in kept.places if SocketAddress(*each) not in seeds]
+        if stored is not None:  # the seeds may all be down: these addresses were other members' in an earlier life
+            seeds += [SocketAddress(*each) for each in stored.places if SocketAddress(*each) not in seeds]
         now = time.monotonic_ns()
         if self._passed is None:
-            life = 1 if kept is None else kept.life + 1
-            self.file.keep(life, seeds)
+            life = 1 if stored is None else stored.life + 1
+            self.file.store(life, seeds)
             own = Claim(
                 self.name,
                 life,
@@ -89,29 +93,29 @@
                 life,
                 0,
                 Status.ALIVE,
-                place.host,
-                place.port,
+                address.host,
+                address.port,
                 self.config.settings.versions,
                 zone=self.config.zone,
             )
             self.members = Membership(own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds)
         else:
             passed = self._passed
-            own = _as_configured(passed.own, place, self.config)
+            own = _as_configured(passed.own, address, self.config)
             self.members = Membership(
-                own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + AHEAD
+                own, self.config.settings, random.Random(secrets.randbits(64)), now, seeds, passed.sequence + SEQUENCE_GAP
             )
             self._carry_out(self.members.resume_from(now, passed.claims))
-        log.info("fleet: %s hears at %s, life %d", self.name, found, own.life)
+        log.info("fleet: %s hears at %s, life %d", self.name, bound, own.life)
         self._start_leases()
         self._tick()
-        return found
+        return bound
 
     def _start_leases(self) -> None:
         if self.config.leases is None:
             return
         from garnetrelay.fleet.lease_service import LeaseService
-        from garnetrelay.fleet.leases import codec  # only where they are switched on
+        from garnetrelay.fleet.leases import codec  # imported only if leases are enabled
 
         assert self.members is not None
         self.leases = LeaseService(
@@ -121,14 +125,14 @@
         self.leases.start()
 
     def leave(self) -> None:
-        """Tell the others that this life ends."""
+        """Announces to the other members that this relay leaves."""
         if self.members is not None and not self.closed:
             if self.leases is not None:
                 self.leases.release_all()
             self._carry_out(self.members.leave(time.monotonic_ns()))
 
     def close(self) -> None:
-        """Say and hear nothing any more; the address is free at once."""
+        """Stops sending and receiving; the address is free immediately."""
         if self.leases is not None:
             self.leases.close()
         self.closed = True
@@ -139,45 +143,46 @@
             task.cancel()
 
     def handover_state(self) -> dict[str, Any] | None:
-        """This member, for the process that goes on as it; None where it has no part in the fleet now."""
+        """Returns this member's state for the process that takes over; None if the relay is not an active member now."""
         members = self.members
         if members is None or not members.local.active:
             return None
-        found = Passing(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
-        return msgspec.to_builtins(found)  # type: ignore[no-any-return]
+        handed_over = HandoverState(members.local.claim, members.outgoing.sequence, list(members.table.claims()))
+        return msgspec.to_builtins(handed_over)  # type: ignore[no-any-return]
 
     def read_secrets(self) -> None:
-        """SIGHUP: the secrets as their file has them now; one that can't be used changes nothing."""
+        """Reloads the secrets from their file (SIGHUP); a file that cannot be used changes nothing."""
         try:
-            found = self.config.secrets()
-            self.transport.codec = fr.Codec(found)
+            secrets_now = self.config.secrets()
+            self.transport.codec = fr.Codec(secrets_now)
             if self.leases is not None:
-                self.leases.set_secrets(found)
+                self.leases.set_secrets(secrets_now)
         except ValueError as error:
             log.error("fleet: the old secrets stay: %s", error)
         else:
             log.info("fleet: %d secrets read", len(self.transport.codec.good))
 
     def fleet_view(self) -> FleetView:
-        """Who is there, in which zone, and what may be relied on: the read for other parts of the relay."""
+        """Returns the members of the view, their zones and what the view may be used for. Other parts of the relay
+        read this."""
         assert self.members is not None
         return self.members.fleet_view()
 
-    # ---- staff
+    # ---- operator commands
 
     def listing(self) -> str:
-        """This relay and all others, a JSON object a line."""
+        """Returns the status of this relay and of all other members, one JSON object per line."""
         assert self.members is not None
         now = time.monotonic_ns()
         return _json_lines((status.state(self.members, now), *status.lines(self.members, now)))
 
     def explain(self, name: str) -> list[str] | None:
-        """Why a member is held for what it is."""
+        """Explains the status of a member in sentences; None if the name is not known."""
         assert self.members is not None
         return status.explain(self.members, name, time.monotonic_ns())
 
     def owners(self, destination: int | None) -> str | None:
-        """What this relay owns, a JSON object a line, or one destination; None where leases are not switched on."""
+        """Returns what this relay owns, or one destination, one JSON object per line; None if leases are not enabled."""
         if self.leases is None:
             return None
         from garnetrelay.fleet import clock, lease_status
@@ -187,7 +192,7 @@
         return _json_lines([lease_status.destination(self.leases, destination, clock.now())])
 
     def controllers(self) -> str | None:
-        """Each controller as this relay sees it, a JSON object a line; None where leases are not switched on."""
+        """Returns each controller as this relay sees it, one JSON object per line; None if leases are not enabled."""
         if self.leases is None:
             return None
         from garnetrelay.fleet import clock, lease_status
@@ -195,10 +200,10 @@
         return _json_lines(lease_status.controllers(self.leases, clock.now()))
 
     def metrics(self) -> str:
-        """The fleet's part of the figures, a line each; with that of leases where they are on."""
+        """Returns the fleet's part of the metrics, one per line, with those of leases if they are enabled."""
         assert self.members is not None
         transport = self.transport
-        found = status.metrics(
+        text = status.metrics(
             self.members,
             transport.refused,
             transport.frames_out,
@@ -207,14 +212,14 @@
             time.monotonic_ns(),
         )
         if self.leases is None:
-            return found
+            return text
         from garnetrelay.fleet import clock, lease_status
 
-        return found + lease_status.metrics_text(self.leases, clock.now())
+        return text + lease_status.metrics_text(self.leases, clock.now())
 
-    # ---- what happens
+    # ---- events and effects
 
-    def _heard(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
+    def _on_frame(self, frame: fr.AnyFrame, source: SocketAddress) -> None:
         if self.members is not None and not self.closed:
             self._carry_out(self.members.receive(time.monotonic_ns(), frame, source))
 
@@ -226,12 +231,12 @@
         assert self.members is not None
         for effect in effects:
             match effect:
-                case SendFrame(place, frame, version):
-                    self.transport.send(place, frame, version)
-                case StartExchange(place):
-                    self._spawn(self._exchange(place))
+                case SendFrame(address, frame, version):
+                    self.transport.send(address, frame, version)
+                case StartExchange(address):
+                    self._spawn(self._exchange(address))
                 case StoreLife(life):
-                    self._spawn(self._keep(life))
+                    self._spawn(self._store_life(life))
                 case LogLine(text, level):
                     log.log(level, "fleet: %s", text)
         if self.leases is not None:
@@ -242,19 +247,19 @@
             self._timer = self._loop.call_at(self.members.next_at / 1e9, self._tick)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        if len(self._tasks) >= MOST_TASKS or self.closed:
+        if len(self._tasks) >= MAX_TASKS or self.closed:
             work.close()
             return
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _keep(self, life: int) -> None:
-        """On record first, then used."""
+    async def _store_life(self, life: int) -> None:
+        """Stores a life before it is used."""
         assert self.members is not None
-        places = [member.claim.address for member in self.members.table.members.values()][:MOST_PLACES]
+        places = [member.claim.address for member in self.members.table.members.values()][:MAX_ADDRESSES]
         try:
-            await self._loop.run_in_executor(None, functools.partial(self.file.keep, life, places))
+            await self._loop.run_in_executor(None, functools.partial(self.file.store, life, places))
         except OSError as error:
             if not self.closed:
                 self._carry_out(self.members.life_not_stored(time.monotonic_ns(), error.strerror or str(error)))
@@ -262,45 +267,45 @@
         if not self.closed:
             self._carry_out(self.members.life_stored(time.monotonic_ns(), life))
 
-    async def _exchange(self, place: SocketAddress) -> None:
-        """Hello, Whole, Whole: this side begins."""
+    async def _exchange(self, address: SocketAddress) -> None:
+        """Runs a full exchange that this relay starts: Hello, Whole, Whole."""
         assert self.members is not None
         stream: Stream | None = None
         try:
-            async with asyncio.timeout(EXCHANGE_TIME):
-                stream = await self.transport.begin(place)
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                stream = await self.transport.connect(address)
                 if stream is None:
                     return
-                began = time.monotonic_ns()
-                hello = self.members.hello(began)
+                started_at = time.monotonic_ns()
+                hello = self.members.hello(started_at)
                 await stream.send(hello, 1)
                 whole = await stream.receive()
                 if not isinstance(whole, fr.Whole):
-                    raise ValueError(f"{type(whole).__name__} in place of all that it holds")
-                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, began)
+                    raise ValueError(f"{type(whole).__name__} frame instead of Whole")
+                ours, effects = self.members.receive_whole(time.monotonic_ns(), whole, hello.number, started_at)
                 self._carry_out(effects)
-                await stream.send(ours, min(whole.sender.speaks, self.config.settings.versions))
+                await stream.send(ours, min(whole.sender.max_version, self.config.settings.versions))
         except (OSError, TimeoutError, EOFError, ValueError) as error:
-            log.debug("fleet: no exchange with %s: %s", place, error or type(error).__name__)
+            log.debug("fleet: no exchange with %s: %s", address, error or type(error).__name__)
         finally:
             if stream is not None:
                 stream.close()
-                self.transport.ended()
+                self.transport.release()
 
     async def _answer(self, stream: Stream) -> None:
-        """The other side begins."""
+        """Answers a full exchange that another member starts."""
         hello = await stream.receive()
         if not isinstance(hello, fr.Hello) or self.members is None or self.closed:
-            raise ValueError("not a hello")
+            raise ValueError("the first frame of an exchange is not Hello")
         asked_at = time.monotonic_ns()
         whole = self.members.answer_hello(asked_at, hello)
-        await stream.send(whole, min(hello.sender.speaks, self.config.settings.versions))
+        await stream.send(whole, min(hello.sender.max_version, self.config.settings.versions))
         theirs = await stream.receive()
         if not isinstance(theirs, fr.Whole) or self.closed:
-            raise ValueError("not all that it holds")
+            raise ValueError("the last frame of an exchange is not Whole")
         _, effects = self.members.receive_whole(time.monotonic_ns(), theirs, whole.ask, asked_at)
         self._carry_out(effects)
 
 
-def _json_lines(found: Iterable[msgspec.Struct]) -> str:
-    return "".join(f"{msgspec.json.encode(each).decode()}\n" for each in found)
+def _json_lines(structs: Iterable[msgspec.Struct]) -> str:
+    return "".join(f"{msgspec.json.encode(each).decode()}\n" for each in structs)
--- a/starlingwick/wirehost.py
+++ b/starlingwick/wirehost.py
@@ -277,7 +277,7 @@
         except ValueError:
             raise WireError("field 'data' is not hex") from None
         if instance in self.fleet_members:
-            self._add_fleet_replies(instance, self.fleet_members[instance].mail(now, origin, data))
+            self._add_fleet_replies(instance, self.fleet_members[instance].receive(now, origin, data))
 
     def _add_fleet_replies(self, instance: int, replies: list[Any]) -> None:
         from garnetrelay.fleet.simulator_member import Line, Post
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.leases.settings import MS
 from garnetrelay.laboratory.links import Fate
 from garnetrelay.rehearsal.links.network import Network
-from tests.fleet.processes import PATIENCE, SECRET, Fleet, Process, Relay
+from tests.fleet.processes import SECRET, TIMEOUT_S, Fleet, Process, Relay
 
 PARTITIONS = 64
 LEASE_MS = 2000
@@ -75,7 +75,7 @@
             if process.process is not None and process.process.returncode is None:
                 process.signal(signal.SIGCONT)
                 process.signal(signal.SIGKILL)
-                await process.ended()
+                await process.wait_for_exit()
         await super().__aexit__()
 
     async def __aenter__(self) -> Cluster:
@@ -150,7 +150,7 @@
 
     async def wait_for(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition on the latest reports is true; fails on a violation."""
-        async with asyncio.timeout(PATIENCE), self._reported:
+        async with asyncio.timeout(TIMEOUT_S), self._reported:
             await self._reported.wait_for(lambda: self.violations or condition())
         assert not self.violations, self.violations
 
--- a/tests/fleet/test_allowance.py
+++ b/tests/fleet/test_allowance.py
@@ -6,13 +6,13 @@
 
 from starlingwick import interface as io
 from starlingwick.control import Pacer
-from tests.fleet.world import Fleet, Shared
+from tests.fleet.world import Fleet, SharedDestination
 from tests.helpers import MS, S
 
 
-def run_with_lowered_limit(seed: int, share: float = 0.85, span: int = 0) -> tuple[Fleet, Shared]:
+def run_with_lowered_limit(seed: int, share: float = 0.85, span: int = 0) -> tuple[Fleet, SharedDestination]:
     """Forty relays at most of the limit, which is halved for a while; the backlog has to be sent afterwards."""
-    shared = Shared(1, 40.0, span, kept=0.4, refresh=450 * MS, lowered=(4 * S, 10 * S, 0.5))
+    shared = SharedDestination(1, 40.0, span, kept=0.4, refresh=450 * MS, lowered=(4 * S, 10 * S, 0.5))
     fleet = Fleet([shared], 40, share * 40.0, seed)
     fleet.run(25)
     return fleet, shared
@@ -35,7 +35,7 @@
 def test_a_relay_may_use_the_share_that_others_leave() -> None:
     """One relay of forty has all the messages, twice its share: for seconds, answers report the whole limit as
     remaining."""
-    shared = Shared(1, 40.0, span=0)
+    shared = SharedDestination(1, 40.0, span=0)
     fleet = Fleet([shared], 40, 2.0)
     fleet.pacers = fleet.pacers[:1]
     fleet.queue = [due for due in fleet.queue if due[2] == 0]
@@ -46,7 +46,7 @@
 
 def refused_share_at_start(seed: int) -> float:
     """Forty relays start at once, with more to send than the limit accepts."""
-    shared = Shared(1, 40.0, span=0, kept=0.4, refresh=450 * MS)
+    shared = SharedDestination(1, 40.0, span=0, kept=0.4, refresh=450 * MS)
     Fleet([shared], 40, 120.0, seed).run(3)
     return shared.share(io.Status.FULL, 0, S)
 
--- a/tests/fleet/test_untold.py
+++ b/tests/fleet/test_untold.py
@@ -5,11 +5,11 @@
 import pytest
 
 from starlingwick import interface as io
-from tests.fleet.world import Fleet, Shared
+from tests.fleet.world import Fleet, SharedDestination
 from tests.helpers import MS, S
 
 
-class Unreported(Shared):
+class Unreported(SharedDestination):
     """A destination that does not report its limit."""
 
     def call(self, at: int) -> tuple[io.Status, io.Report | None]:
@@ -19,7 +19,7 @@
 def run(seed: int, load: float) -> tuple[float, float]:
     """200 relays and six destinations for 30 s. Returns the share of messages delivered and the share of calls
     refused."""
-    shared: list[Shared] = [
+    shared: list[SharedDestination] = [
         Unreported(n, 16.0 if n < 3 else 8.0, span=2 * S * (n % 2), latency=100 * MS, wait=500 * MS * (n % 2))
         for n in range(6)
     ]
@@ -32,7 +32,7 @@
         limits={"probes": False, "most_tries": 4, "retry_after": True},
     )
     fleet.run(30)
-    answers = [status for one in shared for _, status in one.got]
+    answers = [status for one in shared for _, status in one.responses]
     return len(fleet.times) / len(fleet.arrived), answers.count(io.Status.FULL) / len(answers)
 
 
