--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,10 +20,10 @@
 from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.laboratory import hostile
-from garnetrelay.laboratory.links import Fate
-from garnetrelay.laboratory.schedules import KINDS, Outcome, Schedule, drawn, play
-from garnetrelay.laboratory.world import Node, Starved, World
+from garnetrelay.simulation import hostile
+from garnetrelay.simulation.links import Fate
+from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, drawn, play
+from garnetrelay.simulation.world import Node, Starved, World
 
 WORKERS = 6
 GATHERED = 120  # seconds of simulated time in which a fleet comes to one view
--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -16,9 +16,9 @@
 from garnetrelay.fleet.members.claims import Claim, Status
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.laboratory.links import Fate, between
-from garnetrelay.laboratory.meter import Kind, Meter, Span
-from garnetrelay.laboratory.world import World
+from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.meter import Kind, Meter, Span
+from garnetrelay.simulation.world import World
 
 ZONES = 6
 REGIONS = 2
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -18,8 +18,8 @@
 from garnetrelay.fleet.leases.settings import SECOND, Settings
 from garnetrelay.fleet.partitions.assignment import Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
-from garnetrelay.laboratory.lease_faults import Outcome, Play
-from garnetrelay.laboratory.lease_world import LeaseWorld, Process
+from garnetrelay.simulation.lease_faults import Outcome, Play
+from garnetrelay.simulation.lease_world import LeaseWorld, Process
 
 WORKERS = 2
 ZONES = 6
--- a/garnetrelay/rehearsal/links/network.py
+++ b/garnetrelay/rehearsal/links/network.py
@@ -5,7 +5,7 @@
     a (127.N.2.1) -> outer address of b (127.N.1.2), here -> [what becomes of a -> b] -> inner address of b (127.N.2.2)
 
 Who sends is known by the inner address that it sends from; b hears a from a's outer address. What becomes of a piece is
-decided by `laboratory/links.py`; this file has the sockets.
+decided by `simulation/links.py`; this file has the sockets.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from garnetrelay.laboratory.links import Links
+from garnetrelay.simulation.links import Links
 
 NETWORK_TRIES = 50
 PIECE = 65536
--- a/garnetrelay/rehearsal/links/script.py
+++ b/garnetrelay/rehearsal/links/script.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnetrelay.laboratory.links import Fate
+from garnetrelay.simulation.links import Fate
 
 SECOND = 1_000_000_000
 Share = Annotated[float, Meta(ge=0, le=1)]
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -11,10 +11,10 @@
 
 from garnetrelay.fleet.life_file import FILE as LIFE_FILE
 from garnetrelay.fleet.status import Line, State
-from garnetrelay.laboratory.links import Fate, Links, between
 from garnetrelay.rehearsal import staff
 from garnetrelay.rehearsal.links import script
 from garnetrelay.rehearsal.links.network import Network
+from garnetrelay.simulation.links import Fate, Links, between
 
 SECRET, OLD_SECRET = "the kit's secret of the fleet", "the kit's secret of before"
 LOOK_EVERY = 0.25  # seconds between two looks at all views
--- a/garnetrelay/laboratory/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -9,7 +9,7 @@
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.settings import MS, SECOND, Settings
 from garnetrelay.fleet.partitions.assignment import assign
-from garnetrelay.laboratory.lease_world import LeaseWorld, Process
+from garnetrelay.simulation.lease_world import LeaseWorld, Process
 
 SETTINGS = Settings(partitions=16)
 RELAYS = 6
--- a/garnetrelay/laboratory/meter.py
+++ b/garnetrelay/simulation/meter.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.settings import SECOND
-from garnetrelay.laboratory.world import Node, World
+from garnetrelay.simulation.world import Node, World
 
 _encoder = msgspec.msgpack.Encoder()
 
--- a/garnetrelay/laboratory/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -17,8 +17,8 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.members.view_state import Condition
-from garnetrelay.laboratory.links import Fate, between
-from garnetrelay.laboratory.world import Node, Starved, World
+from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.world import Node, Starved, World
 
 Step = Literal[
     "start",
--- a/garnetrelay/laboratory/world.py
+++ b/garnetrelay/simulation/world.py
@@ -21,7 +21,7 @@
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
-from garnetrelay.laboratory.links import Fate, Links
+from garnetrelay.simulation.links import Fate, Links
 
 SECRET, OLD_SECRET = b"laboratory's secret", b"laboratory's secret of before"
 LEAST_PASS = 0.0002  # seconds over a link that has no delay of its own
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -16,8 +16,8 @@
 from garnetrelay.fleet.controller.records_file import RecordsFile
 from garnetrelay.fleet.lease_status import ControllerLine, OwnedLine, SessionLine
 from garnetrelay.fleet.leases.settings import MS
-from garnetrelay.laboratory.links import Fate
 from garnetrelay.rehearsal.links.network import Network
+from garnetrelay.simulation.links import Fate
 from tests.fleet.processes import PATIENCE, SECRET, Fleet, Process, Relay
 
 PARTITIONS = 64
--- a/tests/fleet/leases/test_lease_processes.py
+++ b/tests/fleet/leases/test_lease_processes.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from garnetrelay.fleet import clock
-from garnetrelay.laboratory.links import Fate, between
+from garnetrelay.simulation.links import Fate, between
 from tests.fleet.leases.process_cluster import Cluster
 
 
--- a/tests/fleet/leases/test_world.py
+++ b/tests/fleet/leases/test_world.py
@@ -6,7 +6,7 @@
 import pytest
 
 from benchmarks.leases import PLANTED
-from garnetrelay.laboratory.lease_faults import Play
+from garnetrelay.simulation.lease_faults import Play
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from garnetrelay.fleet.status import Line, State
-from garnetrelay.laboratory.links import Fate, Links
 from garnetrelay.rehearsal.links.network import Network
+from garnetrelay.simulation.links import Fate, Links
 from tests.sockets import FACTS
 
 ROOT = Path(__file__).parents[2]
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -13,8 +13,8 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.laboratory import hostile
-from garnetrelay.laboratory.world import Node, World
+from garnetrelay.simulation import hostile
+from garnetrelay.simulation.world import Node, World
 
 CLAIM = Claim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2, zone=6)
 NEW, OLD = b"the secret from now on", b"the secret of before"
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from garnetrelay.laboratory.links import Fate, between
+from garnetrelay.simulation.links import Fate, between
 from tests.fleet.processes import ROOT, SECRET, Fleet
 
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -17,9 +17,9 @@
 from garnetrelay.fleet.members.outgoing import FIXED
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.laboratory.links import Fate, between
-from garnetrelay.laboratory.meter import Kind, Meter
-from garnetrelay.laboratory.world import World
+from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.meter import Kind, Meter
+from garnetrelay.simulation.world import World
 
 MEMBERS = 60
 ZONES = 6
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -21,9 +21,9 @@
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
 from garnetrelay.fleet.members.view_state import Condition
-from garnetrelay.laboratory.links import Fate, between
-from garnetrelay.laboratory.schedules import KINDS, Schedule, drawn, play
-from garnetrelay.laboratory.world import World
+from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.schedules import KINDS, Schedule, drawn, play
+from garnetrelay.simulation.world import World
 
 KEPT = sorted((Path(__file__).parent / "schedules").glob("*.json"))
 NOBODY_FAILS = {"a pair apart", "clock ahead", "leaving"}  # all that are judged there are gone
@@ -203,7 +203,7 @@
 
 def test_a_play_is_the_same_in_any_process() -> None:
     text = (
-        "from garnetrelay.laboratory.schedules import drawn, play\n"
+        "from garnetrelay.simulation.schedules import drawn, play\n"
         "print([play(drawn(kind, 3, 12)) for kind in ('seven in ten killed', 'halves')])"
     )
     told = {
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -41,7 +41,7 @@
     ("garnetrelay.operators",),
     ("garnetrelay.fleet",),
     ("garnetrelay.attempt", "garnetrelay.recovery", "garnetrelay.shutdown"),
-    ("garnetrelay.relay", "garnetrelay.laboratory", "starlingwick.wirehost"),
+    ("garnetrelay.relay", "garnetrelay.simulation", "starlingwick.wirehost"),
     ("garnetrelay.daemon",),
     ("garnetrelay.__main__", "garnetrelay.rehearsal"),
     ("garnetrelay.cli",),
@@ -88,7 +88,7 @@
 
 # What only tools need (requirements-tools.txt); the deployed relay does without.
 TOOLS = frozenset({"click", "jinja2", "matplotlib", "rich"})
-TOOL_PARTS = ("garnetrelay.cli", "garnetrelay.rehearsal", "garnetrelay.laboratory")
+TOOL_PARTS = ("garnetrelay.cli", "garnetrelay.rehearsal", "garnetrelay.simulation")
 
 
 class Import(NamedTuple):
