--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,17 +21,17 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation import hostile
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
 from garnetrelay.simulation.links import Fate
 from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, drawn, play
-from garnetrelay.simulation.world import Node, Starved, World
 
 WORKERS = 6
 GATHERED = 120  # seconds of simulated time in which a fleet comes to one view
 
 
-def gathered(count: int, settings: Settings, seed: object, base: Fate | None = None) -> World:
+def gathered(count: int, settings: Settings, seed: object, base: Fate | None = None) -> FleetSimulation:
     """A fleet of one view."""
-    world = World(count, settings, seed, base)
+    world = FleetSimulation(count, settings, seed, base)
     draw = random.Random(f"{seed}/starts")
     for name in world.nodes:
         world.at(draw.randrange(SECOND), lambda name=name: world.start(name))  # type: ignore[misc]
@@ -209,7 +209,7 @@
     )
 
 
-def _listened(size: int, seed: int, most: int) -> tuple[World, Membership, list[bytes]]:
+def _listened(size: int, seed: int, most: int) -> tuple[FleetSimulation, Membership, list[bytes]]:
     """A fleet, one member of it, and frames that it has taken."""
     heard: list[bytes] = []
 
@@ -263,7 +263,7 @@
         print(f"{kind:<26}{cost:>8.1f}{cost / taking:>9.2f}")
 
 
-def _taking(world: World, members: Membership) -> float:
+def _taking(world: FleetSimulation, members: Membership) -> float:
     """What a question of a member costs that is taken and answered (microseconds)."""
     other = world.nodes["n2"].members
     assert other is not None
--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -16,9 +16,9 @@
 from garnetrelay.fleet.members.claims import Claim, Status
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
+from garnetrelay.simulation.fleet_simulation import FleetSimulation
 from garnetrelay.simulation.links import Fate, between
 from garnetrelay.simulation.meter import Kind, Meter, Span
-from garnetrelay.simulation.world import World
 
 ZONES = 6
 REGIONS = 2
@@ -42,7 +42,7 @@
 
     def __init__(self, members: int, seed: int, say: Callable[[Row], None], settings: Settings | None = None) -> None:
         self.members = members
-        self.world = World(
+        self.world = FleetSimulation(
             members,
             settings or Settings(),
             f"scale/{seed}",
--- a/garnetrelay/simulation/world.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -66,7 +66,7 @@
     text: str
 
 
-class World:
+class FleetSimulation:
     """The fleet. Times in nanoseconds from its beginning."""
 
     def __init__(
--- a/garnetrelay/simulation/links.py
+++ b/garnetrelay/simulation/links.py
@@ -1,6 +1,6 @@
 """What becomes of a datagram between two relays: a fate for each direction of each pair. No I/O; seeded.
 
-The same model serves the driven clock (`world.py`) and real processes (`rehearsal/links/`).
+The same model serves the driven clock (`fleet_simulation.py`) and real processes (`rehearsal/links/`).
 """
 
 from __future__ import annotations
--- a/garnetrelay/simulation/meter.py
+++ b/garnetrelay/simulation/meter.py
@@ -1,7 +1,7 @@
 """What the members of a driven fleet send, by kind and by second. No I/O.
 
-Counted are the bytes of the relay's own frames, over datagrams and connections, as `World` encodes them; what IP, UDP
-and TCP put ahead of them is not (28 bytes a datagram over IPv4).
+Counts the bytes of the relay's own frames, over datagrams and connections, as `FleetSimulation` encodes them. The headers
+of IP, UDP and TCP are not included (28 bytes a datagram over IPv4).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.settings import SECOND
-from garnetrelay.simulation.world import Node, World
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -42,7 +42,7 @@
 class Meter:
     """Counts from the moment when it is made. Whole seconds of the world's clock."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self._world = world
         self._by_kind: defaultdict[int, Counter[Kind]] = defaultdict(Counter)
         self._by_node: defaultdict[int, Counter[str]] = defaultdict(Counter)
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -17,8 +17,8 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.members.view_state import Condition
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
 from garnetrelay.simulation.links import Fate, between
-from garnetrelay.simulation.world import Node, Starved, World
 
 Step = Literal[
     "start",
@@ -87,7 +87,7 @@
     - a relay that is alone judges nobody.
     """
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetSimulation) -> None:
         self.problems: list[str] = []
         self._world = world
         self._over: dict[tuple[str, int], dict[str, Identity]] = {}
@@ -129,10 +129,10 @@
 
 
 def play(
-    schedule: Schedule, settings: Settings | None = None, prepare: Callable[[World], None] = lambda world: None
+    schedule: Schedule, settings: Settings | None = None, prepare: Callable[[FleetSimulation], None] = lambda world: None
 ) -> Outcome:
     """The outcome. The first twenty seconds are for coming to one view; ``at_ms`` counts from then."""
-    world = World(
+    world = FleetSimulation(
         schedule.members,
         settings or Settings(),
         f"{schedule.kind}/{schedule.seed}",
@@ -171,7 +171,7 @@
     )
 
 
-def all_know(world: World) -> bool:
+def all_know(world: FleetSimulation) -> bool:
     """Whether nobody that lives holds a life that is over for one that is there."""
     there = {node.name: node.members.local.claim.identity for node in world.live() if node.members is not None}
 
@@ -184,7 +184,7 @@
     return all(node.members is not None and knows(node.members) for node in world.live())
 
 
-def _do(world: World, event: Event) -> None:
+def _do(world: FleetSimulation, event: Event) -> None:
     for name in event.who:
         node = world.nodes[name]
         match event.step:
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -14,7 +14,7 @@
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation import hostile
-from garnetrelay.simulation.world import Node, World
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node
 
 CLAIM = Claim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2, zone=6)
 NEW, OLD = b"the secret from now on", b"the secret of before"
@@ -139,7 +139,7 @@
         if node.name == "n1" and len(heard) < 100:
             heard.append(data)
 
-    world = World(5, Settings(), 1)
+    world = FleetSimulation(5, Settings(), 1)
     world.heard = hear
     for name in world.nodes:
         world.start(name)
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -17,9 +17,9 @@
 from garnetrelay.fleet.members.outgoing import FIXED
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
+from garnetrelay.simulation.fleet_simulation import FleetSimulation
 from garnetrelay.simulation.links import Fate, between
 from garnetrelay.simulation.meter import Kind, Meter
-from garnetrelay.simulation.world import World
 
 MEMBERS = 60
 ZONES = 6
@@ -28,8 +28,10 @@
 ASKED = 4  # for one lost question: three ask, are answered and vouch, and the seeds are knocked at; at 1 % loss far less
 
 
-def gathered(seed: int, loss: float = 0.01) -> tuple[World, Meter]:
-    world = World(MEMBERS, SETTINGS, f"scale/{seed}", Fate(loss=loss, jitter_ms=20), zones=lambda number: number % ZONES)
+def gathered(seed: int, loss: float = 0.01) -> tuple[FleetSimulation, Meter]:
+    world = FleetSimulation(
+        MEMBERS, SETTINGS, f"scale/{seed}", Fate(loss=loss, jitter_ms=20), zones=lambda number: number % ZONES
+    )
     meter = Meter(world)
     draw = random.Random(seed)
     for name in world.nodes:
@@ -43,7 +45,7 @@
     return world, meter
 
 
-def peace_bound(world: World) -> float:
+def peace_bound(world: FleetSimulation) -> float:
     """Bytes a member a second where nothing happens, by the settings alone."""
     claim = max(node.members.local.claim.size() for node in world.live() if node.members is not None)
     frame = fr.HEADER_BYTES + FIXED + claim
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -21,9 +21,9 @@
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.fleet.members.table import Path as LinkPath
 from garnetrelay.fleet.members.view_state import Condition
+from garnetrelay.simulation.fleet_simulation import FleetSimulation
 from garnetrelay.simulation.links import Fate, between
 from garnetrelay.simulation.schedules import KINDS, Schedule, drawn, play
-from garnetrelay.simulation.world import World
 
 KEPT = sorted((Path(__file__).parent / "schedules").glob("*.json"))
 NOBODY_FAILS = {"a pair apart", "clock ahead", "leaving"}  # all that are judged there are gone
@@ -50,7 +50,7 @@
 def test_a_play_replays_to_the_frame() -> None:
     sent = []
     for _ in range(2):
-        worlds: list[World] = []
+        worlds: list[FleetSimulation] = []
         play(drawn("halves", 5, 6), prepare=worlds.append)
         sent.append([(node.name, node.sent_frames, node.sent_bytes) for node in worlds[0].nodes.values()])
     assert sent[0] == sent[1]
@@ -80,8 +80,8 @@
     base: Fate | None = None,
     settings: Settings | None = None,
     zones: Callable[[int], int] = lambda number: 0,
-) -> World:
-    world = World(count, settings or Settings(), 1, base, zones=zones)
+) -> FleetSimulation:
+    world = FleetSimulation(count, settings or Settings(), 1, base, zones=zones)
     for name in world.nodes:
         world.start(name)
     assert world.run(60 * SECOND, world.one_view)
@@ -89,7 +89,7 @@
     return world
 
 
-def members(world: World, name: str) -> Membership:
+def members(world: FleetSimulation, name: str) -> Membership:
     found = world.nodes[name].members
     assert found is not None
     return found
