--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -19,7 +19,7 @@
 from garnetrelay.fleet.partitions.assignment import Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
 from garnetrelay.simulation.lease_faults import Outcome, Play
-from garnetrelay.simulation.lease_world import LeaseWorld, Process
+from garnetrelay.simulation.lease_simulation import LeaseSimulation, Process
 
 WORKERS = 2
 ZONES = 6
@@ -165,7 +165,7 @@
     """Hollow relays at the size, whose wishes follow a view given from outside."""
 
     def __init__(self, settings: Settings, relays: int) -> None:
-        self.world = LeaseWorld(settings, relays, "size", look=False)
+        self.world = LeaseSimulation(settings, relays, "size", look=False)
         self.assignment = Assignment(settings.partitions)
         self.draw = random.Random(1)
         self.there = set(range(relays))
--- a/garnetrelay/simulation/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -9,7 +9,7 @@
 from garnetrelay.fleet.leases.holder import Holder
 from garnetrelay.fleet.leases.settings import MS, SECOND, Settings
 from garnetrelay.fleet.partitions.assignment import assign
-from garnetrelay.simulation.lease_world import LeaseWorld, Process
+from garnetrelay.simulation.lease_simulation import LeaseSimulation, Process
 
 SETTINGS = Settings(partitions=16)
 RELAYS = 6
@@ -36,7 +36,7 @@
         controller: type[Controller] = Controller,
         settings: Settings = SETTINGS,
     ) -> None:
-        self.world = world = LeaseWorld(settings, RELAYS, seed, holder, controller)
+        self.world = world = LeaseSimulation(settings, RELAYS, seed, holder, controller)
         self.draw = random.Random(f"faults/{seed}")
         self.there = set(range(RELAYS))
         self.replaced_at = -(1 << 60)  # one folder at a time is lost or old: when the last one was
--- a/garnetrelay/simulation/lease_world.py
+++ b/garnetrelay/simulation/lease_simulation.py
@@ -69,7 +69,7 @@
     cut: set[tuple[str, str]] = field(default_factory=set)  # from, to
 
 
-class LeaseWorld:
+class LeaseSimulation:
     """Everything. ``wishes``: partitions by relay; the caller changes them through ``wish``."""
 
     def __init__(
