--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,7 +20,7 @@
 from garnetrelay.fleet.members.effects import SendFrame
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.simulation import hostile
+from garnetrelay.simulation import invalid_frames
 from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
 from garnetrelay.simulation.links import Fate
 from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, drawn, play
@@ -236,7 +236,7 @@
     took, causes, counts = Counter[str](), Counter[str](), Counter[str]()
     earlier = members.counters.refused.copy()
     changes = 0
-    for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), number):
+    for kind, data in itertools.islice(invalid_frames.generate(random.Random(1), world.codec, heard), number):
         counts[kind] += 1
         began = time.perf_counter_ns()
         try:
@@ -245,7 +245,7 @@
             took[kind] += time.perf_counter_ns() - began
             causes[refused.cause] += 1
             continue
-        members.receive(world.now, frame, hostile.STRANGER)
+        members.receive(world.now, frame, invalid_frames.STRANGER)
         took[kind] += time.perf_counter_ns() - began
         if counts[kind] % 100 == 0:
             changes += state() != before
--- a/garnetrelay/simulation/hostile.py
+++ b/garnetrelay/simulation/invalid_frames.py
@@ -19,7 +19,7 @@
 STRANGER = SocketAddress("10.9.9.9", 9)
 
 
-def frames(draw: random.Random, codec: fr.Codec, heard: list[bytes]) -> Iterator[tuple[str, bytes]]:
+def generate(draw: random.Random, codec: fr.Codec, heard: list[bytes]) -> Iterator[tuple[str, bytes]]:
     """Without end: what is wrong, and the bytes. ``heard``: frames that the member has taken already."""
     thief = fr.Codec([b"a secret of somebody else"])
     cut = [fr.Codec([codec.signing]).decode(data) for data in heard]
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -13,7 +13,7 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, Claim, Status
 from garnetrelay.fleet.members.settings import SECOND, Settings
-from garnetrelay.simulation import hostile
+from garnetrelay.simulation import invalid_frames
 from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node
 
 CLAIM = Claim("n1", 3, 77, 3, 0, Status.ALIVE, "10.0.0.1", 7946, 2, zone=6)
@@ -151,14 +151,14 @@
         return list(members.table.claims()), members.local.claim, members.view, members.condition
 
     before, refused, taken = state(), set(), set()
-    for kind, data in itertools.islice(hostile.frames(random.Random(1), world.codec, heard), 3000):
+    for kind, data in itertools.islice(invalid_frames.generate(random.Random(1), world.codec, heard), 3000):
         try:
             frame = world.codec.decode(data)
         except fr.Refused:
             refused.add(kind)
         else:
             taken.add(kind)
-            members.receive(world.now, frame, hostile.STRANGER)
+            members.receive(world.now, frame, invalid_frames.STRANGER)
         assert state() == before, kind
     assert taken == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
     assert members.counters.refused.keys() >= {"replayed", "unproven"}
