--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -245,7 +245,7 @@
             took[kind] += time.perf_counter_ns() - began
             causes[refused.cause] += 1
             continue
-        members.receive(world.now, frame, invalid_frames.STRANGER)
+        members.receive(world.now, frame, invalid_frames.UNKNOWN_ADDRESS)
         took[kind] += time.perf_counter_ns() - began
         if counts[kind] % 100 == 0:
             changes += state() != before
--- a/garnetrelay/simulation/invalid_frames.py
+++ b/garnetrelay/simulation/invalid_frames.py
@@ -16,14 +16,14 @@
 from garnetrelay.fleet.members import frames as fr
 from garnetrelay.fleet.members.claims import MAX_INCARNATION, MAX_LIFE, MAX_ZONE, Claim, SocketAddress, Status
 
-STRANGER = SocketAddress("10.9.9.9", 9)
+UNKNOWN_ADDRESS = SocketAddress("10.9.9.9", 9)
 
 
 def generate(draw: random.Random, codec: fr.Codec, heard: list[bytes]) -> Iterator[tuple[str, bytes]]:
     """Without end: what is wrong, and the bytes. ``heard``: frames that the member has taken already."""
     thief = fr.Codec([b"a secret of somebody else"])
     cut = [fr.Codec([codec.signing]).decode(data) for data in heard]
-    stranger = Claim("nobody-knows-me", 1, 7, 1, 0, Status.ALIVE, *STRANGER, 2)
+    stranger = Claim("nobody-knows-me", 1, 7, 1, 0, Status.ALIVE, *UNKNOWN_ADDRESS, 2)
 
     def good() -> bytes:
         return draw.choice(heard)
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -158,7 +158,7 @@
             refused.add(kind)
         else:
             taken.add(kind)
-            members.receive(world.now, frame, invalid_frames.STRANGER)
+            members.receive(world.now, frame, invalid_frames.UNKNOWN_ADDRESS)
         assert state() == before, kind
     assert taken == {"replayed", "a stranger", "an answer to nothing"} and len(refused) == 12
     assert members.counters.refused.keys() >= {"replayed", "unproven"}
