--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,14 +22,14 @@
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation import invalid_frames
 from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
-from garnetrelay.simulation.links import Fate
+from garnetrelay.simulation.links import LinkConditions
 from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, drawn, play
 
 WORKERS = 6
 GATHERED = 120  # seconds of simulated time in which a fleet comes to one view
 
 
-def gathered(count: int, settings: Settings, seed: object, base: Fate | None = None) -> FleetSimulation:
+def gathered(count: int, settings: Settings, seed: object, base: LinkConditions | None = None) -> FleetSimulation:
     """A fleet of one view."""
     world = FleetSimulation(count, settings, seed, base)
     draw = random.Random(f"{seed}/starts")
@@ -54,7 +54,7 @@
     """Some kills in one fleet, one after the other."""
     count, seed, loss = job
     settings = Settings()
-    world = gathered(count, settings, seed, Fate(loss=loss, jitter_ms=20))
+    world = gathered(count, settings, seed, LinkConditions(loss=loss, jitter_ms=20))
     draw, found = random.Random(seed), []
     for _ in range(3 if count > 3 else 1):
         victim = draw.choice([node.name for node in world.live()])
@@ -114,9 +114,9 @@
 def mistaken(job: tuple[int, int, str, bool, int]) -> tuple[int, int]:
     """Lives that were failed while they were there, and judgements of that kind."""
     count, seed, trouble, lifeguard, seconds = job
-    world = gathered(count, Settings(lifeguard=lifeguard), seed, Fate(jitter_ms=20))
+    world = gathered(count, Settings(lifeguard=lifeguard), seed, LinkConditions(jitter_ms=20))
     if trouble.endswith("% loss"):
-        world.links.base = Fate(loss=float(trouble.partition(" ")[0]) / 100, jitter_ms=20)
+        world.links.base = LinkConditions(loss=float(trouble.partition(" ")[0]) / 100, jitter_ms=20)
     else:
         draw = random.Random(seed)
         for name in draw.sample(sorted(world.nodes), max(1, count // 10)):
@@ -144,7 +144,7 @@
 
 def load_of(size: int) -> tuple[int, float, float, float, float]:
     """Frames and bytes a member a second over a minute of peace; mean and greatest age of a word (seconds)."""
-    world = gathered(size, Settings(), 1, Fate(jitter_ms=20))
+    world = gathered(size, Settings(), 1, LinkConditions(jitter_ms=20))
     world.run(world.now + 30 * SECOND)
     frames = sum(node.sent_frames for node in world.nodes.values())
     sent = sum(node.sent_bytes for node in world.nodes.values())
--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -17,7 +17,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation.fleet_simulation import FleetSimulation
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 from garnetrelay.simulation.meter import Kind, Meter, Span
 
 ZONES = 6
@@ -46,7 +46,7 @@
             members,
             settings or Settings(),
             f"scale/{seed}",
-            Fate(loss=0.01, jitter_ms=20),
+            LinkConditions(loss=0.01, jitter_ms=20),
             zones=lambda number: 1 + number % ZONES,
         )
         self.meter = Meter(self.world)
@@ -82,7 +82,7 @@
     def regions_cut(self, seconds: int) -> None:
         """Two regions lose each other, and have each other back; until one view."""
         names = list(self.world.nodes)
-        self.world.links.rule("cut", between(names[::REGIONS], names[1::REGIONS]), Fate(cut=True))
+        self.world.links.rule("cut", between(names[::REGIONS], names[1::REGIONS]), LinkConditions(cut=True))
         self._step(f"regions cut, {seconds} s", None, seconds)
         self.world.links.drop("cut")
         self._step("links whole", self.world.one_view)
--- a/garnetrelay/rehearsal/links/script.py
+++ b/garnetrelay/rehearsal/links/script.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from garnetrelay.simulation.links import Fate
+from garnetrelay.simulation.links import LinkConditions
 
 SECOND = 1_000_000_000
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -51,7 +51,7 @@
     old_frames: Share = 0.0  # of the relays: these speak version 1
     old_secret: Share = 0.0  # of the relays: these sign with the secret of before
     gather_s: Annotated[float, Meta(gt=0, le=600)] = 120.0  # for coming to one view, ahead of the schedule
-    links: Fate = Fate()
+    links: LinkConditions = LinkConditions()
     steps: tuple[FleetStep, ...] = ()
 
 
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -14,7 +14,7 @@
 from garnetrelay.rehearsal import staff
 from garnetrelay.rehearsal.links import script
 from garnetrelay.rehearsal.links.network import Network
-from garnetrelay.simulation.links import Fate, Links, between
+from garnetrelay.simulation.links import LinkConditions, Links, between
 
 SECRET, OLD_SECRET = "the kit's secret of the fleet", "the kit's secret of before"
 LOOK_EVERY = 0.25  # seconds between two looks at all views
@@ -90,7 +90,9 @@
     def cut(self, move: script.Move) -> None:
         """What a move does to links, from now on."""
         rest = [name for name in self.names if name not in move.relays]
-        self.links.rule(f"move {move.number}", between(move.relays, rest, move.what == "cut-one-way"), Fate(cut=True))
+        self.links.rule(
+            f"move {move.number}", between(move.relays, rest, move.what == "cut-one-way"), LinkConditions(cut=True)
+        )
         self.network.changed()
 
     def mend(self, move: script.Move) -> None:
--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -21,7 +21,7 @@
 from garnetrelay.fleet.members.effects import Effect, LogLine, SendFrame, StartExchange, StoreLife
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
-from garnetrelay.simulation.links import Fate, Links
+from garnetrelay.simulation.links import LinkConditions, Links
 
 SECRET, OLD_SECRET = b"laboratory's secret", b"laboratory's secret of before"
 LEAST_PASS = 0.0002  # seconds over a link that has no delay of its own
@@ -74,7 +74,7 @@
         count: int,
         settings: Settings,
         seed: object,
-        base: Fate | None = None,
+        base: LinkConditions | None = None,
         seeds: int = 3,
         versions: Callable[[int], int] = lambda number: 2,
         zones: Callable[[int], int] = lambda number: UNKNOWN_ZONE,
@@ -82,7 +82,7 @@
     ) -> None:
         self.settings = settings
         self.now = 0
-        self.links = Links(base or Fate(), seed)
+        self.links = Links(base or LinkConditions(), seed)
         self.codec, self.old_codec = fr.Codec([SECRET, OLD_SECRET]), fr.Codec([OLD_SECRET, SECRET])
         self.nodes = {
             f"n{number}": Node(f"n{number}", SocketAddress(f"10.0.{number >> 8}.{number & 255}", PORT))
--- a/garnetrelay/simulation/links.py
+++ b/garnetrelay/simulation/links.py
@@ -16,7 +16,7 @@
 Milliseconds = Annotated[float, Meta(ge=0, le=60_000)]
 
 
-class Fate(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LinkConditions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Of one direction of a pair."""
 
     loss: Share = 0.0
@@ -31,13 +31,13 @@
 class Links:
     """All pairs. A rule names senders and receivers; of those that fit the latest holds."""
 
-    def __init__(self, base: Fate, seed: object) -> None:
+    def __init__(self, base: LinkConditions, seed: object) -> None:
         self.base = base
-        self._rules: dict[str, tuple[Callable[[str, str], bool], Fate]] = {}
+        self._rules: dict[str, tuple[Callable[[str, str], bool], LinkConditions]] = {}
         self._bad: set[tuple[str, str]] = set()  # pairs in a run of losses
         self._draw = random.Random(f"{seed}/links")
 
-    def rule(self, label: str, fits: Callable[[str, str], bool], fate: Fate) -> None:
+    def rule(self, label: str, fits: Callable[[str, str], bool], fate: LinkConditions) -> None:
         """Put a rule in force, the latest of all; an earlier one of that label goes."""
         self._rules.pop(label, None)
         self._rules[label] = (fits, fate)
@@ -46,7 +46,7 @@
         """Take a rule away."""
         self._rules.pop(label, None)
 
-    def fate(self, sender: str, receiver: str) -> Fate:
+    def fate(self, sender: str, receiver: str) -> LinkConditions:
         """What holds for a direction now."""
         for fits, fate in reversed(self._rules.values()):
             if fits(sender, receiver):
@@ -71,7 +71,7 @@
         """Whether a connection between the two carries anything: both directions have to."""
         return not self.fate(first, second).cut and not self.fate(second, first).cut
 
-    def _lost(self, sender: str, receiver: str, fate: Fate) -> bool:
+    def _lost(self, sender: str, receiver: str, fate: LinkConditions) -> bool:
         if fate.burst <= 1:
             return self._draw.random() < fate.loss
         pair = sender, receiver
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 
 Step = Literal[
     "start",
@@ -55,7 +55,7 @@
     seed: int
     members: Annotated[int, Meta(ge=2, le=1000)]
     events: list[Event]
-    base: Fate = Fate()
+    base: LinkConditions = LinkConditions()
     old_frames: list[str] = []  # these speak version 1 only
     old_secret: list[str] = []  # these sign with the secret of before
     seeds: int = 3
@@ -211,9 +211,9 @@
             case "turn up":
                 node.old_secret = False
     if event.step == "cut":
-        world.links.rule("cut", between(event.who, event.others), Fate(cut=True))
+        world.links.rule("cut", between(event.who, event.others), LinkConditions(cut=True))
     elif event.step == "cut one way":
-        world.links.rule("cut", between(event.who, event.others, True), Fate(cut=True))
+        world.links.rule("cut", between(event.who, event.others, True), LinkConditions(cut=True))
     elif event.step == "mend":
         world.links.drop("cut")
 
@@ -375,12 +375,12 @@
 }
 
 
-def drawn(kind: str, seed: int, members: int, base: Fate | None = None) -> Schedule:
+def drawn(kind: str, seed: int, members: int, base: LinkConditions | None = None) -> Schedule:
     """A schedule of a kind. Half of the seeds have half of the relays on the frames of before."""
     draw, names = random.Random(f"{kind}/{seed}/{members}"), _names(members)
     events = sorted(KINDS[kind](draw, names), key=lambda event: event.at_ms)
     if base is None:
-        base = Fate(
+        base = LinkConditions(
             loss=draw.choice((0.0, 0.02, 0.05)),
             burst=draw.choice((1.0, 3.0)),
             delay_ms=draw.choice((0.0, 20.0)),
--- a/tests/fleet/leases/process_cluster.py
+++ b/tests/fleet/leases/process_cluster.py
@@ -17,7 +17,7 @@
 from garnetrelay.fleet.lease_status import ControllerLine, OwnedLine, SessionLine
 from garnetrelay.fleet.leases.settings import MS
 from garnetrelay.rehearsal.links.network import Network
-from garnetrelay.simulation.links import Fate
+from garnetrelay.simulation.links import LinkConditions
 from tests.fleet.processes import PATIENCE, SECRET, Fleet, Process, Relay
 
 PARTITIONS = 64
@@ -62,7 +62,7 @@
 class Cluster(Fleet):
     """Controllers c0, c1, ... and relays r1, r2, ..."""
 
-    def __init__(self, folder: Path, controllers: int, relays: int, base: Fate | None = None) -> None:
+    def __init__(self, folder: Path, controllers: int, relays: int, base: LinkConditions | None = None) -> None:
         super().__init__(folder, relays, base=base)
         names = [f"c{number}" for number in range(controllers)]
         self.network = Network([*names, *self.relays], self.links)
--- a/tests/fleet/leases/test_lease_processes.py
+++ b/tests/fleet/leases/test_lease_processes.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from garnetrelay.fleet import clock
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 from tests.fleet.leases.process_cluster import Cluster
 
 
@@ -54,7 +54,7 @@
 
 
 async def test_one_way_cuts_lossy_links_and_all_controllers_at_once(tmp_path: Path) -> None:
-    lossy = Fate(loss=0.05, doubles=0.05, delay_ms=1, jitter_ms=5, damage=0.02)
+    lossy = LinkConditions(loss=0.05, doubles=0.05, delay_ms=1, jitter_ms=5, damage=0.02)
     async with Cluster(tmp_path, 3, 2, lossy) as cluster:
         await cluster.start_all()
         r1 = cluster.relays["r1"]
@@ -62,7 +62,7 @@
 
         # One way, then the other: r1 is in everybody's view, and can't know that it holds anything.
         for senders, receivers in ((names, ["r1"]), (["r1"], names)):
-            cluster.links.rule("one way", between(senders, receivers, one_way=True), Fate(cut=True))
+            cluster.links.rule("one way", between(senders, receivers, one_way=True), LinkConditions(cut=True))
             since = clock.now()
             await cluster.observer.cut_off(r1, since)
             assert [line.number for line in await cluster.controllers_seen_by(r1)] == [0, 1, 2]
--- a/tests/fleet/processes.py
+++ b/tests/fleet/processes.py
@@ -14,7 +14,7 @@
 
 from garnetrelay.fleet.status import Line, State
 from garnetrelay.rehearsal.links.network import Network
-from garnetrelay.simulation.links import Fate, Links
+from garnetrelay.simulation.links import LinkConditions, Links
 from tests.sockets import FACTS
 
 ROOT = Path(__file__).parents[2]
@@ -139,10 +139,10 @@
 class Fleet:
     """The processes and the network between them."""
 
-    def __init__(self, folder: Path, count: int, seeds: int = 2, base: Fate | None = None) -> None:
+    def __init__(self, folder: Path, count: int, seeds: int = 2, base: LinkConditions | None = None) -> None:
         self.folder = folder
         names = [f"r{number}" for number in range(1, count + 1)]
-        self.links = Links(base or Fate(), 1)
+        self.links = Links(base or LinkConditions(), 1)
         self.network = Network(names, self.links)
         self.seeds = names[:seeds]
         self.news = asyncio.Condition()
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 from tests.fleet.processes import ROOT, SECRET, Fleet
 
 
 async def test_kills_lives_and_leaving_are_known_to_all(tmp_path: Path) -> None:
-    async with Fleet(tmp_path, 5, base=Fate(loss=0.02, jitter_ms=2)) as fleet:
+    async with Fleet(tmp_path, 5, base=LinkConditions(loss=0.02, jitter_ms=2)) as fleet:
         await fleet.start()
         r1, r2, r5 = (fleet.relays[name] for name in ("r1", "r2", "r5"))
         others = [relay for relay in fleet.relays.values() if relay is not r5]
@@ -59,11 +59,11 @@
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.start()
         ones, rest = ["r4", "r5"], ["r1", "r2", "r3"]
-        fleet.links.rule("cut", between(ones, rest), Fate(cut=True))
+        fleet.links.rule("cut", between(ones, rest), LinkConditions(cut=True))
         fleet.network.changed()
         await fleet.until(lambda: all(relay.logged("-> cut_off") for relay in fleet.relays.values()))
         # Then r5 is apart from r4 too: whoever hears nobody judges nobody any more.
-        fleet.links.rule("alone", between(["r5"], ["r1", "r2", "r3", "r4"]), Fate(cut=True))
+        fleet.links.rule("alone", between(["r5"], ["r1", "r2", "r3", "r4"]), LinkConditions(cut=True))
         await fleet.until(lambda: fleet.relays["r5"].logged("-> alone"))
         assert "nothing but what is kept for each relay alone" in "\n".join(
             await fleet.relays["r5"].ask("FLEET EXPLAIN r5")
@@ -77,7 +77,7 @@
     async with Fleet(tmp_path, 4) as fleet:
         await fleet.start()
         r1, r2, r3 = (fleet.relays[name] for name in ("r1", "r2", "r3"))
-        fleet.links.rule("deaf", between(["r1"], ["r2"], one_way=True), Fate(cut=True))
+        fleet.links.rule("deaf", between(["r1"], ["r2"], one_way=True), LinkConditions(cut=True))
         await fleet.until(
             lambda: r1.logged("r2 does not answer this relay, and answers")
             and r2.logged("r1 does not answer this relay, and answers")
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation.fleet_simulation import FleetSimulation
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 from garnetrelay.simulation.meter import Kind, Meter
 
 MEMBERS = 60
@@ -30,7 +30,7 @@
 
 def gathered(seed: int, loss: float = 0.01) -> tuple[FleetSimulation, Meter]:
     world = FleetSimulation(
-        MEMBERS, SETTINGS, f"scale/{seed}", Fate(loss=loss, jitter_ms=20), zones=lambda number: number % ZONES
+        MEMBERS, SETTINGS, f"scale/{seed}", LinkConditions(loss=loss, jitter_ms=20), zones=lambda number: number % ZONES
     )
     meter = Meter(world)
     draw = random.Random(seed)
@@ -148,7 +148,7 @@
 def test_regions_that_meet_again_come_to_one_view_without_a_storm() -> None:
     world, meter = gathered(3, loss=0.0)
     names = list(world.nodes)
-    world.links.rule("cut", between(names[::2], names[1::2]), Fate(cut=True))
+    world.links.rule("cut", between(names[::2], names[1::2]), LinkConditions(cut=True))
     world.run(world.now + 60 * SECOND)
     assert all(node.members is not None and node.members.count == MEMBERS // 2 for node in world.live())
     world.links.drop("cut")
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -22,7 +22,7 @@
 from garnetrelay.fleet.members.table import Path as LinkPath
 from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.simulation.fleet_simulation import FleetSimulation
-from garnetrelay.simulation.links import Fate, between
+from garnetrelay.simulation.links import LinkConditions, between
 from garnetrelay.simulation.schedules import KINDS, Schedule, drawn, play
 
 KEPT = sorted((Path(__file__).parent / "schedules").glob("*.json"))
@@ -77,7 +77,7 @@
 
 def gathered(
     count: int,
-    base: Fate | None = None,
+    base: LinkConditions | None = None,
     settings: Settings | None = None,
     zones: Callable[[int], int] = lambda number: 0,
 ) -> FleetSimulation:
@@ -130,7 +130,7 @@
 def test_a_link_that_works_one_way_is_told_apart_from_a_failure() -> None:
     world = gathered(5)
     assert {members(world, name).condition for name in world.nodes} == {Condition.SETTLED}
-    world.links.rule("cut", between(["n1"], ["n2"], one_way=True), Fate(cut=True))
+    world.links.rule("cut", between(["n1"], ["n2"], one_way=True), LinkConditions(cut=True))
     world.run(world.now + 60 * SECOND)
     one, two = members(world, "n1"), members(world, "n2")
     # n1's questions don't arrive; n2's arrive, and n1's answers don't.
@@ -148,7 +148,7 @@
 
 def test_who_hears_nobody_for_a_minute_judges_nobody_and_is_alone_at_once() -> None:
     world = gathered(5)
-    world.links.rule("cut", between(["n1"], ["n2", "n3", "n4", "n5"]), Fate(cut=True))
+    world.links.rule("cut", between(["n1"], ["n2", "n3", "n4", "n5"]), LinkConditions(cut=True))
     cut_at = world.now
     assert world.run(cut_at + 60 * SECOND, lambda: members(world, "n1").condition is Condition.ALONE)
     one = members(world, "n1")
@@ -164,7 +164,7 @@
 
 
 def test_the_word_of_each_member_is_no_older_than_its_bound() -> None:
-    world = gathered(12, Fate(jitter_ms=20))
+    world = gathered(12, LinkConditions(jitter_ms=20))
     worst = 0
     for _ in range(60):
         world.run(world.now + SECOND)
