--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -82,9 +82,9 @@
     def regions_cut(self, seconds: int) -> None:
         """Two regions lose each other, and have each other back; until one view."""
         names = list(self.world.nodes)
-        self.world.links.rule("cut", between(names[::REGIONS], names[1::REGIONS]), LinkConditions(cut=True))
+        self.world.links.set_rule("cut", between(names[::REGIONS], names[1::REGIONS]), LinkConditions(cut=True))
         self._step(f"regions cut, {seconds} s", None, seconds)
-        self.world.links.drop("cut")
+        self.world.links.remove_rule("cut")
         self._step("links whole", self.world.one_view)
         self._step("words told", self._quiet)
 
--- a/garnetrelay/rehearsal/links/network.py
+++ b/garnetrelay/rehearsal/links/network.py
@@ -118,7 +118,7 @@
                 self.figures["strangers"] += 1
                 continue
             self.figures["datagrams"] += 1
-            copies = self.links.carry(sender, receiver, data)
+            copies = self.links.transmit(sender, receiver, data)
             self.figures["lost"] += not copies
             for delay, arrived in copies:
                 if self._on_the_way >= MOST_ON_THE_WAY:
@@ -163,12 +163,12 @@
         """Pieces one way, in their order, each with its delay; a lost one comes later, a cut ends it."""
         try:
             while piece := await reader.read(PIECE):
-                copies = self.links.carry(sender, receiver, piece)
+                copies = self.links.transmit(sender, receiver, piece)
                 while not copies:
                     if not self.links.connects(sender, receiver):
                         return
                     await asyncio.sleep(TCP_AGAIN)
-                    copies = self.links.carry(sender, receiver, piece)
+                    copies = self.links.transmit(sender, receiver, piece)
                 await asyncio.sleep(copies[0][0])
                 writer.write(piece)
                 await writer.drain()
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -90,14 +90,14 @@
     def cut(self, move: script.Move) -> None:
         """What a move does to links, from now on."""
         rest = [name for name in self.names if name not in move.relays]
-        self.links.rule(
+        self.links.set_rule(
             f"move {move.number}", between(move.relays, rest, move.what == "cut-one-way"), LinkConditions(cut=True)
         )
         self.network.changed()
 
     def mend(self, move: script.Move) -> None:
         """End what a move did to links."""
-        self.links.drop(f"move {move.number}")
+        self.links.remove_rule(f"move {move.number}")
 
     # ---- looks
 
--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -271,7 +271,7 @@
         other = self.by_place.get(place)
         if other is None:
             return
-        for delay, arrived in self.links.carry(node.name, other.name, data):
+        for delay, arrived in self.links.transmit(node.name, other.name, data):
             at = self.now + int((delay + LEAST_PASS) * SECOND)
             self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.place))  # type: ignore[misc]
 
--- a/garnetrelay/simulation/links.py
+++ b/garnetrelay/simulation/links.py
@@ -37,12 +37,12 @@
         self._bad: set[tuple[str, str]] = set()  # pairs in a run of losses
         self._draw = random.Random(f"{seed}/links")
 
-    def rule(self, label: str, fits: Callable[[str, str], bool], fate: LinkConditions) -> None:
+    def set_rule(self, label: str, fits: Callable[[str, str], bool], fate: LinkConditions) -> None:
         """Put a rule in force, the latest of all; an earlier one of that label goes."""
         self._rules.pop(label, None)
         self._rules[label] = (fits, fate)
 
-    def drop(self, label: str) -> None:
+    def remove_rule(self, label: str) -> None:
         """Take a rule away."""
         self._rules.pop(label, None)
 
@@ -53,7 +53,7 @@
                 return fate
         return self.base
 
-    def carry(self, sender: str, receiver: str, data: bytes) -> list[tuple[float, bytes]]:
+    def transmit(self, sender: str, receiver: str, data: bytes) -> list[tuple[float, bytes]]:
         """What arrives of a datagram: delays (seconds) and bytes, of each copy."""
         fate, draw = self.fate(sender, receiver), self._draw
         if fate.cut or fate.loss and self._lost(sender, receiver, fate):
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -211,11 +211,11 @@
             case "turn up":
                 node.old_secret = False
     if event.step == "cut":
-        world.links.rule("cut", between(event.who, event.others), LinkConditions(cut=True))
+        world.links.set_rule("cut", between(event.who, event.others), LinkConditions(cut=True))
     elif event.step == "cut one way":
-        world.links.rule("cut", between(event.who, event.others, True), LinkConditions(cut=True))
+        world.links.set_rule("cut", between(event.who, event.others, True), LinkConditions(cut=True))
     elif event.step == "mend":
-        world.links.drop("cut")
+        world.links.remove_rule("cut")
 
 
 # ---- kinds
--- a/tests/fleet/leases/test_lease_processes.py
+++ b/tests/fleet/leases/test_lease_processes.py
@@ -62,11 +62,11 @@
 
         # One way, then the other: r1 is in everybody's view, and can't know that it holds anything.
         for senders, receivers in ((names, ["r1"]), (["r1"], names)):
-            cluster.links.rule("one way", between(senders, receivers, one_way=True), LinkConditions(cut=True))
+            cluster.links.set_rule("one way", between(senders, receivers, one_way=True), LinkConditions(cut=True))
             since = clock.now()
             await cluster.observer.cut_off(r1, since)
             assert [line.number for line in await cluster.controllers_seen_by(r1)] == [0, 1, 2]
-            cluster.links.drop("one way")
+            cluster.links.remove_rule("one way")
             await cluster.observer.all_owned(since=clock.now())
 
         for controller in cluster.controllers.values():
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -59,17 +59,17 @@
     async with Fleet(tmp_path, 5) as fleet:
         await fleet.start()
         ones, rest = ["r4", "r5"], ["r1", "r2", "r3"]
-        fleet.links.rule("cut", between(ones, rest), LinkConditions(cut=True))
+        fleet.links.set_rule("cut", between(ones, rest), LinkConditions(cut=True))
         fleet.network.changed()
         await fleet.until(lambda: all(relay.logged("-> cut_off") for relay in fleet.relays.values()))
         # Then r5 is apart from r4 too: whoever hears nobody judges nobody any more.
-        fleet.links.rule("alone", between(["r5"], ["r1", "r2", "r3", "r4"]), LinkConditions(cut=True))
+        fleet.links.set_rule("alone", between(["r5"], ["r1", "r2", "r3", "r4"]), LinkConditions(cut=True))
         await fleet.until(lambda: fleet.relays["r5"].logged("-> alone"))
         assert "nothing but what is kept for each relay alone" in "\n".join(
             await fleet.relays["r5"].ask("FLEET EXPLAIN r5")
         )
-        fleet.links.drop("cut")
-        fleet.links.drop("alone")
+        fleet.links.remove_rule("cut")
+        fleet.links.remove_rule("alone")
         await fleet.one_view()
 
 
@@ -77,13 +77,13 @@
     async with Fleet(tmp_path, 4) as fleet:
         await fleet.start()
         r1, r2, r3 = (fleet.relays[name] for name in ("r1", "r2", "r3"))
-        fleet.links.rule("deaf", between(["r1"], ["r2"], one_way=True), LinkConditions(cut=True))
+        fleet.links.set_rule("deaf", between(["r1"], ["r2"], one_way=True), LinkConditions(cut=True))
         await fleet.until(
             lambda: r1.logged("r2 does not answer this relay, and answers")
             and r2.logged("r1 does not answer this relay, and answers")
         )
         assert "a link is at fault, not the relay" in "\n".join(await r1.ask("FLEET EXPLAIN r2"))
-        fleet.links.drop("deaf")
+        fleet.links.remove_rule("deaf")
         await fleet.until(lambda: r1.logged("r2 answers this relay again") and r2.logged("r1 answers this relay again"))
         assert not any(relay.logged(f"judges {name}") for relay in fleet.relays.values() for name in ("r1", "r2"))
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -148,10 +148,10 @@
 def test_regions_that_meet_again_come_to_one_view_without_a_storm() -> None:
     world, meter = gathered(3, loss=0.0)
     names = list(world.nodes)
-    world.links.rule("cut", between(names[::2], names[1::2]), LinkConditions(cut=True))
+    world.links.set_rule("cut", between(names[::2], names[1::2]), LinkConditions(cut=True))
     world.run(world.now + 60 * SECOND)
     assert all(node.members is not None and node.members.count == MEMBERS // 2 for node in world.live())
-    world.links.drop("cut")
+    world.links.remove_rule("cut")
     began = world.now
     assert world.run(began + 120 * SECOND, world.one_view)
     span = meter.span(began, world.now)
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -130,14 +130,14 @@
 def test_a_link_that_works_one_way_is_told_apart_from_a_failure() -> None:
     world = gathered(5)
     assert {members(world, name).condition for name in world.nodes} == {Condition.SETTLED}
-    world.links.rule("cut", between(["n1"], ["n2"], one_way=True), LinkConditions(cut=True))
+    world.links.set_rule("cut", between(["n1"], ["n2"], one_way=True), LinkConditions(cut=True))
     world.run(world.now + 60 * SECOND)
     one, two = members(world, "n1"), members(world, "n2")
     # n1's questions don't arrive; n2's arrive, and n1's answers don't.
     assert one.table.members["n2"].path is LinkPath.UNHEARD
     assert two.table.members["n1"].path is LinkPath.UNHEARD or two.table.members["n1"].path is LinkPath.DEAF
     assert not world.failures
-    world.links.drop("cut")
+    world.links.remove_rule("cut")
     assert world.run(
         world.now + 60 * SECOND,
         lambda: all(
@@ -148,7 +148,7 @@
 
 def test_who_hears_nobody_for_a_minute_judges_nobody_and_is_alone_at_once() -> None:
     world = gathered(5)
-    world.links.rule("cut", between(["n1"], ["n2", "n3", "n4", "n5"]), LinkConditions(cut=True))
+    world.links.set_rule("cut", between(["n1"], ["n2", "n3", "n4", "n5"]), LinkConditions(cut=True))
     cut_at = world.now
     assert world.run(cut_at + 60 * SECOND, lambda: members(world, "n1").condition is Condition.ALONE)
     one = members(world, "n1")
@@ -156,7 +156,7 @@
     world.run(cut_at + 60 * SECOND)
     assert one.local_view.counters.failed == 0 and len(one.table.members) == 4
     assert {whom for _, _, whom, _, _ in world.failures} == {"n1"}
-    world.links.drop("cut")
+    world.links.remove_rule("cut")
     assert world.run(world.now + 60 * SECOND, world.one_view)
     # The process is the same: what it knows is not new, and the others can tell.
     held = members(world, "n2").table.members["n1"].claim
