--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -18,7 +18,7 @@
 from garnetrelay.fleet.leases.settings import SECOND, Settings
 from garnetrelay.fleet.partitions.assignment import Assignment
 from garnetrelay.fleet.partitions.hashing import partition_of
-from garnetrelay.simulation.lease_faults import Outcome, Play
+from garnetrelay.simulation.lease_faults import FaultRun, Outcome
 from garnetrelay.simulation.lease_simulation import LeaseSimulation, Process
 
 WORKERS = 2
@@ -102,7 +102,7 @@
 
 
 def _played(job: tuple[int, str]) -> Outcome:
-    return Play(job[0], **PLANTED[job[1]]).run()
+    return FaultRun(job[0], **PLANTED[job[1]]).run()
 
 
 def faults(seeds: int, planted_seeds: int) -> None:
--- a/garnetrelay/simulation/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -26,7 +26,7 @@
     changes: int  # of owners
 
 
-class Play:
+class FaultRun:
     """One schedule."""
 
     def __init__(
--- a/tests/fleet/leases/test_world.py
+++ b/tests/fleet/leases/test_world.py
@@ -6,12 +6,12 @@
 import pytest
 
 from benchmarks.leases import PLANTED
-from garnetrelay.simulation.lease_faults import Play
+from garnetrelay.simulation.lease_faults import FaultRun
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_never_two_owners_and_all_is_owned_again(seed: int) -> None:
-    outcome = Play(seed).run()
+    outcome = FaultRun(seed).run()
     assert outcome.problems == []
     assert outcome.owned_again is not None
     assert outcome.changes > 0
@@ -19,4 +19,4 @@
 
 @pytest.mark.parametrize("name", ["leases of a second", "equal epochs"])
 def test_a_planted_fault_is_found(name: str) -> None:
-    assert any(Play(seed, **PLANTED[name]).run().problems for seed in range(20))
+    assert any(FaultRun(seed, **PLANTED[name]).run().problems for seed in range(20))
