--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -23,7 +23,7 @@
 from garnetrelay.simulation import invalid_frames
 from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
 from garnetrelay.simulation.links import LinkConditions
-from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, drawn, play
+from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, generate_schedule, run_schedule
 
 WORKERS = 6
 GATHERED = 120  # seconds of simulated time in which a fleet comes to one view
@@ -175,8 +175,8 @@
 
 
 def _played(job: tuple[str, int, int]) -> tuple[Schedule, Outcome]:
-    schedule = drawn(*job)
-    return schedule, play(schedule)
+    schedule = generate_schedule(*job)
+    return schedule, run_schedule(schedule)
 
 
 def cuts(members: int, seeds: int, first: int, kinds: Iterable[str], keep: Path | None) -> None:
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -128,7 +128,7 @@
             self.problems.append(f"{self._world.now / SECOND:.3f} s {node.name}: {text}")
 
 
-def play(
+def run_schedule(
     schedule: Schedule, settings: Settings | None = None, prepare: Callable[[FleetSimulation], None] = lambda world: None
 ) -> Outcome:
     """The outcome. The first twenty seconds are for coming to one view; ``at_ms`` counts from then."""
@@ -375,7 +375,7 @@
 }
 
 
-def drawn(kind: str, seed: int, members: int, base: LinkConditions | None = None) -> Schedule:
+def generate_schedule(kind: str, seed: int, members: int, base: LinkConditions | None = None) -> Schedule:
     """A schedule of a kind. Half of the seeds have half of the relays on the frames of before."""
     draw, names = random.Random(f"{kind}/{seed}/{members}"), _names(members)
     events = sorted(KINDS[kind](draw, names), key=lambda event: event.at_ms)
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -23,7 +23,7 @@
 from garnetrelay.fleet.members.view_state import Condition
 from garnetrelay.simulation.fleet_simulation import FleetSimulation
 from garnetrelay.simulation.links import LinkConditions, between
-from garnetrelay.simulation.schedules import KINDS, Schedule, drawn, play
+from garnetrelay.simulation.schedules import KINDS, Schedule, generate_schedule, run_schedule
 
 KEPT = sorted((Path(__file__).parent / "schedules").glob("*.json"))
 NOBODY_FAILS = {"a pair apart", "clock ahead", "leaving"}  # all that are judged there are gone
@@ -36,14 +36,14 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_views_meet_again(kind: str) -> None:
     for seed in (2, 3):  # with all on one version of frames, and half on the one of before
-        outcome = play(drawn(kind, seed, 7))
+        outcome = run_schedule(generate_schedule(kind, seed, 7))
         assert not outcome.failed, outcome
         assert kind not in NOBODY_FAILS or not outcome.judged_alive
 
 
 @pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
 def test_a_schedule_that_once_failed_holds(path: Path) -> None:
-    outcome = play(kept(path.stem))
+    outcome = run_schedule(kept(path.stem))
     assert not outcome.failed, outcome
 
 
@@ -51,7 +51,7 @@
     sent = []
     for _ in range(2):
         worlds: list[FleetSimulation] = []
-        play(drawn("halves", 5, 6), prepare=worlds.append)
+        run_schedule(generate_schedule("halves", 5, 6), prepare=worlds.append)
         sent.append([(node.name, node.sent_frames, node.sent_bytes) for node in worlds[0].nodes.values()])
     assert sent[0] == sent[1]
 
@@ -66,13 +66,13 @@
         members.seeds = seeds
 
     monkeypatch.setattr(Membership, "_knock", planted)
-    assert play(kept("leaving-10-17")).one_view_ms is None
+    assert run_schedule(kept("leaving-10-17")).one_view_ms is None
 
 
 def test_who_judges_while_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     judge = LocalView.judge
     monkeypatch.setattr(LocalView, "judge", lambda local_view, now, answered_at: judge(local_view, now, now))
-    assert any("alone, and judges" in problem for problem in play(drawn("one alone", 2, 7)).problems)
+    assert any("alone, and judges" in problem for problem in run_schedule(generate_schedule("one alone", 2, 7)).problems)
 
 
 def gathered(
@@ -203,8 +203,8 @@
 
 def test_a_play_is_the_same_in_any_process() -> None:
     text = (
-        "from garnetrelay.simulation.schedules import drawn, play\n"
-        "print([play(drawn(kind, 3, 12)) for kind in ('seven in ten killed', 'halves')])"
+        "from garnetrelay.simulation.schedules import generate_schedule, run_schedule\n"
+        "print([run_schedule(generate_schedule(kind, 3, 12)) for kind in ('seven in ten killed', 'halves')])"
     )
     told = {
         subprocess.run(
