--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,7 +21,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import SECOND, Settings
 from garnetrelay.simulation import invalid_frames
-from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Stall
 from garnetrelay.simulation.links import LinkConditions
 from garnetrelay.simulation.schedules import KINDS, Outcome, Schedule, generate_schedule, run_schedule
 
@@ -120,7 +120,7 @@
     else:
         draw = random.Random(seed)
         for name in draw.sample(sorted(world.nodes), max(1, count // 10)):
-            world.nodes[name].starved = Starved(3 * SECOND, 2 * SECOND)
+            world.nodes[name].stall = Stall(3 * SECOND, 2 * SECOND)
     before = len(world.failures)
     world.run(world.now + seconds * SECOND)
     false = [(whom, identity) for _, _, whom, identity, there in world.failures[before:] if there]
--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Starved:
+class Stall:
     """What comes to a process is seen later: for ``pause`` of each ``every`` nanoseconds it does not run."""
 
     every: int
@@ -48,7 +48,7 @@
     members: Membership | None = None
     started_at: int = 0
     stopped: bool = False
-    starved: Starved | None = None
+    stall: Stall | None = None
     waiting: list[Callable[[], None]] = field(default_factory=list)  # came while it was stopped
     woken_for: int = -1
     sent_frames: int = 0
@@ -204,10 +204,10 @@
         if node.stopped:
             node.waiting.append(what)
             return
-        if node.starved is not None:
-            gone = self.now % node.starved.every
-            if gone < node.starved.pause:
-                self.at(self.now + node.starved.pause - gone, lambda: self._runs(node, process, what))
+        if node.stall is not None:
+            gone = self.now % node.stall.every
+            if gone < node.stall.pause:
+                self.at(self.now + node.stall.pause - gone, lambda: self._runs(node, process, what))
                 return
         what()
 
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -17,7 +17,7 @@
 from garnetrelay.fleet.members.protocol import Membership
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.fleet.members.view_state import Condition
-from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Starved
+from garnetrelay.simulation.fleet_simulation import FleetSimulation, Node, Stall
 from garnetrelay.simulation.links import LinkConditions, between
 
 Step = Literal[
@@ -203,9 +203,9 @@
             case "go on":
                 world.go_on(name)
             case "starve":
-                node.starved = Starved(3 * event.number * MS // 2, event.number * MS)
+                node.stall = Stall(3 * event.number * MS // 2, event.number * MS)
             case "feed":
-                node.starved = None
+                node.stall = None
             case "clock ahead":
                 world.clock_ahead(name, event.number * MS)
             case "turn up":
