--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -205,7 +205,8 @@
     return (
         f"{kind:<26}{len(outcomes):>7}{sum(outcome.failed for outcome in outcomes):>8}{known[len(known) // 2]:>10.2f}"
         f"{views[len(views) // 2]:>10.2f}{views[int(len(views) * 0.99)]:>8.2f}{views[-1]:>8.2f}"
-        f"{sum(outcome.judged for outcome in outcomes):>8}{sum(outcome.judged_alive for outcome in outcomes):>13}"
+        f"{sum(outcome.failure_verdicts for outcome in outcomes):>8}"
+        f"{sum(outcome.false_failures for outcome in outcomes):>13}"
     )
 
 
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -68,8 +68,8 @@
 
     one_view_ms: int | None
     all_know_ms: int | None  # until all that live hold no life that is over for one that is there
-    judged: int
-    judged_alive: int  # of them, lives whose process was there
+    failure_verdicts: int
+    false_failures: int  # of them, lives whose process was there
     problems: list[str]
 
     @property
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -38,7 +38,7 @@
     for seed in (2, 3):  # with all on one version of frames, and half on the one of before
         outcome = run_schedule(generate_schedule(kind, seed, 7))
         assert not outcome.failed, outcome
-        assert kind not in NOBODY_FAILS or not outcome.judged_alive
+        assert kind not in NOBODY_FAILS or not outcome.false_failures
 
 
 @pytest.mark.parametrize("path", KEPT, ids=lambda path: path.stem)
