--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -201,7 +201,9 @@
 
 def _row(kind: str, outcomes: list[Outcome]) -> str:
     views = sorted(outcome.one_view_ms / 1000 for outcome in outcomes if outcome.one_view_ms is not None) or [math.nan]
-    known = sorted(outcome.all_know_ms / 1000 for outcome in outcomes if outcome.all_know_ms is not None) or [math.nan]
+    known = sorted(outcome.all_current_ms / 1000 for outcome in outcomes if outcome.all_current_ms is not None) or [
+        math.nan
+    ]
     return (
         f"{kind:<26}{len(outcomes):>7}{sum(outcome.failed for outcome in outcomes):>8}{known[len(known) // 2]:>10.2f}"
         f"{views[len(views) // 2]:>10.2f}{views[int(len(views) * 0.99)]:>8.2f}{views[-1]:>8.2f}"
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -67,7 +67,7 @@
     """What came of it. Milliseconds after the last event; None: not within the time."""
 
     one_view_ms: int | None
-    all_know_ms: int | None  # until all that live hold no life that is over for one that is there
+    all_current_ms: int | None  # until all that live hold no life that is over for one that is there
     failure_verdicts: int
     false_failures: int  # of them, lives whose process was there
     problems: list[str]
@@ -157,9 +157,9 @@
     knows: list[int] = []
 
     def done() -> bool:
-        if not knows and all_know(world):
+        if not knows and all_current(world):
             knows.append(world.now)
-        return bool(knows) and world.one_view() and all_know(world)
+        return bool(knows) and world.one_view() and all_current(world)
 
     settled = world.run(end, done)
     return Outcome(
@@ -171,7 +171,7 @@
     )
 
 
-def all_know(world: FleetSimulation) -> bool:
+def all_current(world: FleetSimulation) -> bool:
     """Whether nobody that lives holds a life that is over for one that is there."""
     there = {node.name: node.members.local.claim.identity for node in world.live() if node.members is not None}
 
