--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -115,10 +115,12 @@
         for name in PLANTED:
             jobs = [(seed, name) for seed in range(seeds if name == "none" else planted_seeds)]
             found = list(pool.map(_played, jobs, chunksize=5))
-            times = sorted(each.owned_again / SECOND for each in found if each.owned_again is not None) or [float("nan")]
+            times = sorted(each.reassigned_after / SECOND for each in found if each.reassigned_after is not None) or [
+                float("nan")
+            ]
             print(
                 f"{name:<26}{len(found):>10}{sum(bool(each.problems) for each in found):>8}"
-                f"{sum(each.owned_again is None for each in found):>11}{statistics.median(times):>21.1f}"
+                f"{sum(each.reassigned_after is None for each in found):>11}{statistics.median(times):>21.1f}"
                 f"{times[int(len(times) * 0.99)]:>7.1f}{times[-1]:>7.1f}{sum(each.changes for each in found):>18}",
                 flush=True,
             )
--- a/garnetrelay/simulation/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -19,10 +19,10 @@
 
 
 class Outcome(NamedTuple):
-    """What came of it. ``owned_again``: ns from the last fault until all had their owner; None: not in time."""
+    """What came of it. ``reassigned_after``: ns from the last fault until all had their owner; None: not in time."""
 
     problems: list[str]
-    owned_again: int | None
+    reassigned_after: int | None
     changes: int  # of owners
 
 
--- a/tests/fleet/leases/test_world.py
+++ b/tests/fleet/leases/test_world.py
@@ -13,7 +13,7 @@
 def test_never_two_owners_and_all_is_owned_again(seed: int) -> None:
     outcome = FaultRun(seed).run()
     assert outcome.problems == []
-    assert outcome.owned_again is not None
+    assert outcome.reassigned_after is not None
     assert outcome.changes > 0
 
 
