--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -192,10 +192,10 @@
             wishes.setdefault(name, set()).add(partition)
         for number in of if of is not None else there:
             mine = wishes.get(f"r{number}", set())
-            if mine != world.wishes[number]:
+            if mine != world.assigned[number]:
                 world.at(
                     world.now + (self.draw.randrange(spread) if spread else 0),
-                    lambda number=number, mine=mine: world.wish(number, mine),  # type: ignore[misc]
+                    lambda number=number, mine=mine: world.assign(number, mine),  # type: ignore[misc]
                 )
         return sum(one != other for one, other in zip(before, after, strict=True))
 
@@ -300,7 +300,10 @@
     own = Assignment(world.settings.partitions).change([f"r{number}" for number in minority])
     for number in minority:
         mine = {partition for partition, name in enumerate(own) if name == f"r{number}"}
-        world.at(world.now + fleet.draw.randrange(VIEW_SPREAD), lambda number=number, mine=mine: world.wish(number, mine))  # type: ignore[misc]
+        world.at(
+            world.now + fleet.draw.randrange(VIEW_SPREAD),
+            lambda number=number, mine=mine: world.assign(number, mine),  # type: ignore[misc]
+        )
     gaps = fleet.without(lost, at, 90 * SECOND)
     world.run(at + 300 * SECOND)
     print(f"regions cut, {len(minority)} relays and one controller apart: their {len(lost)} partitions without an owner "
--- a/garnetrelay/simulation/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -73,18 +73,18 @@
         owners = assign([f"r{number}" for number in self.there], self.world.settings.partitions)
         for number in range(RELAYS):
             mine = {partition for partition, name in enumerate(owners) if name == f"r{number}"}
-            if self.world.wishes[number] != mine and self.world.relays[number].machine is not None:
+            if self.world.assigned[number] != mine and self.world.relays[number].machine is not None:
                 self.world.at(
                     self.world.now + self.draw.randrange(SECOND),
-                    lambda number=number: self.world.wish(number, self.world.wishes[number]),  # type: ignore[misc]
+                    lambda number=number: self.world.assign(number, self.world.assigned[number]),  # type: ignore[misc]
                 )
-            self.world.wishes[number] = frozenset(mine)
+            self.world.assigned[number] = frozenset(mine)
 
     def all_owned(self) -> bool:
         """Whether each partition has its owner."""
         world = self.world
         return all(
-            process.machine.owned(process.clock(world.now)).keys() == world.wishes[process.number]
+            process.machine.owned(process.clock(world.now)).keys() == world.assigned[process.number]
             for process in world.relays
         )
 
--- a/garnetrelay/simulation/lease_simulation.py
+++ b/garnetrelay/simulation/lease_simulation.py
@@ -89,7 +89,7 @@
         self.controllers = [Process(f"c{number}", number) for number in range(settings.controllers)]
         self.relays = [Process(f"r{number}", number) for number in range(relays)]
         self.folders: list[dict[int, Record]] = [{} for _ in self.controllers]
-        self.wishes: list[frozenset[int]] = [frozenset()] * relays
+        self.assigned: list[frozenset[int]] = [frozenset()] * relays
         self.problems: list[str] = []
         self.owner: dict[int, tuple[int, int, int]] = {}  # by partition: epoch, relay, its process
         self._look = look
@@ -139,7 +139,7 @@
         process.up, process.stopped, process.waiting, process.timer = True, False, [], -1
         session = Session(process.name, self.draw.randrange(1, 1 << 62))
         process.machine = self.holder(session, self.settings, random.Random(self.draw.getrandbits(64)))
-        self.wish(number, self.wishes[number])
+        self.assign(number, self.assigned[number])
 
     def kill(self, process: Process) -> None:
         """It ends without a word."""
@@ -158,12 +158,12 @@
             what()
         self._arm(process)
 
-    def wish(self, number: int, partitions: Collection[int]) -> None:
+    def assign(self, number: int, partitions: Collection[int]) -> None:
         """What a relay should own."""
-        self.wishes[number] = frozenset(partitions)
+        self.assigned[number] = frozenset(partitions)
         process = self.relays[number]
         if process.up and process.machine is not None:
-            self._do(process, lambda: process.machine.set_assigned(process.clock(self.now), self.wishes[number]))
+            self._do(process, lambda: process.machine.set_assigned(process.clock(self.now), self.assigned[number]))
 
     def _do(self, process: Process, act: Callable[[], list[Any]]) -> None:
         if not process.up:
