--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -167,7 +167,7 @@
     """Hollow relays at the size, whose wishes follow a view given from outside."""
 
     def __init__(self, settings: Settings, relays: int) -> None:
-        self.world = LeaseSimulation(settings, relays, "size", look=False)
+        self.world = LeaseSimulation(settings, relays, "size", check_ownership=False)
         self.assignment = Assignment(settings.partitions)
         self.draw = random.Random(1)
         self.there = set(range(relays))
--- a/garnetrelay/simulation/lease_simulation.py
+++ b/garnetrelay/simulation/lease_simulation.py
@@ -79,7 +79,7 @@
         seed: object,
         holder: type[Holder] = Holder,
         controller: type[Controller] = Controller,
-        look: bool = True,
+        check_ownership: bool = True,
     ) -> None:
         self.settings = settings
         self.draw = random.Random(f"leases/{seed}")
@@ -92,7 +92,7 @@
         self.assigned: list[frozenset[int]] = [frozenset()] * relays
         self.problems: list[str] = []
         self.owner: dict[int, tuple[int, int, int]] = {}  # by partition: epoch, relay, its process
-        self._look = look
+        self._check_ownership = check_ownership
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = itertools.count()
         for process in (*self.controllers, *self.relays):
@@ -172,7 +172,7 @@
             process.waiting.append(lambda: self._do(process, act))
             return
         self._carry_out(process, act())
-        if self._look and isinstance(process.machine, Holder):
+        if self._check_ownership and isinstance(process.machine, Holder):
             self._check(process)
         self._arm(process)
 
