--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -221,7 +221,7 @@
             heard.append(data)
 
     world = gathered(size, Settings(), seed)
-    world.heard = hear
+    world.on_datagram = hear
     world.run(world.now + 30 * SECOND)
     members = world.nodes["n1"].members
     assert members is not None
--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -97,7 +97,7 @@
         self.failures: list[tuple[int, str, str, Identity, bool]] = []  # at, by, whom, its life, whether it was there
         self.refused: Counter[str] = Counter()
         self.after_effects: Callable[[Node], None] | None = None
-        self.heard: Callable[[Node, bytes], None] | None = None  # a datagram reached a process
+        self.on_datagram: Callable[[Node, bytes], None] | None = None  # a datagram reached a process
         self.sent: Callable[[Node, fr.Frame, int], None] | None = None  # a frame of so many bytes goes out
         self._seed = seed
         self._draw = random.Random(f"{seed}/world")
@@ -278,8 +278,8 @@
     def _arrive(self, node: Node, data: bytes, source: SocketAddress) -> None:
         def hears() -> None:
             assert node.members is not None
-            if self.heard is not None:
-                self.heard(node, data)
+            if self.on_datagram is not None:
+                self.on_datagram(node, data)
             try:
                 frame = self.codec.decode(data)
             except fr.Refused as refused:
--- a/tests/fleet/test_frames.py
+++ b/tests/fleet/test_frames.py
@@ -140,7 +140,7 @@
             heard.append(data)
 
     world = FleetSimulation(5, Settings(), 1)
-    world.heard = hear
+    world.on_datagram = hear
     for name in world.nodes:
         world.start(name)
     assert world.run(20 * SECOND, world.one_view) and not world.run(world.now + 20 * SECOND)
