--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -42,7 +42,7 @@
     """A name, its folder and its process."""
 
     name: str
-    place: SocketAddress
+    address: SocketAddress
     life: int = 0  # in the folder
     process: int = 0
     members: Membership | None = None
@@ -88,8 +88,8 @@
             f"n{number}": Node(f"n{number}", SocketAddress(f"10.0.{number >> 8}.{number & 255}", PORT))
             for number in range(1, count + 1)
         }
-        self.by_place = {node.place: node for node in self.nodes.values()}
-        self.seeds = [node.place for node in itertools.islice(self.nodes.values(), seeds)]
+        self.by_address = {node.address: node for node in self.nodes.values()}
+        self.seeds = [node.address for node in itertools.islice(self.nodes.values(), seeds)]
         self.versions = versions
         self.zones = zones
         self.notes: list[Seen] = []
@@ -140,8 +140,8 @@
             node.life,
             0,
             Status.ALIVE,
-            node.place.host,
-            node.place.port,
+            node.address.host,
+            node.address.port,
             settings.versions,
             zone=self.zones(int(name[1:])),
         )
@@ -268,12 +268,12 @@
             raise AssertionError(f"a frame of {len(data)} bytes")
         node.sent_frames += 1
         self._count_bytes(node, frame, len(data))
-        other = self.by_place.get(place)
+        other = self.by_address.get(place)
         if other is None:
             return
         for delay, arrived in self.links.transmit(node.name, other.name, data):
             at = self.now + int((delay + LEAST_PASS) * SECOND)
-            self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.place))  # type: ignore[misc]
+            self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.address))  # type: ignore[misc]
 
     def _arrive(self, node: Node, data: bytes, source: SocketAddress) -> None:
         def hears() -> None:
@@ -303,7 +303,7 @@
 
     def _exchange(self, node: Node, place: SocketAddress) -> None:
         """Hello, Whole, Whole."""
-        other = self.by_place.get(place)
+        other = self.by_address.get(place)
         if other is None or other is node or node.members is None:
             return
         process, began = node.process, self.now + node.ahead
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -189,7 +189,7 @@
 
 def test_two_processes_of_one_name_end_with_one() -> None:
     world = gathered(4)
-    twin = world.nodes["n4"].place
+    twin = world.nodes["n4"].address
     first = members(world, "n3")
     # A process elsewhere takes n3's name, from a copy of its folder.
     world.kill("n4")
