--- a/benchmarks/capacity/membership.py
+++ b/benchmarks/capacity/membership.py
@@ -23,7 +23,7 @@
     """Of one member. ``share`` has the driven world's own processor time in it."""
 
     sent: float  # bytes a second, mean
-    worst: float  # the same in the worst second
+    peak: float  # the same in the worst second
     frames: float  # a second
     share: float  # of a core
     memory: float  # bytes of its decisions
@@ -54,7 +54,7 @@
     ]
     return Sample(
         peace.span.mean,
-        peace.span.worst,
+        peace.span.peak,
         peace.span.frames,
         peace.processor / 1e6,
         fleet_scale.memory(members),
--- a/benchmarks/fleet_scale.py
+++ b/benchmarks/fleet_scale.py
@@ -115,7 +115,7 @@
     kinds = "".join(f"{row.span.by_kind[kind]:>8.0f}" for kind in Kind)
     took = "" if row.took is None else f"{row.took:.1f}"
     print(
-        f"{row.members:>8}  {row.step:<20}{took:>8}{row.span.mean:>8.0f}{row.span.worst:>9.0f}{row.span.worst_member:>9}"
+        f"{row.members:>8}  {row.step:<20}{took:>8}{row.span.mean:>8.0f}{row.span.peak:>9.0f}{row.span.peak_member:>9}"
         f"{kinds}{row.span.frames:>8.2f}{row.judged:>7}{row.processor:>9.0f}",
         flush=True,
     )
--- a/garnetrelay/simulation/meter.py
+++ b/garnetrelay/simulation/meter.py
@@ -34,8 +34,8 @@
 
     mean: float
     by_kind: dict[Kind, float]
-    worst: float  # of the second in which all members together sent the most
-    worst_member: int  # the most that one member sent in one second
+    peak: float  # of the second in which all members together sent the most
+    peak_member: int  # the most that one member sent in one second
     frames: float  # datagrams
 
 
--- a/tests/fleet/test_scale.py
+++ b/tests/fleet/test_scale.py
@@ -157,4 +157,4 @@
     span = meter.span(began, world.now)
     # Exchanges pause so that they take no more than full frames do, the first of each relay drawn in that time.
     full = FRAMES * SETTINGS.max_frame_bytes * SECOND / SETTINGS.probe_interval
-    assert span.by_kind[Kind.EXCHANGES] < full and span.worst < 2 * full
+    assert span.by_kind[Kind.EXCHANGES] < full and span.peak < 2 * full
