--- a/benchmarks/capacity/membership.py
+++ b/benchmarks/capacity/membership.py
@@ -23,7 +23,7 @@
     """Of one member. ``share`` has the driven world's own processor time in it."""
 
     sent: float  # bytes a second, mean
-    peak: float  # the same in the worst second
+    worst: float  # the same in the worst second
     frames: float  # a second
     share: float  # of a core
     memory: float  # bytes of its decisions
