--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -166,7 +166,7 @@
         """SIGSTOP."""
         self.nodes[name].stopped = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """SIGCONT: what has come meanwhile is read at once."""
         node = self.nodes[name]
         node.stopped = False
@@ -293,7 +293,7 @@
         """How long a piece of a connection takes from one to the other (nanoseconds); None where it is cut."""
         if not self.links.connects(first.name, second.name):
             return None
-        fate = self.links.fate(first.name, second.name)
+        fate = self.links.conditions(first.name, second.name)
         delay = (fate.delay_ms + fate.jitter_ms * self._draw.random()) / 1000 + LEAST_PASS
         while fate.loss and self._draw.random() < fate.loss:
             delay += 0.2  # TCP's least time until it sends again (RFC 6298 has 1 s, systems use 0.2)
--- a/garnetrelay/simulation/links.py
+++ b/garnetrelay/simulation/links.py
@@ -1,6 +1,6 @@
-"""What becomes of a datagram between two relays: a fate for each direction of each pair. No I/O; seeded.
+"""Model of the links between relays: loss, delay and damage for each direction of each pair. No I/O; seeded.
 
-The same model serves the driven clock (`fleet_simulation.py`) and real processes (`rehearsal/links/`).
+The same model serves the simulated clock (`fleet_simulation.py`) and real processes (`rehearsal/links/`).
 """
 
 from __future__ import annotations
@@ -17,73 +17,73 @@
 
 
 class LinkConditions(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Of one direction of a pair."""
+    """Conditions of one direction of a pair."""
 
     loss: Share = 0.0
-    burst: Annotated[float, Meta(ge=1, le=1000)] = 1.0  # mean length of a run of losses (Gilbert's two states)
-    delay_ms: Milliseconds = 0.0  # least
-    jitter_ms: Milliseconds = 0.0  # drawn evenly on top: what comes later may overtake
-    doubles: Share = 0.0
-    damage: Share = 0.0  # a byte is changed
+    burst: Annotated[float, Meta(ge=1, le=1000)] = 1.0  # mean length of a run of losses (Gilbert model, two states)
+    delay_ms: Milliseconds = 0.0  # minimum
+    jitter_ms: Milliseconds = 0.0  # uniform, added to the delay: datagrams may arrive out of order
+    doubles: Share = 0.0  # datagrams that arrive twice
+    damage: Share = 0.0  # datagrams with one byte changed
     cut: bool = False
 
 
 class Links:
-    """All pairs. A rule names senders and receivers; of those that fit the latest holds."""
+    """Conditions of all pairs. A rule selects senders and receivers; the latest matching rule applies."""
 
     def __init__(self, base: LinkConditions, seed: object) -> None:
         self.base = base
         self._rules: dict[str, tuple[Callable[[str, str], bool], LinkConditions]] = {}
-        self._bad: set[tuple[str, str]] = set()  # pairs in a run of losses
+        self._in_loss_run: set[tuple[str, str]] = set()  # pairs in the state in which every datagram is lost
         self._draw = random.Random(f"{seed}/links")
 
-    def set_rule(self, label: str, fits: Callable[[str, str], bool], fate: LinkConditions) -> None:
-        """Put a rule in force, the latest of all; an earlier one of that label goes."""
+    def set_rule(self, label: str, matches: Callable[[str, str], bool], conditions: LinkConditions) -> None:
+        """Add a rule as the latest; it replaces an earlier one with the same label."""
         self._rules.pop(label, None)
-        self._rules[label] = (fits, fate)
+        self._rules[label] = (matches, conditions)
 
     def remove_rule(self, label: str) -> None:
-        """Take a rule away."""
+        """Remove a rule, if there is one with that label."""
         self._rules.pop(label, None)
 
-    def fate(self, sender: str, receiver: str) -> LinkConditions:
-        """What holds for a direction now."""
-        for fits, fate in reversed(self._rules.values()):
-            if fits(sender, receiver):
-                return fate
+    def conditions(self, sender: str, receiver: str) -> LinkConditions:
+        """The current conditions of a direction."""
+        for matches, conditions in reversed(self._rules.values()):
+            if matches(sender, receiver):
+                return conditions
         return self.base
 
     def transmit(self, sender: str, receiver: str, data: bytes) -> list[tuple[float, bytes]]:
-        """What arrives of a datagram: delays (seconds) and bytes, of each copy."""
-        fate, draw = self.fate(sender, receiver), self._draw
-        if fate.cut or fate.loss and self._lost(sender, receiver, fate):
+        """The delay in seconds and the bytes of each copy of a datagram that arrives."""
+        conditions, draw = self.conditions(sender, receiver), self._draw
+        if conditions.cut or conditions.loss and self._lost(sender, receiver, conditions):
             return []
-        copies = 2 if fate.doubles and draw.random() < fate.doubles else 1
+        copies = 2 if conditions.doubles and draw.random() < conditions.doubles else 1
         arrived = []
         for _ in range(copies):
-            if fate.damage and draw.random() < fate.damage:
-                place = draw.randrange(len(data))
-                data = data[:place] + bytes([data[place] ^ draw.randint(1, 255)]) + data[place + 1 :]
-            arrived.append(((fate.delay_ms + fate.jitter_ms * draw.random()) / 1000, data))
+            if conditions.damage and draw.random() < conditions.damage:
+                position = draw.randrange(len(data))
+                data = data[:position] + bytes([data[position] ^ draw.randint(1, 255)]) + data[position + 1 :]
+            arrived.append(((conditions.delay_ms + conditions.jitter_ms * draw.random()) / 1000, data))
         return arrived
 
     def connects(self, first: str, second: str) -> bool:
-        """Whether a connection between the two carries anything: both directions have to."""
-        return not self.fate(first, second).cut and not self.fate(second, first).cut
+        """Whether a connection between the two works: neither direction may be cut."""
+        return not self.conditions(first, second).cut and not self.conditions(second, first).cut
 
-    def _lost(self, sender: str, receiver: str, fate: LinkConditions) -> bool:
-        if fate.burst <= 1:
-            return self._draw.random() < fate.loss
+    def _lost(self, sender: str, receiver: str, conditions: LinkConditions) -> bool:
+        if conditions.burst <= 1:
+            return self._draw.random() < conditions.loss
         pair = sender, receiver
-        leaves = 1 / fate.burst  # of the bad state, in which all is lost
-        enters = min(1.0, leaves * fate.loss / max(1e-9, 1 - fate.loss))
-        if self._draw.random() < (leaves if pair in self._bad else enters):
-            self._bad ^= {pair}
-        return pair in self._bad
+        leave_probability = 1 / conditions.burst  # probability of leaving the state in which every datagram is lost
+        enter_probability = min(1.0, leave_probability * conditions.loss / max(1e-9, 1 - conditions.loss))
+        if self._draw.random() < (leave_probability if pair in self._in_loss_run else enter_probability):
+            self._in_loss_run ^= {pair}
+        return pair in self._in_loss_run
 
 
 def between(ones: Iterable[str], others: Iterable[str], one_way: bool = False) -> Callable[[str, str], bool]:
-    """A rule's pairs: from the ones to the others, and back unless it is one way."""
+    """A predicate for pairs between two groups: from ``ones`` to ``others``, and back unless ``one_way``."""
     first, second = frozenset(ones), frozenset(others)
     if one_way:
         return lambda sender, receiver: sender in first and receiver in second
--- a/garnetrelay/simulation/schedules.py
+++ b/garnetrelay/simulation/schedules.py
@@ -1,7 +1,7 @@
-"""What happens to a fleet in the driven clock, as data: drawn by kind and seed, played, kept where it fails, replayed.
+"""Fault schedules for a simulated fleet, as data: generated from a kind and a seed, run, stored on failure, run again.
 
-A play looks on at every step: whatever the links do, what is listed under ``Watch`` holds; and once the last fault is
-over, all that live have to come to one view within a stated time.
+Each run checks the invariants of ``InvariantChecker`` after every step, whatever the links do. After the last fault, all
+running members have to reach one view within a stated time.
 """
 
 from __future__ import annotations
@@ -39,100 +39,104 @@
 
 
 class Event(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
-    """One thing that happens."""
+    """One step at one time."""
 
     at_ms: Annotated[int, Meta(ge=0)]
     step: Step
     who: list[str] = []
-    others: list[str] = []  # the far side of a cut
-    number: int = 0  # an old life; milliseconds of a pause or a jump
+    others: list[str] = []  # the other side of a cut
+    number: int = 0  # the life to start from; milliseconds of a stall or a clock jump
 
 
 class Schedule(msgspec.Struct, forbid_unknown_fields=True, frozen=True, omit_defaults=True):
-    """A whole play."""
+    """A complete run: members, link conditions and events."""
 
     kind: str
     seed: int
     members: Annotated[int, Meta(ge=2, le=1000)]
     events: list[Event]
     base: LinkConditions = LinkConditions()
-    old_frames: list[str] = []  # these speak version 1 only
-    old_secret: list[str] = []  # these sign with the secret of before
+    old_frames: list[str] = []  # members that use version 1 of the frames only
+    old_secret: list[str] = []  # members that sign with the previous secret
     seeds: int = 3
-    within_ms: int = 120_000  # one view so long after the last event, or the play has failed
-    running: list[str] = []  # at the beginning; empty: all
+    within_ms: int = 120_000  # after the last event: the run fails without one view by then
+    running: list[str] = []  # members that start at the beginning; empty: all
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What came of it. Milliseconds after the last event; None: not within the time."""
+    """Result of a run. Times in milliseconds after the last event; None: not within ``within_ms``."""
 
     one_view_ms: int | None
-    all_current_ms: int | None  # until all that live hold no life that is over for one that is there
+    all_current_ms: int | None  # until no running member holds an outdated identity of another
     failure_verdicts: int
-    false_failures: int  # of them, lives whose process was there
+    false_failures: int  # of these, those whose process was running
     problems: list[str]
 
     @property
     def failed(self) -> bool:
-        """Whether something does not hold."""
+        """Whether an invariant was violated or one view was not reached in time."""
         return bool(self.problems) or self.one_view_ms is None
 
 
-class Watch:
-    """What holds at every moment, looked at whenever a relay has done something.
+class InvariantChecker:
+    """Checks these invariants after every action of a relay.
 
-    - a life that a relay holds for over is never again in its view;
-    - a relay that is settled has a name, has joined, and holds nobody for suspect;
-    - a relay's own word is never older than one that it has given before;
-    - a relay that is alone judges nobody.
+    - a life that a relay has recorded as ended does not return to its view;
+    - a relay whose condition is SETTLED owns its name, has joined, and has no suspects;
+    - a relay's claim on itself never falls behind an earlier one;
+    - a relay whose condition is ALONE declares no member failed.
     """
 
-    def __init__(self, world: FleetSimulation) -> None:
+    def __init__(self, simulation: FleetSimulation) -> None:
         self.problems: list[str] = []
-        self._world = world
-        self._over: dict[tuple[str, int], dict[str, Identity]] = {}
-        self._own: dict[tuple[str, int], tuple[int, ...]] = {}
-        self._alone: dict[tuple[str, int], int] = {}  # judgements when it came to be alone
+        self._simulation = simulation
+        self._ended: dict[tuple[str, int], dict[str, Identity]] = {}
+        self._own_ranks: dict[tuple[str, int], tuple[int, ...]] = {}
+        self._failed_when_alone: dict[tuple[str, int], int] = {}  # count of failed members when the relay became ALONE
 
-    def look(self, node: Node) -> None:
-        """After an event at a node."""
+    def check(self, node: Node) -> None:
+        """Check a node after it has acted."""
         members = node.members
         if members is None:
             return
         key = node.name, node.process
         rank = members.local.claim.rank
-        if rank < self._own.get(key, ()):
-            self._say(node, "its word on itself went back")
-        self._own[key] = rank
-        over = self._over.setdefault(key, {})
+        if rank < self._own_ranks.get(key, ()):
+            self._report(node, "its claim on itself fell behind an earlier one")
+        self._own_ranks[key] = rank
+        ended = self._ended.setdefault(key, {})
         for name, member in members.table.gone.items():
-            if over.get(name, Identity(0, 0)) < member.claim.identity:
-                over[name] = member.claim.identity
-        if over:
-            for name, identity in over.items():
+            if ended.get(name, Identity(0, 0)) < member.claim.identity:
+                ended[name] = member.claim.identity
+        if ended:
+            for name, identity in ended.items():
                 held = members.table.members.get(name)
                 if held is not None and held.claim.identity <= identity:
-                    self._say(node, f"{name} life {identity.life} is back in its view")
+                    self._report(node, f"{name} life {identity.life} is back in its view")
         if members.condition is Condition.SETTLED and (
             members.local_view.suspects or not members.joined or not members.local.active
         ):
-            self._say(node, "it is settled, and has reason to doubt")
+            self._report(node, "it is SETTLED, but has suspects, has not joined or does not own its name")
 
         if members.condition is not Condition.ALONE:
-            self._alone.pop(key, None)
-        elif members.local_view.counters.failed > self._alone.setdefault(key, members.local_view.counters.failed):
-            self._say(node, "it is alone, and judges others")
+            self._failed_when_alone.pop(key, None)
+        elif members.local_view.counters.failed > self._failed_when_alone.setdefault(
+            key, members.local_view.counters.failed
+        ):
+            self._report(node, "it is ALONE and declares others failed")
 
-    def _say(self, node: Node, text: str) -> None:
+    def _report(self, node: Node, text: str) -> None:
         if len(self.problems) < 20:
-            self.problems.append(f"{self._world.now / SECOND:.3f} s {node.name}: {text}")
+            self.problems.append(f"{self._simulation.now / SECOND:.3f} s {node.name}: {text}")
 
 
 def run_schedule(
-    schedule: Schedule, settings: Settings | None = None, prepare: Callable[[FleetSimulation], None] = lambda world: None
+    schedule: Schedule,
+    settings: Settings | None = None,
+    prepare: Callable[[FleetSimulation], None] = lambda simulation: None,
 ) -> Outcome:
-    """The outcome. The first twenty seconds are for coming to one view; ``at_ms`` counts from then."""
-    world = FleetSimulation(
+    """Run a schedule. The fleet has twenty seconds to reach one view; ``at_ms`` counts from then."""
+    simulation = FleetSimulation(
         schedule.members,
         settings or Settings(),
         f"{schedule.kind}/{schedule.seed}",
@@ -141,81 +145,81 @@
         versions=lambda number: 1 if f"n{number}" in schedule.old_frames else 2,
     )
     for name in schedule.old_secret:
-        world.nodes[name].old_secret = True
-    watch = Watch(world)
-    world.after_effects = watch.look
-    prepare(world)
+        simulation.nodes[name].old_secret = True
+    checker = InvariantChecker(simulation)
+    simulation.after_effects = checker.check
+    prepare(simulation)
     draw = random.Random(f"{schedule.kind}/{schedule.seed}/starts")
-    for name in schedule.running or list(world.nodes):
-        world.at(draw.randrange(SECOND), lambda name=name: world.start(name))  # type: ignore[misc]
+    for name in schedule.running or list(simulation.nodes):
+        simulation.at(draw.randrange(SECOND), lambda name=name: simulation.start(name))  # type: ignore[misc]
     start = 20 * SECOND
     for event in schedule.events:
-        world.at(start + event.at_ms * MS, lambda event=event: _do(world, event))  # type: ignore[misc]
+        simulation.at(start + event.at_ms * MS, lambda event=event: _execute(simulation, event))  # type: ignore[misc]
     last = start + max((event.at_ms for event in schedule.events), default=0) * MS
-    world.run(last)
+    simulation.run(last)
     end = last + schedule.within_ms * MS
-    knows: list[int] = []
+    current_at: list[int] = []
 
     def done() -> bool:
-        if not knows and all_current(world):
-            knows.append(world.now)
-        return bool(knows) and world.one_view() and all_current(world)
+        if not current_at and all_current(simulation):
+            current_at.append(simulation.now)
+        return bool(current_at) and simulation.one_view() and all_current(simulation)
 
-    settled = world.run(end, done)
+    converged = simulation.run(end, done)
     return Outcome(
-        (world.now - last) // MS if settled else None,
-        (knows[0] - last) // MS if knows else None,
-        len(world.failures),
-        sum(alive for *_, alive in world.failures),
-        watch.problems,
+        (simulation.now - last) // MS if converged else None,
+        (current_at[0] - last) // MS if current_at else None,
+        len(simulation.failures),
+        sum(running for *_, running in simulation.failures),
+        checker.problems,
     )
 
 
-def all_current(world: FleetSimulation) -> bool:
-    """Whether nobody that lives holds a life that is over for one that is there."""
-    there = {node.name: node.members.local.claim.identity for node in world.live() if node.members is not None}
+def all_current(simulation: FleetSimulation) -> bool:
+    """Whether no running member holds an outdated identity of another, or a suspect."""
+    running = {node.name: node.members.local.claim.identity for node in simulation.live() if node.members is not None}
 
-    def knows(members: Membership) -> bool:
+    def is_current(members: Membership) -> bool:
         return all(
-            there.get(name) == member.claim.identity and member.claim.status is not Status.SUSPECT
+            running.get(name) == member.claim.identity and member.claim.status is not Status.SUSPECT
             for name, member in members.table.members.items()
         )
 
-    return all(node.members is not None and knows(node.members) for node in world.live())
+    return all(node.members is not None and is_current(node.members) for node in simulation.live())
 
 
-def _do(world: FleetSimulation, event: Event) -> None:
+def _execute(simulation: FleetSimulation, event: Event) -> None:
     for name in event.who:
-        node = world.nodes[name]
+        node = simulation.nodes[name]
         match event.step:
             case "start":
-                world.start(name)
+                simulation.start(name)
             case "start anew":
-                world.start(name, lost_folder=True)
+                simulation.start(name, lost_folder=True)
             case "start from":
-                world.start(name, folder=event.number)
+                simulation.start(name, folder=event.number)
             case "kill":
-                world.kill(name)
+                simulation.kill(name)
             case "leave":
-                world.leave(name)
+                simulation.leave(name)
             case "stop":
-                world.stop(name)
+                simulation.stop(name)
             case "go on":
-                world.go_on(name)
+                simulation.resume(name)
             case "starve":
                 node.stall = Stall(3 * event.number * MS // 2, event.number * MS)
             case "feed":
                 node.stall = None
             case "clock ahead":
-                world.clock_ahead(name, event.number * MS)
+                simulation.clock_ahead(name, event.number * MS)
             case "turn up":
                 node.old_secret = False
     if event.step == "cut":
-        world.links.set_rule("cut", between(event.who, event.others), LinkConditions(cut=True))
+        simulation.links.set_rule("cut", between(event.who, event.others), LinkConditions(cut=True))
     elif event.step == "cut one way":
-        world.links.set_rule("cut", between(event.who, event.others, True), LinkConditions(cut=True))
+        simulation.links.set_rule("cut", between(event.who, event.others, True), LinkConditions(cut=True))
     elif event.step == "mend":
-        world.links.remove_rule("cut")
+        simulation.links.remove_rule("cut")
 
 
 # ---- kinds
@@ -225,36 +229,36 @@
     return [f"n{number}" for number in range(1, count + 1)]
 
 
-def _part(draw: random.Random, names: list[str], share: float) -> tuple[list[str], list[str]]:
-    some = draw.sample(names, max(1, round(len(names) * share)))
-    return sorted(some), [name for name in names if name not in some]
+def _split(draw: random.Random, names: list[str], share: float) -> tuple[list[str], list[str]]:
+    chosen = draw.sample(names, max(1, round(len(names) * share)))
+    return sorted(chosen), [name for name in names if name not in chosen]
 
 
-def _seven_in_ten(draw: random.Random, names: list[str]) -> list[Event]:
-    """Killed within a second, back with their folders ten seconds later."""
-    some, _ = _part(draw, names, 0.7)
-    gone = [Event(draw.randrange(1000), "kill", [name]) for name in some]
-    return gone + [Event(10_000 + draw.randrange(1000), "start", [name]) for name in some]
+def _most_killed(draw: random.Random, names: list[str]) -> list[Event]:
+    """Seven in ten are killed within a second and start with their folders ten seconds later."""
+    chosen, _ = _split(draw, names, 0.7)
+    kills = [Event(draw.randrange(1000), "kill", [name]) for name in chosen]
+    return kills + [Event(10_000 + draw.randrange(1000), "start", [name]) for name in chosen]
 
 
 def _third_cut(draw: random.Random, names: list[str]) -> list[Event]:
-    """A third is cut off for 6 s."""
-    some, rest = _part(draw, names, 0.34)
-    return [Event(0, "cut", some, rest), Event(6000, "mend")]
+    """A third is cut off from the others for 6 s."""
+    chosen, rest = _split(draw, names, 0.34)
+    return [Event(0, "cut", chosen, rest), Event(6000, "mend")]
 
 
 def _third_cut_long(draw: random.Random, names: list[str]) -> list[Event]:
-    """The same for a minute: each side judges the other."""
-    some, rest = _part(draw, names, 0.34)
-    return [Event(0, "cut", some, rest), Event(60_000, "mend")]
+    """A third is cut off for a minute, so that each side declares the other failed."""
+    chosen, rest = _split(draw, names, 0.34)
+    return [Event(0, "cut", chosen, rest), Event(60_000, "mend")]
 
 
 def _halves(draw: random.Random, names: list[str]) -> list[Event]:
-    """Two halves for 40 s, and a kill and a new life in each meanwhile."""
-    some, rest = _part(draw, names, 0.5)
-    first, second = draw.choice(some), draw.choice(rest)
+    """Two halves are cut off from each other for 40 s; in each, one member is killed and restarted meanwhile."""
+    chosen, rest = _split(draw, names, 0.5)
+    first, second = draw.choice(chosen), draw.choice(rest)
     return [
-        Event(0, "cut", some, rest),
+        Event(0, "cut", chosen, rest),
         Event(5000, "kill", [first]),
         Event(7000, "kill", [second]),
         Event(20_000, "start", [first]),
@@ -264,47 +268,47 @@
 
 
 def _one_way(draw: random.Random, names: list[str]) -> list[Event]:
-    """A third is not heard by the others, and hears them, for 20 s."""
-    some, rest = _part(draw, names, 0.34)
-    return [Event(0, "cut one way", some, rest), Event(20_000, "mend")]
+    """For 20 s the others receive nothing from a third, which still receives from them."""
+    chosen, rest = _split(draw, names, 0.34)
+    return [Event(0, "cut one way", chosen, rest), Event(20_000, "mend")]
 
 
-def _pair(draw: random.Random, names: list[str]) -> list[Event]:
-    """Two that can't hear each other, while both hear all others: nobody may be judged."""
+def _pair_cut(draw: random.Random, names: list[str]) -> list[Event]:
+    """Two are cut off from each other, but not from the rest: no member may be declared failed."""
     one, other = draw.sample(names, 2)
     return [Event(0, "cut", [one], [other]), Event(40_000, "mend")]
 
 
 def _flapping(draw: random.Random, names: list[str]) -> list[Event]:
-    """The links of a few go and come, 500 ms each, for 20 s."""
-    some, rest = _part(draw, names, 0.2)
+    """The links of a fifth go down and up every 500 ms, for 20 s."""
+    chosen, rest = _split(draw, names, 0.2)
     return [
         event
-        for begins in range(0, 20_000, 1000)
-        for event in (Event(begins, "cut", some, rest), Event(begins + 500, "mend"))
+        for start_ms in range(0, 20_000, 1000)
+        for event in (Event(start_ms, "cut", chosen, rest), Event(start_ms + 500, "mend"))
     ]
 
 
 def _stopped(draw: random.Random, names: list[str]) -> list[Event]:
-    """Stopped for 5 s."""
-    some, _ = _part(draw, names, 0.2)
-    return [Event(0, "stop", some), Event(5000, "go on", some)]
+    """A fifth is stopped (SIGSTOP) for 5 s."""
+    chosen, _ = _split(draw, names, 0.2)
+    return [Event(0, "stop", chosen), Event(5000, "go on", chosen)]
 
 
-def _starved(draw: random.Random, names: list[str]) -> list[Event]:
-    """A tenth runs for a third of the time, in pieces of a second, for 30 s."""
-    some, _ = _part(draw, names, 0.1)
-    return [Event(0, "starve", some, number=2000), Event(30_000, "feed", some)]
+def _stalled(draw: random.Random, names: list[str]) -> list[Event]:
+    """For 30 s a tenth runs only one second in three."""
+    chosen, _ = _split(draw, names, 0.1)
+    return [Event(0, "starve", chosen, number=2000), Event(30_000, "feed", chosen)]
 
 
-def _alone(draw: random.Random, names: list[str]) -> list[Event]:
-    """One hears nobody for a minute: it may not judge all others."""
+def _one_isolated(draw: random.Random, names: list[str]) -> list[Event]:
+    """One member is cut off from all others for a minute: it may not declare them failed."""
     one = draw.choice(names)
     return [Event(0, "cut", [one], [name for name in names if name != one]), Event(60_000, "mend")]
 
 
 def _lost_folder(draw: random.Random, names: list[str]) -> list[Event]:
-    """Killed twice, so that the others know a later life; then it comes without its folder."""
+    """One member is killed twice, so that the others know a later life; then it starts without its folder."""
     one = draw.choice(names)
     return [
         Event(0, "kill", [one]),
@@ -315,7 +319,7 @@
 
 
 def _old_folder(draw: random.Random, names: list[str]) -> list[Event]:
-    """Restored from a copy of before its last lives."""
+    """One member starts from a copy of its folder that is older than its last lives."""
     one = draw.choice(names)
     return [
         Event(0, "kill", [one]),
@@ -327,28 +331,28 @@
     ]
 
 
-def _clock(draw: random.Random, names: list[str]) -> list[Event]:
-    """Clocks of a few jump ahead by half a minute."""
-    some, _ = _part(draw, names, 0.2)
-    return [Event(draw.randrange(1000), "clock ahead", [name], number=30_000) for name in some]
+def _clock_jump(draw: random.Random, names: list[str]) -> list[Event]:
+    """The clocks of a fifth jump ahead by half a minute."""
+    chosen, _ = _split(draw, names, 0.2)
+    return [Event(draw.randrange(1000), "clock ahead", [name], number=30_000) for name in chosen]
 
 
 def _leaving(draw: random.Random, names: list[str]) -> list[Event]:
-    """A third leaves, and comes back."""
-    some, _ = _part(draw, names, 0.34)
-    return [Event(draw.randrange(1000), "leave", [name]) for name in some] + [
-        Event(5000 + draw.randrange(1000), "start", [name]) for name in some
+    """A third leaves (SIGTERM) and starts again."""
+    chosen, _ = _split(draw, names, 0.34)
+    return [Event(draw.randrange(1000), "leave", [name]) for name in chosen] + [
+        Event(5000 + draw.randrange(1000), "start", [name]) for name in chosen
     ]
 
 
-def _seeds_die(draw: random.Random, names: list[str]) -> list[Event]:
-    """All seeds are killed; another comes back by the places that its folder keeps."""
+def _seeds_killed(draw: random.Random, names: list[str]) -> list[Event]:
+    """All seeds are killed; another member restarts and rejoins by the addresses stored in its folder."""
     one = draw.choice(names[3:] or names[1:])
     return [Event(0, "kill", names[:3]), Event(20_000, "kill", [one]), Event(21_000, "start", [one])]
 
 
 def _new_secret(draw: random.Random, names: list[str]) -> list[Event]:
-    """Half sign with the secret of before; they turn to the new one at moments of their own, one is killed meanwhile."""
+    """Half sign with the previous secret and switch to the new one at random times; one member restarts meanwhile."""
     one = draw.choice(names)
     return [Event(0, "kill", [one]), Event(2000, "start", [one])] + [
         Event(draw.randrange(20_000), "turn up", [name]) for name in names[::2]
@@ -356,27 +360,27 @@
 
 
 KINDS: dict[str, Callable[[random.Random, list[str]], list[Event]]] = {
-    "seven in ten killed": _seven_in_ten,
+    "seven in ten killed": _most_killed,
     "a third cut for 6 s": _third_cut,
     "a third cut for a minute": _third_cut_long,
     "halves": _halves,
     "one way": _one_way,
-    "a pair apart": _pair,
+    "a pair apart": _pair_cut,
     "flapping": _flapping,
     "stopped for 5 s": _stopped,
-    "starved": _starved,
-    "one alone": _alone,
+    "starved": _stalled,
+    "one alone": _one_isolated,
     "lost folder": _lost_folder,
     "old folder": _old_folder,
-    "clock ahead": _clock,
+    "clock ahead": _clock_jump,
     "leaving": _leaving,
-    "seeds die": _seeds_die,
+    "seeds die": _seeds_killed,
     "new secret": _new_secret,
 }
 
 
 def generate_schedule(kind: str, seed: int, members: int, base: LinkConditions | None = None) -> Schedule:
-    """A schedule of a kind. Half of the seeds have half of the relays on the frames of before."""
+    """A schedule of a kind. With odd seeds, half of the relays use the previous version of the frames."""
     draw, names = random.Random(f"{kind}/{seed}/{members}"), _names(members)
     events = sorted(KINDS[kind](draw, names), key=lambda event: event.at_ms)
     if base is None:
--- a/tests/fleet/test_schedules.py
+++ b/tests/fleet/test_schedules.py
@@ -72,7 +72,10 @@
 def test_who_judges_while_alone_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     judge = LocalView.judge
     monkeypatch.setattr(LocalView, "judge", lambda local_view, now, answered_at: judge(local_view, now, now))
-    assert any("alone, and judges" in problem for problem in run_schedule(generate_schedule("one alone", 2, 7)).problems)
+    assert any(
+        "ALONE and declares others failed" in problem
+        for problem in run_schedule(generate_schedule("one alone", 2, 7)).problems
+    )
 
 
 def gathered(
