--- a/garnetrelay/simulation/fleet_simulation.py
+++ b/garnetrelay/simulation/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""Relays' decisions, links and faults over one clock that jumps from event to event. Seeded: it replays to the frame.
+"""Discrete-event simulation of a fleet's members, links and faults on one clock. The same seed gives the same frames.
 
-A node is a name with a folder (its life number) and at most one process. A process may be killed, stopped and let go on,
-starved (whatever comes to it is seen later), or leave. Full exchanges stand for a TCP connection: three passes over the
+A node is a name with a folder (its life number) and at most one process. A process may be killed, stopped and resumed,
+stalled (what reaches it is handled later), or leave. A full exchange models a TCP connection: three transfers over the
 links, which lost frames delay and a cut ends.
 """
 
@@ -23,43 +23,43 @@
 from garnetrelay.fleet.members.settings import MS, SECOND, Settings
 from garnetrelay.simulation.links import LinkConditions, Links
 
-SECRET, OLD_SECRET = b"laboratory's secret", b"laboratory's secret of before"
-LEAST_PASS = 0.0002  # seconds over a link that has no delay of its own
-LENGTH = 4  # bytes ahead of a frame over a connection
+SECRET, OLD_SECRET = b"current simulation secret", b"previous simulation secret"
+MIN_DELAY_S = 0.0002  # added to the delay of a link
+LENGTH_FIELD_BYTES = 4  # the length field before a frame on a connection
 PORT = 7946
 
 
 @dataclass(slots=True)
 class Stall:
-    """What comes to a process is seen later: for ``pause`` of each ``every`` nanoseconds it does not run."""
+    """Recurring stalls: of every ``period`` nanoseconds the process does not run for the first ``length``."""
 
-    every: int
-    pause: int
+    period: int
+    length: int
 
 
 @dataclass(slots=True)
 class Node:
-    """A name, its folder and its process."""
+    """A name, the life number in its folder, and its process."""
 
     name: str
     address: SocketAddress
-    life: int = 0  # in the folder
+    life: int = 0  # stored in the folder
     process: int = 0
     members: Membership | None = None
     started_at: int = 0
     stopped: bool = False
     stall: Stall | None = None
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # came while it was stopped
-    woken_for: int = -1
+    waiting: list[Callable[[], None]] = field(default_factory=list)  # calls that arrived while the process was stopped
+    tick_due: int = -1
     sent_frames: int = 0
     sent_bytes: int = 0
-    ahead: int = 0  # its clock, of the world's (nanoseconds)
-    old_secret: bool = False  # it signs with the secret of before
+    clock_lead: int = 0  # nanoseconds by which its clock leads the simulation's
+    old_secret: bool = False  # signs with the previous secret
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """Something that the experiments look at: who noted what, when."""
+class LogEntry:
+    """A log line of a node."""
 
     at: int
     who: str
@@ -67,7 +67,7 @@
 
 
 class FleetSimulation:
-    """The fleet. Times in nanoseconds from its beginning."""
+    """A fleet of nodes and their links. Times are nanoseconds from the beginning of the simulation."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         seeds: int = 3,
         versions: Callable[[int], int] = lambda number: 2,
         zones: Callable[[int], int] = lambda number: UNKNOWN_ZONE,
-        keep_notes: bool = False,
+        keep_log: bool = False,
     ) -> None:
         self.settings = settings
         self.now = 0
@@ -92,44 +92,44 @@
         self.seeds = [node.address for node in itertools.islice(self.nodes.values(), seeds)]
         self.versions = versions
         self.zones = zones
-        self.notes: list[Seen] = []
-        self.keep_notes = keep_notes
-        self.failures: list[tuple[int, str, str, Identity, bool]] = []  # at, by, whom, its life, whether it was there
+        self.log: list[LogEntry] = []
+        self.keep_log = keep_log
+        self.failures: list[tuple[int, str, str, Identity, bool]] = []  # time, observer, member, identity, whether it ran
         self.refused: Counter[str] = Counter()
         self.after_effects: Callable[[Node], None] | None = None
-        self.on_datagram: Callable[[Node, bytes], None] | None = None  # a datagram reached a process
-        self.sent: Callable[[Node, fr.Frame, int], None] | None = None  # a frame of so many bytes goes out
+        self.on_datagram: Callable[[Node, bytes], None] | None = None  # called with each datagram that reaches a process
+        self.sent: Callable[[Node, fr.Frame, int], None] | None = None  # called with each frame sent and its size
         self._seed = seed
         self._draw = random.Random(f"{seed}/world")
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._count = itertools.count()
 
-    # ---- the clock
+    # ---- clock
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        """Let something happen."""
-        heapq.heappush(self._queue, (max(when, self.now), next(self._count), what))
+    def at(self, when: int, callback: Callable[[], None]) -> None:
+        """Schedule a call."""
+        heapq.heappush(self._queue, (max(when, self.now), next(self._count), callback))
 
     def run(self, until: int, done: Callable[[], bool] | None = None) -> bool:
-        """Go on until a moment, or until something holds (looked at every tenth of a period); whether it does."""
-        look_at = self.now
+        """Run until a time, or until ``done`` is true (checked every tenth of a probe interval); return whether it is."""
+        check_at = self.now
         while self._queue and self._queue[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._queue)
-            what()
-            if done is not None and self.now >= look_at:
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
+            if done is not None and self.now >= check_at:
                 if done():
                     return True
-                look_at = self.now + self.settings.probe_interval // 10
+                check_at = self.now + self.settings.probe_interval // 10
         self.now = until
         return done is not None and done()
 
     # ---- processes
 
     def start(self, name: str, lost_folder: bool = False, folder: int | None = None, called: str = "") -> None:
-        """A new process of a name. ``lost_folder``: it finds nothing; ``folder``: an old copy of its life number;
-        ``called``: it takes the name of another."""
+        """Start a new process. ``lost_folder``: its folder is empty; ``folder``: the life number in an old copy of it;
+        ``called``: it uses the name of another node."""
         node = self.nodes[name]
-        node.ahead = 0
+        node.clock_lead = 0
         node.life = (0 if lost_folder else node.life if folder is None else folder) + 1
         node.process = self._draw.getrandbits(32)
         settings = dataclasses.replace(self.settings, versions=self.versions(int(name[1:])))
@@ -147,136 +147,136 @@
         )
         draw = random.Random(f"{self._seed}/{name}/{node.process}")
         node.members = Membership(claim, settings, draw, self.now, self.seeds)
-        node.started_at, node.stopped, node.waiting, node.woken_for = self.now, False, [], -1
-        self._wake(node)
+        node.started_at, node.stopped, node.waiting, node.tick_due = self.now, False, [], -1
+        self._schedule_tick(node)
 
     def kill(self, name: str) -> None:
-        """SIGKILL."""
+        """SIGKILL the process."""
         node = self.nodes[name]
         node.members, node.waiting, node.stopped = None, [], False
 
     def leave(self, name: str) -> None:
-        """SIGTERM."""
+        """SIGTERM: the process announces that it leaves, and ends."""
         node = self.nodes[name]
         if node.members is not None:
-            self._carry_out(node, node.members.leave(self.now + node.ahead))
+            self._carry_out(node, node.members.leave(self.now + node.clock_lead))
         self.kill(name)
 
     def stop(self, name: str) -> None:
-        """SIGSTOP."""
+        """SIGSTOP the process."""
         self.nodes[name].stopped = True
 
     def resume(self, name: str) -> None:
-        """SIGCONT: what has come meanwhile is read at once."""
+        """SIGCONT the process: what arrived meanwhile is handled at once."""
         node = self.nodes[name]
         node.stopped = False
         waiting, node.waiting = node.waiting, []
-        for what in waiting:
-            what()
-        node.woken_for = -1
-        self._wake(node)
+        for callback in waiting:
+            callback()
+        node.tick_due = -1
+        self._schedule_tick(node)
 
-    def clock_ahead(self, name: str, by: int) -> None:
-        """Its clock jumps."""
+    def clock_ahead(self, name: str, nanoseconds: int) -> None:
+        """Move the node's clock ahead."""
         node = self.nodes[name]
-        node.ahead += by
-        node.woken_for = -1
-        self._wake(node)
+        node.clock_lead += nanoseconds
+        node.tick_due = -1
+        self._schedule_tick(node)
 
     def live(self) -> list[Node]:
-        """Nodes whose process runs."""
+        """Nodes with a process, stopped ones included."""
         return [node for node in self.nodes.values() if node.members is not None]
 
     def one_view(self) -> bool:
-        """Whether all that live hold one view, with just them in it."""
+        """Whether all live nodes hold one view that contains exactly these nodes."""
         live = self.live()
         views = {node.members.view for node in live if node.members is not None}
         return len(views) == 1 and all(
             node.members is not None and node.members.count == len(live) and node.members.local.active for node in live
         )
 
-    # ---- what happens to a process
+    # ---- events of a process
 
-    def _runs(self, node: Node, process: int, what: Callable[[], None]) -> None:
-        """Now, or once it runs again; never in another process."""
+    def _when_running(self, node: Node, process: int, callback: Callable[[], None]) -> None:
+        """Call ``callback`` now, or once the process runs again; not if another process has replaced it."""
         if node.members is None or node.process != process:
             return
         if node.stopped:
-            node.waiting.append(what)
+            node.waiting.append(callback)
             return
         if node.stall is not None:
-            gone = self.now % node.stall.every
-            if gone < node.stall.pause:
-                self.at(self.now + node.stall.pause - gone, lambda: self._runs(node, process, what))
+            elapsed = self.now % node.stall.period
+            if elapsed < node.stall.length:
+                self.at(self.now + node.stall.length - elapsed, lambda: self._when_running(node, process, callback))
                 return
-        what()
+        callback()
 
-    def _wake(self, node: Node) -> None:
+    def _schedule_tick(self, node: Node) -> None:
         members = node.members
-        if members is None or node.woken_for == members.next_at:
+        if members is None or node.tick_due == members.next_at:
             return
         due, process = members.next_at, node.process
-        node.woken_for = due
+        node.tick_due = due
 
         def tick() -> None:
-            if node.members is None or node.process != process or node.woken_for != due:
+            if node.members is None or node.process != process or node.tick_due != due:
                 return
 
-            def ticks() -> None:
-                if node.members is not None and node.woken_for == due:
-                    node.woken_for = -1
-                    self._carry_out(node, node.members.tick(self.now + node.ahead))
+            def run_tick() -> None:
+                if node.members is not None and node.tick_due == due:
+                    node.tick_due = -1
+                    self._carry_out(node, node.members.tick(self.now + node.clock_lead))
 
-            self._runs(node, process, ticks)
+            self._when_running(node, process, run_tick)
 
-        self.at(due - node.ahead, tick)
+        self.at(due - node.clock_lead, tick)
 
     def _carry_out(self, node: Node, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case SendFrame(place, frame, version):
-                    self._send(node, place, frame, version)
-                case StartExchange(place):
-                    self._exchange(node, place)
+                case SendFrame(address, frame, version):
+                    self._send(node, address, frame, version)
+                case StartExchange(address):
+                    self._full_exchange(node, address)
                 case StoreLife(life):
-                    self.at(self.now + MS, functools.partial(self._keep, node, node.process, life))
+                    self.at(self.now + MS, functools.partial(self._store_life, node, node.process, life))
                 case LogLine(text, _):
-                    self._note(node, text)
+                    self._log_line(node, text)
         if self.after_effects is not None:
             self.after_effects(node)
-        self._wake(node)
+        self._schedule_tick(node)
 
-    def _note(self, node: Node, text: str) -> None:
+    def _log_line(self, node: Node, text: str) -> None:
         if text.startswith("judges "):
-            whom = self.nodes[text.split()[1]]
-            held = None if node.members is None else node.members.table.get(whom.name)
+            subject = self.nodes[text.split()[1]]
+            held = None if node.members is None else node.members.table.get(subject.name)
             if held is not None:
-                there = whom.members is not None and whom.members.local.claim.identity == held.claim.identity
-                self.failures.append((self.now, node.name, whom.name, held.claim.identity, there))
-        if self.keep_notes:
-            self.notes.append(Seen(self.now, node.name, text))
+                running = subject.members is not None and subject.members.local.claim.identity == held.claim.identity
+                self.failures.append((self.now, node.name, subject.name, held.claim.identity, running))
+        if self.keep_log:
+            self.log.append(LogEntry(self.now, node.name, text))
 
-    def _keep(self, node: Node, process: int, life: int) -> None:
+    def _store_life(self, node: Node, process: int, life: int) -> None:
         if node.members is None or node.process != process:
             return
         node.life = max(node.life, life)
-        self._carry_out(node, node.members.life_stored(self.now + node.ahead, life))
+        self._carry_out(node, node.members.life_stored(self.now + node.clock_lead, life))
 
-    def _send(self, node: Node, place: SocketAddress, frame: fr.Frame, version: int) -> None:
+    def _send(self, node: Node, address: SocketAddress, frame: fr.Frame, version: int) -> None:
         data = (self.old_codec if node.old_secret else self.codec).encode(frame, version)
         if len(data) > self.settings.max_frame_bytes:
-            raise AssertionError(f"a frame of {len(data)} bytes")
+            raise AssertionError(f"frame of {len(data)} bytes exceeds the maximum")
         node.sent_frames += 1
         self._count_bytes(node, frame, len(data))
-        other = self.by_address.get(place)
+        other = self.by_address.get(address)
         if other is None:
             return
         for delay, arrived in self.links.transmit(node.name, other.name, data):
-            at = self.now + int((delay + LEAST_PASS) * SECOND)
-            self.at(at, lambda arrived=arrived: self._arrive(other, arrived, node.address))  # type: ignore[misc]
+            at = self.now + int((delay + MIN_DELAY_S) * SECOND)
+            self.at(at, lambda arrived=arrived: self._deliver(other, arrived, node.address))  # type: ignore[misc]
 
-    def _arrive(self, node: Node, data: bytes, source: SocketAddress) -> None:
-        def hears() -> None:
+    def _deliver(self, node: Node, data: bytes, source: SocketAddress) -> None:
+        def receive() -> None:
             assert node.members is not None
             if self.on_datagram is not None:
                 self.on_datagram(node, data)
@@ -285,63 +285,63 @@
             except fr.Refused as refused:
                 self.refused[refused.cause] += 1
                 return
-            self._carry_out(node, node.members.receive(self.now + node.ahead, frame, source))
+            self._carry_out(node, node.members.receive(self.now + node.clock_lead, frame, source))
 
-        self._runs(node, node.process, hears)
+        self._when_running(node, node.process, receive)
 
-    def _pass(self, first: Node, second: Node) -> int | None:
-        """How long a piece of a connection takes from one to the other (nanoseconds); None where it is cut."""
+    def _transfer_time(self, first: Node, second: Node) -> int | None:
+        """Nanoseconds that a frame takes over a connection; None where the connection is cut or times out."""
         if not self.links.connects(first.name, second.name):
             return None
-        fate = self.links.conditions(first.name, second.name)
-        delay = (fate.delay_ms + fate.jitter_ms * self._draw.random()) / 1000 + LEAST_PASS
-        while fate.loss and self._draw.random() < fate.loss:
-            delay += 0.2  # TCP's least time until it sends again (RFC 6298 has 1 s, systems use 0.2)
+        conditions = self.links.conditions(first.name, second.name)
+        delay = (conditions.delay_ms + conditions.jitter_ms * self._draw.random()) / 1000 + MIN_DELAY_S
+        while conditions.loss and self._draw.random() < conditions.loss:
+            delay += 0.2  # TCP's minimum retransmission timeout (RFC 6298: 1 s; systems use 0.2 s)
             if delay > 5:
                 return None
         return int(delay * SECOND)
 
-    def _exchange(self, node: Node, place: SocketAddress) -> None:
-        """Hello, Whole, Whole."""
-        other = self.by_address.get(place)
+    def _full_exchange(self, node: Node, address: SocketAddress) -> None:
+        """A full exchange: Hello, the answer's Whole, and the caller's Whole."""
+        other = self.by_address.get(address)
         if other is None or other is node or node.members is None:
             return
-        process, began = node.process, self.now + node.ahead
+        process, began = node.process, self.now + node.clock_lead
         hello = node.members.hello(began)
-        self._count_piece(node, hello)
+        self._count_connection_frame(node, hello)
 
-        def then(first: Node, second: Node, its: int, what: Callable[[], None]) -> None:
-            took = self._pass(first, second)
-            if took is not None:
-                self.at(self.now + took, lambda: self._runs(second, its, what))
+        def transfer(first: Node, second: Node, receiver: int, callback: Callable[[], None]) -> None:
+            duration = self._transfer_time(first, second)
+            if duration is not None:
+                self.at(self.now + duration, lambda: self._when_running(second, receiver, callback))
 
         def answer() -> None:
             assert other.members is not None
-            asked_at, its = self.now + other.ahead, other.process
+            asked_at, answering = self.now + other.clock_lead, other.process
             whole = other.members.answer_hello(asked_at, hello)
-            self._count_piece(other, whole)
+            self._count_connection_frame(other, whole)
 
-            def hear() -> None:
+            def receive_answer() -> None:
                 assert node.members is not None
-                ours, effects = node.members.receive_whole(self.now + node.ahead, whole, hello.number, began)
-                self._count_piece(node, ours)
+                ours, effects = node.members.receive_whole(self.now + node.clock_lead, whole, hello.number, began)
+                self._count_connection_frame(node, ours)
 
-                def hear_ours() -> None:
+                def receive_ours() -> None:
                     assert other.members is not None
-                    _, effects = other.members.receive_whole(self.now + other.ahead, ours, whole.ask, asked_at)
+                    _, effects = other.members.receive_whole(self.now + other.clock_lead, ours, whole.ask, asked_at)
                     self._carry_out(other, effects)
 
-                then(node, other, its, hear_ours)
+                transfer(node, other, answering, receive_ours)
                 self._carry_out(node, effects)
 
-            then(other, node, process, hear)
+            transfer(other, node, process, receive_answer)
 
         if other.members is not None:
-            then(node, other, other.process, answer)
+            transfer(node, other, other.process, answer)
 
-    def _count_piece(self, node: Node, frame: fr.Frame) -> None:
-        """A frame over a connection goes behind its length."""
-        self._count_bytes(node, frame, len(self.codec.encode(frame, 2)) + LENGTH)
+    def _count_connection_frame(self, node: Node, frame: fr.Frame) -> None:
+        """Count a frame on a connection, with its length field."""
+        self._count_bytes(node, frame, len(self.codec.encode(frame, 2)) + LENGTH_FIELD_BYTES)
 
     def _count_bytes(self, node: Node, frame: fr.Frame, size: int) -> None:
         node.sent_bytes += size
