--- a/garnetrelay/simulation/__init__.py
+++ b/garnetrelay/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet in one driven clock: the decisions of `fleet/` for up to 1,000 members, seeded links and faults."""
+"""Simulates a fleet of up to 1,000 members on one clock: the decision logic of `fleet/` with seeded links and faults."""
--- a/garnetrelay/simulation/lease_faults.py
+++ b/garnetrelay/simulation/lease_faults.py
@@ -1,4 +1,4 @@
-"""A random schedule of faults for controllers and hollow relays, drawn and played by its seed."""
+"""Random fault schedules for lease controllers and relays, generated and run from a seed."""
 
 from __future__ import annotations
 
@@ -13,21 +13,25 @@
 
 SETTINGS = Settings(partitions=16)
 RELAYS = 6
-FAULTS_LAST = 60 * SECOND
-DETECTED_AFTER = 3 * SECOND  # membership's part: a view without a relay that is gone
-MOST_RATE = 10_000  # millionths: one hundredth fast or slow
+FAULT_PERIOD_NS = 60 * SECOND
+DETECTION_DELAY_NS = 3 * SECOND  # until membership removes a killed relay from the view
+MAX_CLOCK_RATE_PPM = 10_000  # one hundredth fast or slow
 
 
 class Outcome(NamedTuple):
-    """What came of it. ``reassigned_after``: ns from the last fault until all had their owner; None: not in time."""
+    """Result of a run.
+
+    ``reassigned_after``: nanoseconds from the end of the faults until each partition had its assigned owner; None: not in
+    time.
+    """
 
     problems: list[str]
     reassigned_after: int | None
-    changes: int  # of owners
+    changes: int  # times that a relay gained a partition
 
 
 class FaultRun:
-    """One schedule."""
+    """One run of random faults."""
 
     def __init__(
         self,
@@ -36,147 +40,151 @@
         controller: type[Controller] = Controller,
         settings: Settings = SETTINGS,
     ) -> None:
-        self.world = world = LeaseSimulation(settings, RELAYS, seed, holder, controller)
+        self.simulation = simulation = LeaseSimulation(settings, RELAYS, seed, holder, controller)
         self.draw = random.Random(f"faults/{seed}")
-        self.there = set(range(RELAYS))
-        self.replaced_at = -(1 << 60)  # one folder at a time is lost or old: when the last one was
-        self.copies = [dict(folder) for folder in world.folders]
-        for process in (*world.controllers, *world.relays):
-            process.rate = self.draw.choice((-MOST_RATE, 0, MOST_RATE))
-        world.links.loss = self.draw.choice((0.0, 0.02, 0.1))
-        world.links.doubles = self.draw.choice((0.0, 0.05))
-        world.links.late = self.draw.choice((0.0, 0.02))
-        world.links.jitter = self.draw.choice((3 * MS, 100 * MS))
+        self.view = set(range(RELAYS))
+        self.replaced_at = -(1 << 60)  # time of the last replacement of a folder
+        self.copies = [dict(folder) for folder in simulation.folders]
+        for process in (*simulation.controllers, *simulation.relays):
+            process.rate = self.draw.choice((-MAX_CLOCK_RATE_PPM, 0, MAX_CLOCK_RATE_PPM))
+        simulation.links.loss = self.draw.choice((0.0, 0.02, 0.1))
+        simulation.links.doubles = self.draw.choice((0.0, 0.05))
+        simulation.links.late = self.draw.choice((0.0, 0.02))
+        simulation.links.jitter = self.draw.choice((3 * MS, 100 * MS))
 
     def run(self) -> Outcome:
-        """Faults for a minute, then all links and processes are whole again."""
-        world, settings = self.world, self.world.settings
+        """Inject faults for a minute, then repair everything and wait until each partition has its owner."""
+        simulation, settings = self.simulation, self.simulation.settings
         for number in range(settings.controllers):
-            world.start_controller(number)
-        world.run(settings.lease + 2 * SECOND)
+            simulation.start_controller(number)
+        simulation.run(settings.lease + 2 * SECOND)
         self.assign()
         for number in range(RELAYS):
-            world.start_relay(number)
-        world.run(world.now + 5 * SECOND)
-        last = world.now + FAULTS_LAST
+            simulation.start_relay(number)
+        simulation.run(simulation.now + 5 * SECOND)
+        last = simulation.now + FAULT_PERIOD_NS
         for _ in range(self.draw.randrange(4, 16)):
-            world.at(world.now + self.draw.randrange(FAULTS_LAST), self.fault)
-        world.run(last)
-        self.mend()
-        within = 3 * settings.lease + 2 * settings.max_retry
-        world.run(last + within, self.all_owned)
-        owned = world.now - last if self.all_owned() else None
-        return Outcome(world.problems, owned, sum(process.machine.event_counts["gained"] for process in world.relays))
+            simulation.at(simulation.now + self.draw.randrange(FAULT_PERIOD_NS), self.inject_fault)
+        simulation.run(last)
+        self.heal()
+        timeout = 3 * settings.lease + 2 * settings.max_retry
+        simulation.run(last + timeout, self.all_owned)
+        reassigned_after = simulation.now - last if self.all_owned() else None
+        return Outcome(
+            simulation.problems,
+            reassigned_after,
+            sum(process.machine.event_counts["gained"] for process in simulation.relays),
+        )
 
     def assign(self) -> None:
-        """The view's wishes, of those that it holds for there."""
-        owners = assign([f"r{number}" for number in self.there], self.world.settings.partitions)
+        """Assign the partitions to the relays that the view contains."""
+        owners = assign([f"r{number}" for number in self.view], self.simulation.settings.partitions)
         for number in range(RELAYS):
-            mine = {partition for partition, name in enumerate(owners) if name == f"r{number}"}
-            if self.world.assigned[number] != mine and self.world.relays[number].machine is not None:
-                self.world.at(
-                    self.world.now + self.draw.randrange(SECOND),
-                    lambda number=number: self.world.assign(number, self.world.assigned[number]),  # type: ignore[misc]
+            assigned = {partition for partition, name in enumerate(owners) if name == f"r{number}"}
+            if self.simulation.assigned[number] != assigned and self.simulation.relays[number].machine is not None:
+                self.simulation.at(
+                    self.simulation.now + self.draw.randrange(SECOND),
+                    lambda number=number: self.simulation.assign(number, self.simulation.assigned[number]),  # type: ignore[misc]
                 )
-            self.world.assigned[number] = frozenset(mine)
+            self.simulation.assigned[number] = frozenset(assigned)
 
     def all_owned(self) -> bool:
-        """Whether each partition has its owner."""
-        world = self.world
+        """Whether each relay owns exactly the partitions assigned to it."""
+        simulation = self.simulation
         return all(
-            process.machine.owned(process.clock(world.now)).keys() == world.assigned[process.number]
-            for process in world.relays
+            process.machine.owned(process.clock(simulation.now)).keys() == simulation.assigned[process.number]
+            for process in simulation.relays
         )
 
-    def fault(self) -> None:
-        """One of them."""
+    def inject_fault(self) -> None:
+        """Inject one random fault."""
         self.draw.choice(
             (
                 self.kill_relay,
-                self.stop,
-                self.stop,
-                self.cut,
-                self.cut,
+                self.stop_process,
+                self.stop_process,
+                self.cut_links,
+                self.cut_links,
                 self.restart_controller,
                 self.replace_folder,
-                self.view,
+                self.drop_from_view,
             )
         )()
 
     def kill_relay(self) -> None:
-        """It is gone for a while, or starts again at once."""
+        """Kill a relay; it starts again at once or later, when the view no longer contains it."""
         number = self.draw.randrange(RELAYS)
-        self.world.kill(self.world.relays[number])
-        back = self.draw.choice((500 * MS, 20 * SECOND))
-        if back > DETECTED_AFTER:
-            self.world.at(self.world.now + DETECTED_AFTER, lambda: self.leave(number))
-        self.world.at(self.world.now + back, lambda: self.come_back(number))
-
-    def leave(self, number: int) -> None:
-        """The view has lost it."""
-        if len(self.there) > 1:
-            self.there.discard(number)
+        self.simulation.kill(self.simulation.relays[number])
+        downtime = self.draw.choice((500 * MS, 20 * SECOND))
+        if downtime > DETECTION_DELAY_NS:
+            self.simulation.at(self.simulation.now + DETECTION_DELAY_NS, lambda: self.remove(number))
+        self.simulation.at(self.simulation.now + downtime, lambda: self.rejoin(number))
+
+    def remove(self, number: int) -> None:
+        """Remove a relay from the view, unless it is the last one."""
+        if len(self.view) > 1:
+            self.view.discard(number)
         self.assign()
 
-    def come_back(self, number: int) -> None:
-        """It is there again."""
-        self.there.add(number)
-        if not self.world.relays[number].up:
-            self.world.start_relay(number)
+    def rejoin(self, number: int) -> None:
+        """Return a relay to the view, and start it if it does not run."""
+        self.view.add(number)
+        if not self.simulation.relays[number].up:
+            self.simulation.start_relay(number)
         self.assign()
 
-    def view(self) -> None:
-        """The view loses one that is there, and finds it again."""
+    def drop_from_view(self) -> None:
+        """Remove a running relay from the view for 10 s."""
         number = self.draw.randrange(RELAYS)
-        self.leave(number)
-        self.world.at(self.world.now + 10 * SECOND, lambda: self.come_back(number))
+        self.remove(number)
+        self.simulation.at(self.simulation.now + 10 * SECOND, lambda: self.rejoin(number))
 
-    def stop(self) -> None:
-        """SIGSTOP of any process, for less or more than a lease."""
-        process = self.draw.choice((*self.world.controllers, *self.world.relays))
-        self.world.stop(process)
+    def stop_process(self) -> None:
+        """SIGSTOP a process for less or more than a lease."""
+        process = self.draw.choice((*self.simulation.controllers, *self.simulation.relays))
+        self.simulation.stop(process)
         time = self.draw.choice((2, 10, 18)) * SECOND
-        self.world.at(self.world.now + time, lambda: self.go_on(process))
+        self.simulation.at(self.simulation.now + time, lambda: self.resume(process))
 
-    def go_on(self, process: Process) -> None:
-        """SIGCONT, unless it ended meanwhile."""
+    def resume(self, process: Process) -> None:
+        """SIGCONT a process, unless it ended or was restarted meanwhile."""
         if process.up and process.stopped:
-            self.world.go_on(process)
-
-    def cut(self) -> None:
-        """Some processes apart from the others, both ways or one, for a while."""
-        names = [process.name for process in (*self.world.controllers, *self.world.relays)]
-        some = set(self.draw.sample(names, self.draw.randrange(1, len(names) // 2 + 1)))
-        pairs = {(one, other) for one in some for other in names if other not in some}
-        way = self.draw.randrange(3)
-        cut = set() if way == 2 else pairs
-        if way != 1:
+            self.simulation.resume(process)
+
+    def cut_links(self) -> None:
+        """Cut some processes off from the others, in one or both directions, for a while."""
+        names = [process.name for process in (*self.simulation.controllers, *self.simulation.relays)]
+        chosen = set(self.draw.sample(names, self.draw.randrange(1, len(names) // 2 + 1)))
+        pairs = {(one, other) for one in chosen for other in names if other not in chosen}
+        direction = self.draw.randrange(3)
+        cut = set() if direction == 2 else pairs
+        if direction != 1:
             cut = cut | {(other, one) for one, other in pairs}
-        self.world.links.cut |= cut
-        self.world.at(self.world.now + self.draw.choice((1, 8, 25)) * SECOND, self.world.links.cut.clear)
+        self.simulation.links.cut |= cut
+        self.simulation.at(self.simulation.now + self.draw.choice((1, 8, 25)) * SECOND, self.simulation.links.cut.clear)
 
     def restart_controller(self) -> None:
-        """One, or all at once."""
-        numbers = range(len(self.world.controllers))
+        """Restart one controller, or all at once; copy their folders first."""
+        numbers = range(len(self.simulation.controllers))
         for number in self.draw.choice((list(numbers), [self.draw.choice(numbers)], [self.draw.choice(numbers)])):
-            self.copies[number] = dict(self.world.folders[number])
-            self.world.start_controller(number)
+            self.copies[number] = dict(self.simulation.folders[number])
+            self.simulation.start_controller(number)
 
     def replace_folder(self) -> None:
-        """A controller starts with an empty folder or an old copy, where the last such one is ready again."""
-        if not all(process.machine.ready for process in self.world.controllers):
+        """Start a controller with an empty or old folder. Only one at a time: all controllers have to be ready."""
+        if not all(process.machine.ready for process in self.simulation.controllers):
             return
-        number = self.draw.randrange(len(self.world.controllers))
+        number = self.draw.randrange(len(self.simulation.controllers))
         lost = self.draw.random() < 0.5
-        self.world.start_controller(number, lost, None if lost else self.copies[number])
-
-    def mend(self) -> None:
-        """All is whole again."""
-        world = self.world
-        world.links.cut.clear()
-        world.links.loss = world.links.late = 0.0
-        for process in world.controllers:
-            self.go_on(process)
-        for process in world.relays:
-            self.go_on(process)
-            self.come_back(process.number)
+        self.simulation.start_controller(number, lost, None if lost else self.copies[number])
+
+    def heal(self) -> None:
+        """Repair all links, and start or resume all processes."""
+        simulation = self.simulation
+        simulation.links.cut.clear()
+        simulation.links.loss = simulation.links.late = 0.0
+        for process in simulation.controllers:
+            self.resume(process)
+        for process in simulation.relays:
+            self.resume(process)
+            self.rejoin(process.number)
--- a/garnetrelay/simulation/lease_simulation.py
+++ b/garnetrelay/simulation/lease_simulation.py
@@ -1,5 +1,7 @@
-"""Controllers and hollow relays in one driven clock: links that lose, delay, double and cut, processes that are killed
-and stopped, clocks that run fast or slow, folders that are lost. Looks on at every step: never two owners, epochs rise.
+"""Discrete-event simulation of lease controllers and of relays reduced to their lease holders, on one clock.
+
+Links lose, delay, duplicate and block messages; processes are killed and stopped; clocks run fast or slow; folders are
+lost. After every step of a relay it checks that no partition has two owners and that its epochs rise.
 """
 
 from __future__ import annotations
@@ -26,51 +28,51 @@
 )
 from garnetrelay.fleet.leases.settings import MS, SECOND, Settings
 
-FRAME = 20 + 28  # bytes besides a message: the fleet's head and digest, UDP and IPv4
+FRAME_OVERHEAD_BYTES = 20 + 28  # the fleet's frame header and digest; UDP and IPv4 headers
 MILLION = 1_000_000
 
 
 @dataclass(eq=False)
 class Process:
-    """A controller or a relay. Its clock runs ``rate`` millionths fast, from an offset of its own."""
+    """A controller or a relay. Its clock starts at ``offset`` ns and runs ``rate`` millionths fast."""
 
     name: str
-    number: int  # of a controller, or of a relay
+    number: int  # index among the controllers, or among the relays
     rate: int = 0
     offset: int = 0
     up: bool = True
     stopped: bool = False
-    waiting: list[Callable[[], None]] = field(default_factory=list)  # while it is stopped
+    waiting: list[Callable[[], None]] = field(default_factory=list)  # calls that arrived while it was stopped
     machine: Any = None
     generation: int = 0
-    timer: int = -1  # the moment of its next tick, in the world's clock
-    sent: dict[int, int] = field(default_factory=dict)  # bytes by second
+    timer: int = -1  # time of its next tick on the simulation's clock; -1: none
+    sent: dict[int, int] = field(default_factory=dict)  # bytes by second of the simulation's clock
     received: dict[int, int] = field(default_factory=dict)
 
     def clock(self, now: int) -> int:
-        """Its reading at a moment of the world's clock."""
+        """The process's clock reading at a time of the simulation's clock."""
         return self.offset + now * (MILLION + self.rate) // MILLION
 
-    def moment(self, reading: int) -> int:
-        """When its clock shows a reading."""
+    def time_of(self, reading: int) -> int:
+        """The simulation time at which the process's clock shows a reading."""
         return -(-(reading - self.offset) * MILLION // (MILLION + self.rate))
 
 
 @dataclass
 class Links:
-    """What happens to a message."""
+    """Conditions of all links. Times in nanoseconds."""
 
     loss: float = 0.0
     doubles: float = 0.0
     delay: int = 2 * MS
     jitter: int = 3 * MS
-    late: float = 0.0  # share of messages that take up to ``late_by`` longer
+    late: float = 0.0  # share of messages delayed by up to ``late_by`` more
     late_by: int = 20 * SECOND
-    cut: set[tuple[str, str]] = field(default_factory=set)  # from, to
+    cut: set[tuple[str, str]] = field(default_factory=set)  # blocked directions: sender, receiver
 
 
 class LeaseSimulation:
-    """Everything. ``wishes``: partitions by relay; the caller changes them through ``wish``."""
+    """Controllers, relays, links and folders. ``assigned``: partitions by relay, changed by ``assign``."""
 
     def __init__(
         self,
@@ -91,24 +93,24 @@
         self.folders: list[dict[int, Record]] = [{} for _ in self.controllers]
         self.assigned: list[frozenset[int]] = [frozenset()] * relays
         self.problems: list[str] = []
-        self.owner: dict[int, tuple[int, int, int]] = {}  # by partition: epoch, relay, its process
+        self.last_owners: dict[int, tuple[int, int, int]] = {}  # by partition: epoch, relay, generation of its process
         self._check_ownership = check_ownership
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = itertools.count()
         for process in (*self.controllers, *self.relays):
             process.offset = self.draw.randrange(1000 * SECOND)
 
-    # ---- time
+    # ---- clock
 
-    def at(self, moment: int, what: Callable[[], None]) -> None:
-        """Something happens at a moment."""
-        heapq.heappush(self._events, (max(moment, self.now), next(self._count), what))
+    def at(self, time: int, callback: Callable[[], None]) -> None:
+        """Schedule a call."""
+        heapq.heappush(self._events, (max(time, self.now), next(self._count), callback))
 
     def run(self, until: int, done: Callable[[], bool] = lambda: False) -> bool:
-        """Lets time pass; whether ``done`` came true."""
+        """Run until a time, or until ``done`` is true; return whether it is."""
         while self._events and self._events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
             if done():
                 return True
         self.now = until
@@ -117,7 +119,7 @@
     # ---- processes
 
     def start_controller(self, number: int, lost: bool = False, old: dict[int, Record] | None = None) -> None:
-        """A new process; ``lost``: its folder is empty, ``old``: a copy of before stands there."""
+        """Start a new process. ``lost``: its folder is empty; ``old``: an older copy replaces the folder."""
         process = self.controllers[number]
         if lost:
             self.folders[number] = {}
@@ -130,10 +132,10 @@
         process.machine = self.controller(
             number, boot, self.settings, list(self.folders[number].values()), now, folder_was_empty=lost
         )
-        self._arm(process)
+        self._schedule_tick(process)
 
     def start_relay(self, number: int) -> None:
-        """A new process, which wishes what it should own."""
+        """Start a new process with the partitions assigned to the relay."""
         process = self.relays[number]
         process.generation += 1
         process.up, process.stopped, process.waiting, process.timer = True, False, [], -1
@@ -142,57 +144,57 @@
         self.assign(number, self.assigned[number])
 
     def kill(self, process: Process) -> None:
-        """It ends without a word."""
+        """SIGKILL the process: it sends nothing more."""
         process.up = False
         process.generation += 1
 
     def stop(self, process: Process) -> None:
-        """SIGSTOP."""
+        """SIGSTOP the process."""
         process.stopped = True
 
-    def go_on(self, process: Process) -> None:
-        """SIGCONT: what came meanwhile is heard now."""
+    def resume(self, process: Process) -> None:
+        """SIGCONT the process: what arrived meanwhile is handled now."""
         process.stopped = False
         waiting, process.waiting = process.waiting, []
-        for what in waiting:
-            what()
-        self._arm(process)
+        for callback in waiting:
+            callback()
+        self._schedule_tick(process)
 
     def assign(self, number: int, partitions: Collection[int]) -> None:
-        """What a relay should own."""
+        """Set the partitions that a relay should own."""
         self.assigned[number] = frozenset(partitions)
         process = self.relays[number]
         if process.up and process.machine is not None:
-            self._do(process, lambda: process.machine.set_assigned(process.clock(self.now), self.assigned[number]))
+            self._execute(process, lambda: process.machine.set_assigned(process.clock(self.now), self.assigned[number]))
 
-    def _do(self, process: Process, act: Callable[[], list[Any]]) -> None:
+    def _execute(self, process: Process, act: Callable[[], list[Any]]) -> None:
         if not process.up:
             return
         if process.stopped:
-            process.waiting.append(lambda: self._do(process, act))
+            process.waiting.append(lambda: self._execute(process, act))
             return
         self._carry_out(process, act())
         if self._check_ownership and isinstance(process.machine, Holder):
             self._check(process)
-        self._arm(process)
+        self._schedule_tick(process)
 
-    def _arm(self, process: Process) -> None:
+    def _schedule_tick(self, process: Process) -> None:
         if not process.up or process.stopped:
             return
-        moment = max(process.moment(process.machine.next_at), self.now)
-        if process.timer >= self.now and process.timer <= moment and process.timer != -1:
+        time = max(process.time_of(process.machine.next_at), self.now)
+        if process.timer >= self.now and process.timer <= time and process.timer != -1:
             return
-        process.timer = moment
+        process.timer = time
         generation = process.generation
 
         def tick() -> None:
-            if process.generation != generation or process.timer != moment:
+            if process.generation != generation or process.timer != time:
                 return
             process.timer = -1
             if not process.stopped:
-                self._do(process, lambda: process.machine.tick(process.clock(self.now)))
+                self._execute(process, lambda: process.machine.tick(process.clock(self.now)))
 
-        self.at(moment, tick)
+        self.at(time, tick)
 
     # ---- messages
 
@@ -212,12 +214,12 @@
         def written() -> None:
             if process.generation == generation:
                 self.folders[process.number].update({record.partition: record for record in records})
-                self._do(process, lambda: process.machine.written(process.clock(self.now), ticket))
+                self._execute(process, lambda: process.machine.written(process.clock(self.now), ticket))
 
         self.at(self.now + MS + self.draw.randrange(4 * MS), written)
 
     def _send(self, sender: Process, receiver: Process, message: Message) -> None:
-        size = len(msgspec.msgpack.encode(message)) + FRAME
+        size = len(msgspec.msgpack.encode(message)) + FRAME_OVERHEAD_BYTES
         second = self.now // SECOND
         sender.sent[second] = sender.sent.get(second, 0) + size
         links, draw = self.links, self.draw
@@ -229,22 +231,22 @@
             delay = links.delay + draw.randrange(links.jitter + 1)
             if draw.random() < links.late:
                 delay += draw.randrange(links.late_by)
-            self.at(self.now + delay, lambda: self._hear(receiver, message, size))
+            self.at(self.now + delay, lambda: self._deliver(receiver, message, size))
 
-    def _hear(self, receiver: Process, message: Message, size: int) -> None:
+    def _deliver(self, receiver: Process, message: Message, size: int) -> None:
         if not receiver.up or receiver.machine is None:
             return
         second = self.now // SECOND
         receiver.received[second] = receiver.received.get(second, 0) + size
         if isinstance(message, Answer):
-            self._do(receiver, lambda: receiver.machine.receive(receiver.clock(self.now), message))
+            self._execute(receiver, lambda: receiver.machine.receive(receiver.clock(self.now), message))
         else:
-            self._do(receiver, lambda: receiver.machine.receive(receiver.clock(self.now), message, ""))
+            self._execute(receiver, lambda: receiver.machine.receive(receiver.clock(self.now), message, ""))
 
-    # ---- what has to hold
+    # ---- invariants
 
     def owns(self, process: Process, partition: int) -> int:
-        """The epoch in which a relay may act for a partition now; 0: it may not. Stopped ones may wake at any time."""
+        """The epoch in which a relay may act for a partition; 0: it may not. Stopped relays count: they may resume."""
         if not process.up or process.machine is None:
             return 0
         ownership: Ownership | None = process.machine.ownership(partition, process.clock(self.now))
@@ -252,18 +254,18 @@
 
     def _check(self, process: Process) -> None:
         for partition, ownership in process.machine.owned(process.clock(self.now)).items():
-            epoch, number, generation = self.owner.get(partition, (0, -1, -1))
+            epoch, number, generation = self.last_owners.get(partition, (0, -1, -1))
             if (number, generation) == (process.number, process.generation):
                 if ownership.epoch < epoch:
-                    self._say(f"partition {partition}: epoch {ownership.epoch} after {epoch} of the same relay")
+                    self._report(f"partition {partition}: epoch {ownership.epoch} after {epoch} in the same process")
             else:
                 other = self.relays[number]
                 if number >= 0 and other.generation == generation and self.owns(other, partition):
-                    self._say(f"partition {partition}: {process.name} and {other.name} own it")
+                    self._report(f"partition {partition}: owned by both {process.name} and {other.name}")
                 if ownership.epoch <= epoch:
-                    self._say(f"partition {partition}: {process.name} in epoch {ownership.epoch}, after {epoch}")
-            self.owner[partition] = ownership.epoch, process.number, process.generation
+                    self._report(f"partition {partition}: {process.name} has epoch {ownership.epoch}, not above {epoch}")
+            self.last_owners[partition] = ownership.epoch, process.number, process.generation
 
-    def _say(self, text: str) -> None:
+    def _report(self, text: str) -> None:
         if len(self.problems) < 10:
             self.problems.append(f"{self.now / SECOND:.3f} s: {text}")
