--- a/.ci/answers.py
+++ b/.ci/answers.py
@@ -1,4 +1,4 @@
-"""Starts the relay by the deploy file's command and sees that it answers PING and ends on SIGTERM."""
+"""Starts the relay with the deploy file's command and checks that it answers PING and exits on SIGTERM."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
         "limits": {"mostHeld": 10, "mostTries": 6, "connectTimeout": 10**9, "connIdle": 10**10},
     },
 }
-LONGEST = 30.0  # seconds for a start on a machine that is busy
+TIMEOUT_S = 30.0  # long enough for a start on a busy machine
 
 
 def ping(port: int) -> bytes:
-    end = time.monotonic() + LONGEST
+    end = time.monotonic() + TIMEOUT_S
     while True:
         try:
-            with socket.create_connection(("127.0.0.1", port), timeout=LONGEST) as client:
+            with socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S) as client:
                 client.sendall(b"*1\r\n$4\r\nPING\r\n")
                 return client.recv(100)
         except ConnectionRefusedError:
@@ -42,12 +42,12 @@
 
 
 def main() -> int:
-    with socket.socket() as free, socket.socket() as silent, tempfile.TemporaryDirectory() as folder:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-        free.close()
-        silent.bind(("127.0.0.1", 0))
-        discovery = f"127.0.0.1:{silent.getsockname()[1]}"
+    with socket.socket() as free_port, socket.socket() as unresponsive, tempfile.TemporaryDirectory() as folder:
+        free_port.bind(("127.0.0.1", 0))
+        port = free_port.getsockname()[1]
+        free_port.close()
+        unresponsive.bind(("127.0.0.1", 0))
+        discovery = f"127.0.0.1:{unresponsive.getsockname()[1]}"
         path = Path(folder, "config.json")
         path.write_text(json.dumps({**CONFIG, "discovery": discovery}))
         environment = {
@@ -62,10 +62,10 @@
         try:
             answer = ping(port)
             relay.terminate()
-            status = relay.wait(LONGEST)
+            status = relay.wait(TIMEOUT_S)
         finally:
             relay.kill()
-    print(f"run answered {answer!r} and ended with status {status}")
+    print(f"relay answered {answer!r} and exited with status {status}")
     return 0 if answer == b"+PONG\r\n" and status == 0 else 1
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a known fault which is not mended yet.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet.
 
-One line each: ``path::test | cause | issue``. A listed test still runs: it has to fail (one that passes is an error until
-its line is taken off), and the summary names it. At most three may be listed.
+One line per test: ``path::test | cause | issue``. A listed test still runs and has to fail: if it passes, that is an
+error until its line is removed. The summary names it. At most three tests may be listed.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 from pathlib import Path
 
 LIST = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
-FIELDS = 3
+MAX_LISTED = 3
+FIELD_COUNT = 3
 
 
 class KnownRedError(ValueError):
-    """The list can't be used; the text says why."""
+    """The list is invalid; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that is known to fail."""
+    """A test that is expected to fail."""
 
-    test: str  # as pytest names it, without parameters
+    test: str  # pytest's node id without parameters
     cause: str
     issue: str
 
 
 def read(text: str) -> list[KnownRed]:
-    """The listed tests; KnownRedError for a line that is none, a test listed twice, or too many of them."""
+    """The listed tests; KnownRedError for an invalid line, a test listed twice, or too many tests."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
-    listed = [_parsed(line) for line in lines]
-    if len(listed) > MOST:
-        raise KnownRedError(f"{len(listed)} tests are listed, at most {MOST} may be")
+    listed = [_parse(line) for line in lines]
+    if len(listed) > MAX_LISTED:
+        raise KnownRedError(f"{len(listed)} tests are listed, at most {MAX_LISTED} may be")
     if len({known.test for known in listed}) < len(listed):
         raise KnownRedError("a test is listed twice")
     return listed
 
 
-def _parsed(line: str) -> KnownRed:
+def _parse(line: str) -> KnownRed:
     fields = [field.strip() for field in line.split("|")]
-    if len(fields) != FIELDS or not all(fields) or "::" not in fields[0]:
+    if len(fields) != FIELD_COUNT or not all(fields) or "::" not in fields[0]:
         raise KnownRedError(f"not 'path::test | cause | issue': {line}")
     return KnownRed(*fields)
 
 
 def listed_now() -> list[KnownRed]:
-    """What the repository lists; nothing where there is no list."""
+    """The tests that the repository lists; none if there is no list."""
     return read(LIST.read_text()) if LIST.exists() else []
--- a/tests/scale/test_capacity_slopes.py
+++ b/tests/scale/test_capacity_slopes.py
@@ -1,4 +1,4 @@
-"""The line through measured points: slope, error, bends, values at other sizes."""
+"""Line fits through measured points: slope, error, bends, values at other sizes."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
     assert mark is Mark.COMPUTED
 
 
-def test_a_size_that_was_measured_is_told_as_it_was_measured() -> None:
+def test_a_measured_size_returns_the_measured_value() -> None:
     points = straight(5.0, 2.0)
     points[-1] = Point(10_000, 21_000.0)
     assert trend(points).at(10_000) == (21_000.0, Mark.MEASURED)
 
 
-def test_a_bend_is_found_where_it_is_and_only_what_lies_behind_it_counts_from_there() -> None:
+def test_a_bend_is_located_and_larger_sizes_use_only_the_points_behind_it() -> None:
     points = [Point(10, 10.0), Point(100, 100.0), Point(1_000, 1_000.0), Point(2_000, 11_000.0), Point(3_000, 21_000.0)]
     line = trend(points)
     assert line.bends == (1_000,)
     assert line.at(10_000)[0] == pytest.approx(91_000.0)
-    assert line.line.worst > 0.1  # the line through all does not fit, and says so
+    assert line.line.worst > 0.1  # the line through all points does not fit
 
 
-def test_a_line_that_levels_off_bends_too() -> None:
+def test_a_line_that_levels_off_has_a_bend() -> None:
     assert bends([Point(10, 10.0), Point(100, 100.0), Point(1_000, 105.0)]) == (100,)
 
 
-def test_noise_is_no_bend() -> None:
+def test_noise_is_not_a_bend() -> None:
     noisy = [Point(p.size, p.value * (1.1 if n % 2 else 0.9)) for n, p in enumerate(straight(0.0, 2.0))]
     line = trend(noisy)
     assert line.bends == ()
@@ -53,29 +53,29 @@
     assert line.line.worst == pytest.approx(0.1, abs=0.05)
 
 
-def test_what_does_not_depend_on_the_size_is_flat_and_never_negative() -> None:
+def test_a_value_independent_of_the_size_is_flat_and_not_negative() -> None:
     line = trend([Point(10, 5.0), Point(100, 5.3), Point(1_000, 4.9), Point(10_000, 5.1)])
     assert line.line.flat
     assert line.at(260_000) == (5.3, Mark.COMPUTED)
 
 
-def test_what_rises_only_at_the_end_is_not_flat() -> None:
+def test_a_value_that_rises_only_at_the_end_is_not_flat() -> None:
     line = trend([Point(10, 1.0), Point(100, 1.0), Point(1_000, 1.0), Point(10_000, 10.0), Point(20_000, 20.0)])
     assert not line.line.flat
     assert line.at(100_000)[0] > 90
 
 
-def test_two_sizes_give_a_slope_and_no_error_of_it() -> None:
+def test_two_sizes_give_a_slope_without_an_error() -> None:
     line = fit([Point(10, 10.0), Point(100, 100.0)])
     assert line.slope == pytest.approx(1.0)
     assert math.isnan(line.slope_error)
     assert not line.flat
 
 
-def test_one_size_gives_no_line() -> None:
+def test_one_size_is_an_error() -> None:
     with pytest.raises(ValueError, match="two sizes"):
         fit([Point(10, 1.0), Point(10, 1.1)])
 
 
-def test_small_rises_are_noise_and_no_bend() -> None:
+def test_small_rises_are_noise_and_not_a_bend() -> None:
     assert bends([Point(26, 0.31), Point(260, 0.33), Point(2_600, 0.32), Point(26_000, 0.36)]) == ()
--- a/tests/scale/test_capacity_table.py
+++ b/tests/scale/test_capacity_table.py
@@ -1,4 +1,4 @@
-"""The size by division, rows and their verdicts, sizes in processes of their own."""
+"""Capacity table: derived sizes, rows and their verdicts, and one process per measured size."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
     memory: float
 
 
-def planted(size: int) -> Sample:
+def measure(size: int) -> Sample:
     return Sample(1_000.0 * size)
 
 
 SUBJECT = Subject(
-    "planted",
+    "injected",
     "",
     "things",
     (1, 10, 100),
     (1, 10),
     Sample,
-    planted,
+    measure,
     (Quantity("memory", "memory", Unit.BYTES, 1_000_000, CONTROL_MEMORY),),
 )
 
 
-def test_the_size_by_division() -> None:
+def test_sizes_are_derived_from_the_given_size() -> None:
     assert SIZE.owned == 420
     assert SIZE.zone_relays == 103
     assert SIZE.down_destinations == 7_540
@@ -41,26 +41,26 @@
     assert round(SIZE.relay_backlog) == 8_064_516
 
 
-def test_figures_are_told_with_three_digits_and_a_unit() -> None:
+def test_quantities_have_three_digits_and_a_unit() -> None:
     assert quantity(1.19e9, Unit.BYTES) == "1.19 GB"
     assert quantity(0.0113, Unit.SECONDS) == "11.3 ms"
     assert quantity(0.017, Unit.CORES) == "1.70 % of a core"
     assert quantity(2_504.0, Unit.BYTES_A_SECOND) == "2.50 KB/s"
 
 
-def test_a_row_says_whether_its_budget_holds_and_by_how_much_not() -> None:
+def test_a_row_states_whether_its_budget_holds_and_by_how_much_it_is_exceeded() -> None:
     over = Row("a", "b", Unit.BYTES, 512e6, Mark.COMPUTED, CONTROL_MEMORY)
     assert verdict(over) == "NO, 2.0 times it"
     assert verdict(over._replace(value=128e6)) == "holds, 50.0% of it"
     assert verdict(over._replace(budget=None)) == "-"
 
 
-def test_rows_are_read_off_samples_and_kept_for_what_is_computed_from_them() -> None:
+def test_rows_come_from_samples_and_are_stored_for_computed_rows() -> None:
     results = Results()
-    (row,) = rows(SUBJECT, {size: planted(size) for size in SUBJECT.sizes}, results)
+    (row,) = rows(SUBJECT, {size: measure(size) for size in SUBJECT.sizes}, results)
     assert row.value == pytest.approx(1e9)
     assert row.mark is Mark.COMPUTED
-    kept = results.get("planted", "memory")
+    kept = results.get("injected", "memory")
     assert kept is not None
     assert kept.at(100) == (100_000.0, Mark.MEASURED)
     table = show([row]).splitlines()
@@ -69,22 +69,22 @@
     assert "NO, 3.9 times it" in table[2]
 
 
-def test_a_size_runs_in_a_process_of_its_own() -> None:
+def test_each_size_runs_in_its_own_process() -> None:
     found = sample(pacer.SUBJECT, 20)
     assert isinstance(found, pacer.Sample)
     assert found.whole_list > 0
 
 
-def test_a_size_that_fails_is_said_and_left_out(capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(FailedError, match="planted at 10 things"):
-        sample(SUBJECT, 10)  # the other process knows no subject of that name
+def test_a_failed_size_is_reported_and_left_out(capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(FailedError, match="injected at 10 things"):
+        sample(SUBJECT, 10)  # the child process has no subject of that name
     assert command.measured(SUBJECT, True, Results()) == []
-    said = capsys.readouterr().out
-    assert "failed: planted at 1 things" in said
-    assert "failed: planted at 10 things" in said
+    output = capsys.readouterr().out
+    assert "failed: injected at 1 things" in output
+    assert "failed: injected at 10 things" in output
 
 
-def test_all_subjects_have_four_sizes_and_read_only_fields_that_samples_have() -> None:
+def test_all_subjects_have_four_sizes_and_read_only_fields_of_their_samples() -> None:
     for subject in SUBJECTS:
         assert len(subject.sizes) >= 4
         assert max(subject.sizes) >= 10 * min(subject.sizes)
@@ -92,7 +92,7 @@
         assert {quantity.field for quantity in subject.quantities} <= fields
 
 
-def test_computed_rows_stand_alone_or_on_a_slope() -> None:
+def test_computed_rows_need_no_slope_or_have_one() -> None:
     without = protocols.rows(Results())
     assert not [row for row in without if "whole lists" in row.text]
     assert all(row.mark is Mark.COMPUTED and row.reason for row in (*without, *leases.rows()))
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,6 @@
-"""The rules of docs/ARCHITECTURE.md on who may import whom, read from the sources: nothing is imported here.
+"""Checks the import rules of docs/ARCHITECTURE.md on the source text; the modules are not imported.
 
-Every import counts, also one inside a function or for types only: a type's import is a dependency to a reader.
+Every import counts, also one inside a function or for types only: to a reader, a type's import is a dependency too.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 PRODUCT = ("starlingwick", "garnetrelay")
 
 # From the bottom up: a part may import parts of the layers before its own, and itself. A module belongs to the part with
-# the longest name that it starts with, so that a new subpackage stands under its package's rules until it has its own.
+# the longest prefix of its name, so that a new subpackage follows its package's rules until it has rules of its own.
 LAYERS: tuple[tuple[str, ...], ...] = (
     ("starlingwick",),
     ("garnetrelay.fleet.signing", "garnetrelay.ownership"),
@@ -47,8 +47,8 @@
     ("garnetrelay.cli",),
 )
 
-# What decides: told what happened and when, it neither asks the machine nor acts on it.
-DECISIONS = (
+# Decision logic: it is given events and times, and neither reads from nor acts on the operating system.
+DECISION_LOGIC = (
     "starlingwick",
     "garnetrelay.counters",
     "garnetrelay.fleet.leases",
@@ -68,13 +68,13 @@
     "garnetrelay.recovery_stats",
     "garnetrelay.handover.protocol",
 )
-PROGRAMS = ("starlingwick.wirehost",)  # under a name above, but a program round it
-MACHINE = frozenset(
+PROGRAMS = ("starlingwick.wirehost",)  # under a name above, but a program that runs the decision logic
+OS_MODULES = frozenset(
     "asyncio concurrent fcntl multiprocessing os pathlib secrets select selectors shutil signal socket subprocess "
     "tempfile threading time".split()
 )
 
-# Off unless the configuration switches it on, and then imported where it starts: never as the daemon's modules load.
+# Off unless the configuration enables it, and imported only where it starts: never while the daemon's modules load.
 OPTIONAL = (
     "garnetrelay.config.addresses",
     "garnetrelay.config.controller",
@@ -86,7 +86,7 @@
     "garnetrelay.handover",
 )
 
-# What only tools need (requirements-tools.txt); the deployed relay does without.
+# Libraries of the tools only (requirements-tools.txt); the deployed relay does not have them.
 TOOLS = frozenset({"click", "jinja2", "matplotlib", "rich"})
 TOOL_PARTS = ("garnetrelay.cli", "garnetrelay.rehearsal", "garnetrelay.simulation")
 
@@ -94,9 +94,9 @@
 class Import(NamedTuple):
     """One import in the source text."""
 
-    target: str  # the dotted name, of a module where it is one of ours
+    target: str  # the dotted name; a module's name for imports from this product
     line: int
-    loads: bool  # it runs as its module loads: not for types only, and in no function
+    loads: bool  # executed while its module loads: neither for types only nor inside a function
 
 
 def under(name: str, parts: tuple[str, ...]) -> bool:
@@ -153,46 +153,46 @@
 
 
 def layer_of(part: str) -> int:
-    """How high a part stands."""
+    """The index of a part's layer, from the bottom."""
     return next(number for number, layer in enumerate(LAYERS) if part in layer)
 
 
-def broken_layers(modules: Mapping[str, str]) -> list[str]:
-    """Each import of what does not stand below."""
-    broken = []
+def layer_violations(modules: Mapping[str, str]) -> list[str]:
+    """Each import of a part that is not in a lower layer."""
+    violations = []
     for module, text in modules.items():
         part = part_of(module)
         if part is None:
-            broken.append(f"{module}: in no layer: give it a place in LAYERS and in docs/ARCHITECTURE.md")
+            violations.append(f"{module}: in no layer: add it to LAYERS and to docs/ARCHITECTURE.md")
             continue
         for found in imports_of(text, modules):
             other = part_of(found.target) if under(found.target, PRODUCT) else part
             if found.target.startswith("."):
-                broken.append(f"{module}:{found.line}: imports are absolute, not {found.target}")
+                violations.append(f"{module}:{found.line}: imports are absolute, not {found.target}")
             elif other is not None and other != part and layer_of(other) >= layer_of(part):
-                broken.append(f"{module}:{found.line}: {found.target} is not below {part}")
-    return broken
+                violations.append(f"{module}:{found.line}: {found.target} is not below {part}")
+    return violations
 
 
-def broken_outside(modules: Mapping[str, str]) -> list[str]:
-    """Imports of tests by the product, of the machine by decisions, of tools' libraries by the relay."""
-    broken = []
+def outside_violations(modules: Mapping[str, str]) -> list[str]:
+    """Imports of tests by the product, of OS modules by decision logic, and of tools' libraries by the relay."""
+    violations = []
     for module, text in modules.items():
         for found in imports_of(text, modules):
             top = found.target.partition(".")[0]
             if top in ("tests", "benchmarks"):
-                broken.append(f"{module}:{found.line}: the product may not import {found.target}")
-            if top in MACHINE and under(module, DECISIONS) and not under(module, PROGRAMS):
-                broken.append(f"{module}:{found.line}: decides, and may not import {top}")
+                violations.append(f"{module}:{found.line}: the product may not import {found.target}")
+            if top in OS_MODULES and under(module, DECISION_LOGIC) and not under(module, PROGRAMS):
+                violations.append(f"{module}:{found.line}: decision logic may not import {top}")
             if top in TOOLS and not under(module, TOOL_PARTS):
-                broken.append(f"{module}:{found.line}: the relay does without {top}, which only tools have")
-    return broken
+                violations.append(f"{module}:{found.line}: only tools may import {top}")
+    return violations
 
 
-def broken_options(modules: Mapping[str, str]) -> list[str]:
-    """Features that are off and are loaded all the same."""
+def optional_violations(modules: Mapping[str, str]) -> list[str]:
+    """Imports that load optional features together with the daemon."""
     return [
-        f"{module}:{found.line}: {found.target} may be off, and is loaded with the daemon"
+        f"{module}:{found.line}: {found.target} is optional, but loaded with the daemon"
         for module, text in modules.items()
         if not under(module, OPTIONAL + TOOL_PARTS)
         for found in imports_of(text, modules)
@@ -200,8 +200,8 @@
     ]
 
 
-def circles(modules: Mapping[str, str]) -> list[str]:
-    """Modules that import each other, by whatever way round: one line a circle."""
+def import_cycles(modules: Mapping[str, str]) -> list[str]:
+    """Import cycles, direct or through other modules: one line per cycle."""
     edges = {
         module: sorted({found.target for found in imports_of(text, modules)} & modules.keys() - {module})
         for module, text in modules.items()
@@ -222,24 +222,24 @@
     return found
 
 
-def test_each_part_imports_only_what_stands_below_it() -> None:
-    assert broken_layers(sources()) == []
+def test_each_part_imports_only_lower_layers() -> None:
+    assert layer_violations(sources()) == []
 
 
-def test_decisions_ask_nothing_of_the_machine_and_the_relay_needs_no_tools() -> None:
-    assert broken_outside(sources()) == []
+def test_decision_logic_imports_no_os_modules_and_the_relay_no_tools() -> None:
+    assert outside_violations(sources()) == []
 
 
-def test_what_is_off_is_not_loaded() -> None:
-    assert broken_options(sources()) == []
+def test_optional_features_are_not_loaded_with_the_daemon() -> None:
+    assert optional_violations(sources()) == []
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    assert circles(sources()) == []
+def test_there_are_no_import_cycles() -> None:
+    assert import_cycles(sources()) == []
 
 
 def layers_of(page: str) -> list[set[str]]:
-    """The layers as the page has them, from the bottom up, by the modules' dotted names."""
+    """The layers of the page's table, from the bottom up, by the modules' paths."""
     table = page.partition("| layer, from the top | parts |")[2].partition("\n\n")[0]
     rows = [re.findall(r"`([\w/]+)`", line) for line in table.splitlines()[2:]]
     return [
@@ -247,7 +247,7 @@
     ]
 
 
-def test_the_page_has_the_same_layers() -> None:
+def test_the_page_lists_the_same_layers() -> None:
     page = (ROOT / "docs/ARCHITECTURE.md").read_text()
     expected = [{part.replace(".", "/") for part in layer} - {"garnetrelay"} for layer in LAYERS]
     assert layers_of(page) == expected
@@ -255,17 +255,17 @@
 
 def test_every_part_that_a_rule_names_exists() -> None:
     modules = sources()
-    for part in (*itertools.chain(*LAYERS), *DECISIONS, *PROGRAMS, *OPTIONAL, *TOOL_PARTS):
-        assert any(under(name, (part,)) for name in modules), f"a rule names {part}, which is gone"
+    for part in (*itertools.chain(*LAYERS), *DECISION_LOGIC, *PROGRAMS, *OPTIONAL, *TOOL_PARTS):
+        assert any(under(name, (part,)) for name in modules), f"a rule names {part}, which does not exist"
 
 
-# Planted faults: a module's text that breaks one rule, and what is said of it.
-PLANTED = {
+# Injected faults: module texts that break one rule, and the messages expected for them.
+INJECTED_FAULTS = {
     "a lower part imports a higher": (
         {"garnetrelay.store.x": "from garnetrelay.config import y", "garnetrelay.config.y": ""},
         ["garnetrelay.store.x:1: garnetrelay.config.y is not below garnetrelay.store"],
     ),
-    "a neighbour, for types only": (
+    "a part of the same layer, for types only": (
         {
             "garnetrelay.fronts.x": "import io\nif TYPE_CHECKING:\n    import garnetrelay.delivery.y",
             "garnetrelay.delivery.y": "",
@@ -278,29 +278,29 @@
     ),
     "a package without a layer": (
         {"garnetrelay.new.x": ""},
-        ["garnetrelay.new.x: in no layer: give it a place in LAYERS and in docs/ARCHITECTURE.md"],
+        ["garnetrelay.new.x: in no layer: add it to LAYERS and to docs/ARCHITECTURE.md"],
     ),
     "a relative import": (
         {"garnetrelay.store.x": "from . import y"},
         ["garnetrelay.store.x:1: imports are absolute, not ."],
     ),
-    "a decision reads the clock": (
+    "decision logic reads the clock": (
         {"garnetrelay.fleet.leases.x": "import time"},
-        ["garnetrelay.fleet.leases.x:1: decides, and may not import time"],
+        ["garnetrelay.fleet.leases.x:1: decision logic may not import time"],
     ),
     "the relay imports a tool's library": (
         {"garnetrelay.relay": "from rich.table import Table"},
-        ["garnetrelay.relay:1: the relay does without rich, which only tools have"],
+        ["garnetrelay.relay:1: only tools may import rich"],
     ),
     "the product imports tests": (
         {"garnetrelay.relay": "import tests.helpers"},
         ["garnetrelay.relay:1: the product may not import tests.helpers"],
     ),
-    "a feature that may be off is loaded": (
+    "an optional feature is loaded": (
         {"garnetrelay.relay": "if True:\n    import garnetrelay.fleet.x", "garnetrelay.fleet.x": ""},
-        ["garnetrelay.relay:2: garnetrelay.fleet.x may be off, and is loaded with the daemon"],
+        ["garnetrelay.relay:2: garnetrelay.fleet.x is optional, but loaded with the daemon"],
     ),
-    "a circle of three, one for types only": (
+    "a cycle of three, one for types only": (
         {
             "garnetrelay.store.x": "import garnetrelay.store.y",
             "garnetrelay.store.y": "def f():\n    from garnetrelay.store import z",
@@ -311,13 +311,16 @@
 }
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_a_planted_fault_is_said(fault: str) -> None:
-    modules, said = PLANTED[fault]
-    assert broken_layers(modules) + broken_outside(modules) + broken_options(modules) + circles(modules) == said
+@pytest.mark.parametrize("fault", INJECTED_FAULTS)
+def test_an_injected_fault_is_reported(fault: str) -> None:
+    modules, expected = INJECTED_FAULTS[fault]
+    assert (
+        layer_violations(modules) + outside_violations(modules) + optional_violations(modules) + import_cycles(modules)
+        == expected
+    )
 
 
-def test_what_is_allowed_is_not_said() -> None:
+def test_allowed_imports_are_not_reported() -> None:
     modules = {
         "garnetrelay.relay": "def f():\n    import garnetrelay.fleet.x\nif TYPE_CHECKING:\n    import garnetrelay.fleet",
         "garnetrelay.fleet.x": "import asyncio, garnetrelay.fleet.members.y",
@@ -326,4 +329,7 @@
         "garnetrelay.rehearsal.w": "import rich",
         "starlingwick.wirehost": "import sys, time",
     }
-    assert broken_layers(modules) + broken_outside(modules) + broken_options(modules) + circles(modules) == []
+    assert (
+        layer_violations(modules) + outside_violations(modules) + optional_violations(modules) + import_cycles(modules)
+        == []
+    )
