--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -17,13 +17,13 @@
 from garnetrelay.rehearsal.checker import Checker, Verdict, figures_of
 from garnetrelay.rehearsal.clients import Crowd
 from garnetrelay.rehearsal.clock import Clock, run_watched
+from garnetrelay.rehearsal.discovery_server import Entry, Register
 from garnetrelay.rehearsal.links.script import Move
 from garnetrelay.rehearsal.links.stage import LOOK_EVERY, Met, Stage
 from garnetrelay.rehearsal.misbehaving_clients import MisbehavingClients
 from garnetrelay.rehearsal.observer import Observer
 from garnetrelay.rehearsal.partners.endpoints import Partners
 from garnetrelay.rehearsal.plan import SECOND, Plan, Step
-from garnetrelay.rehearsal.register import Entry, Register
 from garnetrelay.rehearsal.relays import START_TRIES, RelayProcess, StartError
 from garnetrelay.rehearsal.scenario import TROUBLES, Scenario
 from garnetrelay.rehearsal.tally import Tally
