--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -204,7 +204,7 @@
         self.observer.see(ev.Step(at, since, " ".join([spec.what, where.strip(", ")]).strip(), step.partners))
         if spec.what in TROUBLES:
             for number in step.partners:
-                self.partners.strike(number, spec.what, self.began + step.ends, spec.share, spec.factor)
+                self.partners.inject_fault(number, spec.what, self.began + step.ends, spec.share, spec.factor)
             self._then(step, self._heal, step)
         elif spec.what in ("restart", "kill"):
             self._spawn(self._restart(step))
@@ -230,8 +230,8 @@
         elif spec.what in ("drain", "replace"):
             self._spawn(self._drain(step))
         elif spec.what == "reports-absurd":
-            self.partners.absurd.update(step.partners)
-            self._then(step, self.partners.absurd.difference_update, step.partners)
+            self.partners.invalid_load_reports.update(step.partners)
+            self._then(step, self.partners.invalid_load_reports.difference_update, step.partners)
         elif spec.what == "bad-clients":
             for relay in self.relays.values():
                 # The seed keeps its word: earlier runs can be played again.
@@ -246,7 +246,7 @@
     def _heal(self, step: Step) -> None:
         ramp = self.plan.settings["rules"]["rampTime"]
         for number in step.partners:
-            self.partners.heal(number, step.spec.start if step.spec.cold else None, ramp if step.spec.cold else 0)
+            self.partners.clear_fault(number, step.spec.start if step.spec.cold else None, ramp if step.spec.cold else 0)
 
     # ---- relays that know each other
 
@@ -364,9 +364,9 @@
                     raise StartError(f"{relay.name}: no yes to OFFLINE {route}")
                 await asyncio.sleep(0.1)
         await asyncio.sleep(self.plan.settings["rules"]["drainGrace"] / SECOND + 0.5)
-        self.partners.strike_route(number, route)
+        self.partners.take_down_route(number, route)
         await asyncio.sleep(step.spec.seconds)
-        self.partners.heal_route(number, route, step.spec.start, self.plan.settings["rules"]["rampTime"])
+        self.partners.clear_route_fault(number, route, step.spec.start, self.plan.settings["rules"]["rampTime"])
         for relay in relays:
             while not (relay.ready and await relay.exclude(route, False)):
                 await asyncio.sleep(0.1)
--- a/garnetrelay/rehearsal/partners/__init__.py
+++ b/garnetrelay/rehearsal/partners/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in partners: what one would do (model, no I/O), and its endpoints on loopback."""
+"""Simulated partners: the model of their behaviour (no I/O) and their HTTP endpoints on loopback."""
--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -1,5 +1,7 @@
-"""The stand-in partners' endpoints: sockets, timers and effects round the model. Each relay has a port of its own at
-each endpoint, so that who calls is known without asking."""
+"""HTTP endpoints of the simulated partners: sockets, timers and recorded effects around the model.
+
+Each endpoint listens on a separate port for each relay, so the port identifies the calling relay.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +12,12 @@
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.http import Call, Connection, HttpServer
 from garnetrelay.rehearsal.observer import Observer
-from garnetrelay.rehearsal.partners.model import Due, Partner, Reply, Trouble
+from garnetrelay.rehearsal.partners.model import InjectedFault, Partner, Reply, ScheduledReply
 from garnetrelay.rehearsal.plan import Plan, RoutePlan
 
 SECOND = 1_000_000_000
-SOON = SECOND  # a connection that ends so soon after an answer may not have carried it
-ABSURD = (
+ANSWER_LOSS_WINDOW_NS = SECOND  # an answer may be lost if its connection ends within this time after it
+INVALID_LOAD_HEADERS = (
     "X-Server-Load: x0=-7,x1=1e300",
     "X-Server-Load: x0=nan,x1=nan",
     "X-Server-Load: " + "9" * 400,
@@ -24,8 +26,8 @@
 )
 
 
-class Door(HttpServer):
-    """One endpoint as one relay reaches it."""
+class Listener(HttpServer):
+    """The listener of one endpoint for one relay."""
 
     def __init__(self, partners: Partners, partner: Partner, route: str, relay: str) -> None:
         super().__init__(self._request, partners.observer.clock)
@@ -33,53 +35,63 @@
         self.partner = partner
         self.route = route
         self.relay = relay
-        self.open: dict[int, Call] = {}  # calls without an answer
-        self.calls: dict[int, Call] = {}  # those that the partner has started or queued
+        self.unanswered: dict[int, Call] = {}  # calls without an answer, by number
+        self.accepted: dict[int, Call] = {}  # calls that the partner has started or queued
 
     @property
-    def trouble(self) -> Trouble | None:
-        """What is wrong with this endpoint now; None where nothing is."""
-        return self.partner.routes[self.route].scope.trouble
+    def fault(self) -> InjectedFault | None:
+        """The current fault of this endpoint, or None."""
+        return self.partner.routes[self.route].scope.fault
 
     def opened(self, connection: Connection) -> None:
-        """A relay has connected: refused where the endpoint is down, and turned away where it holds too many."""
-        trouble = self.trouble
-        if trouble is not None and trouble.how == "down":
+        """Handle a new connection: reset it if the endpoint is down; mark it if the endpoint has too many connections."""
+        fault = self.fault
+        if fault is not None and fault.kind == "down":
             at, since = self.partners.observer.read()
             self.partners.observer.see(ev.ConnectFailed(at, since, self.relay, self.route))
             connection.broken_off = True
             if connection.transport is not None:
                 connection.transport.abort()
-        most = self.partner.plan.connections
-        if most and sum(len(door.connections) for door in self.partners.doors[self.route].values()) > most:
+        max_connections = self.partner.plan.connections
+        if (
+            max_connections
+            and sum(len(listener.connections) for listener in self.partners.listeners[self.route].values())
+            > max_connections
+        ):
             connection.turned_away = True
 
     def first_bytes(self, connection: Connection) -> bool:
-        """Whether a call may be read that begins now; a silent endpoint and some resets break it off here."""
-        trouble = self.trouble
-        if trouble is None:
+        """Whether to read a call whose first bytes have arrived.
+
+        An unresponsive endpoint stops reading here, and some resets happen here.
+        """
+        fault = self.fault
+        if fault is None:
             return True
-        if trouble.how == "silent":
-            connection.broken_off = True  # nothing of it is read any more; its end is still noticed
+        if fault.kind == "silent":
+            connection.broken_off = True  # nothing more is read from it; its end is still detected
             return False
-        if trouble.how == "reset" and self.partner.random.random() < trouble.share / 2:
-            connection.broken_off = True  # before the last byte: it never ran
+        if fault.kind == "reset" and self.partner.random.random() < fault.share / 2:
+            connection.broken_off = True  # reset before the last byte: the call never ran
             if connection.transport is not None:
                 connection.transport.abort()
             return False
         return True
 
     def closed(self, connection: Connection) -> None:
-        """A relay's connection has ended: the record says so of a call that it cut short."""
+        """Handle the end of a relay's connection, and record it for a call that it interrupted."""
         call, observer = connection.last, self.partners.observer
         if call is None or not call.number:
             return
         at, since = observer.ended()
         since = connection.not_before(since)
-        waiting = self.open.pop(call.number, None)
-        if waiting is not None and self.partner.gone(self.route, call.number):
-            self.calls.pop(call.number, None)
-        if waiting is not None or self.partners.answered_at.get(call.number, -SOON) > since - SOON:
+        pending = self.unanswered.pop(call.number, None)
+        if pending is not None and self.partner.connection_closed(self.route, call.number):
+            self.accepted.pop(call.number, None)
+        if (
+            pending is not None
+            or self.partners.answered_at.get(call.number, -ANSWER_LOSS_WINDOW_NS) > since - ANSWER_LOSS_WINDOW_NS
+        ):
             by = "partner" if connection.broken_off else "relay"
             observer.see(ev.CallEnded(at, since, call.number, by))
 
@@ -97,44 +109,44 @@
         ref = call.headers.get("x-request-id", "")
         call.number, call.came = next(self.partners.numbers), now
         observer.see(ev.CallCame(now, since, call.number, self.relay, self.route, ref, call.first))
-        self.open[call.number] = call
+        self.unanswered[call.number] = call
         scope = self.partner.routes[self.route].scope
         fallen = scope.fallen
-        what: Reply | Due | None
+        outcome: Reply | ScheduledReply | None
         if call.method != "POST" or call.target != "/hook" or not ref:
-            what = Reply(400)
-        elif call.connection.turned_away:  # it holds no more connections than it does
-            what = Reply(503, tells_load=False)
+            outcome = Reply(400)
+        elif call.connection.turned_away:  # the endpoint has too many connections
+            outcome = Reply(503, reports_load=False)
         else:
-            what = self.partner.arrive(now, self.route, call.number)
+            outcome = self.partner.arrive(now, self.route, call.number)
         if scope.fallen and not fallen:
             observer.see(ev.FellOver(now, now, scope.name))
-        if not isinstance(what, Reply):
-            self.calls[call.number] = call
-        if isinstance(what, Due):
-            self.partners.begin(self, what)
-        elif what is not None:
-            self.reply(call, what)
+        if not isinstance(outcome, Reply):
+            self.accepted[call.number] = call
+        if isinstance(outcome, ScheduledReply):
+            self.partners.schedule_reply(self, outcome)
+        elif outcome is not None:
+            self.reply(call, outcome)
 
     def reply(self, call: Call, reply: Reply) -> None:
-        """Answer a call as the model has it, if anybody is still there to hear it."""
+        """Answer a call as the model decided, if its connection is still open."""
         observer = self.partners.observer
         at, _ = observer.did()
         if reply.runs:
-            self._effect(call, at)
-        trouble = self.trouble
-        if reply.silent or trouble is not None and trouble.how in ("silent", "down", "hang") and reply.status == 200:
+            self._record_effect(call, at)
+        fault = self.fault
+        if reply.no_answer or fault is not None and fault.kind in ("silent", "down", "hang") and reply.status == 200:
             return
-        if self.open.pop(call.number, None) is None:
-            return  # its connection is gone
-        if reply.breaks:
+        if self.unanswered.pop(call.number, None) is None:
+            return  # its connection is closed
+        if reply.resets:
             observer.see(ev.CallEnded(at, at, call.number, "partner"))
             call.break_off()
             return
         self.partners.note_answer(call.number, at)
-        if reply.spoilt:
+        if reply.malformed:
             observer.see(ev.CallAnswered(at, at, call.number, 0, readable=False))
-            call.raw(reply.spoilt)
+            call.raw(reply.malformed)
             return
         observer.see(ev.CallAnswered(at, at, call.number, reply.status, reply.wait_ms * 1_000_000))
         if reply.status == 200:
@@ -142,33 +154,33 @@
         headers = []
         if reply.wait_ms:
             headers.append(f"X-Backoff-Ms: {reply.wait_ms}")
-        if reply.tells_load and (load := self.partner.load(at, self.route)) is not None:
-            absurd = self.partner.plan.number in self.partners.absurd
-            told = f"X-Server-Load: x0={load[0]:.4f},x1={load[1]:.3f}"
-            headers.append(ABSURD[call.number % len(ABSURD)] if absurd else told)
+        if reply.reports_load and (load := self.partner.load(at, self.route)) is not None:
+            invalid = self.partner.plan.number in self.partners.invalid_load_reports
+            header = f"X-Server-Load: x0={load[0]:.4f},x1={load[1]:.3f}"
+            headers.append(INVALID_LOAD_HEADERS[call.number % len(INVALID_LOAD_HEADERS)] if invalid else header)
         call.answer(reply.status, *headers)
-        breaking = trouble is not None and trouble.how == "reset" and self.partner.random.random() < trouble.share
-        if reply.wait_ms and breaking:
-            # A wait on a connection that breaks: with a reset behind it, it may never be read.
+        ends_connection = fault is not None and fault.kind == "reset" and self.partner.random.random() < fault.share
+        if reply.wait_ms and ends_connection:
+            # The connection ends after an answer with a wait. After a reset, the relay may never read that answer.
             (call.close if call.number % 2 else call.break_off)()
 
-    def _effect(self, call: Call, at: int) -> None:
-        """The call has run: an effect, unless it is a repeat that is recognised here."""
+    def _record_effect(self, call: Call, at: int) -> None:
+        """Record the effect of a call that has run, unless it is recognised as a repeat."""
         zone = self.partner.routes[self.route].plan.zone
         klass = call.body.split(b"|", 2)[1].decode("latin-1") if call.body.count(b"|") >= 2 else ""
         key = call.headers.get("idempotency-key", "")
-        window = self.partners.windows.get(klass)
+        window = self.partners.repeat_windows.get(klass)
         if window is not None and key:
-            place = (self.partner.plan.number, zone if window[1] else "", key)
-            ran = self.partners.remembered.get(place)
+            scoped_key = (self.partner.plan.number, zone if window[1] else "", key)
+            ran = self.partners.remembered_keys.get(scoped_key)
             if ran is not None and call.came < ran + window[0]:
-                return  # it came while the key was remembered, however long it took to its turn
-            self.partners.remembered[place] = at
+                return  # the key was still remembered when the call arrived, however long the call was queued
+            self.partners.remembered_keys[scoped_key] = at
         self.partners.observer.see(ev.Effect(at, at, call.number, call.headers.get("x-request-id", ""), zone))
 
 
 class Partners:
-    """All stand-in partners of a run. ``on_delivered`` hears of each message that is answered with 200."""
+    """All simulated partners of a run. ``on_delivered`` is called with the ref of each message answered with 200."""
 
     def __init__(self, plan: Plan, observer: Observer, on_delivered: Callable[[str], None]) -> None:
         self.plan = plan
@@ -178,34 +190,34 @@
         self.partners = {
             partner.number: Partner(partner, plan.seed, rules["fall"], rules["fallMultiple"]) for partner in plan.partners
         }
-        self.doors: dict[str, dict[str, Door]] = {}  # by route and relay
+        self.listeners: dict[str, dict[str, Listener]] = {}  # by route and relay
         self.numbers = itertools.count(1)
-        self.absurd: set[int] = set()
-        self.out: set[str] = set()  # scopes in an outage
-        self.answered_at: dict[int, int] = {}  # of the calls answered last
-        self.remembered: dict[tuple[int, str, str], int] = {}  # keys, by partner and building
-        self.windows = {
+        self.invalid_load_reports: set[int] = set()
+        self.in_outage: set[str] = set()  # names of scopes that have an outage
+        self.answered_at: dict[int, int] = {}  # of the most recently answered calls
+        self.remembered_keys: dict[tuple[int, str, str], int] = {}  # time of the effect, by partner, zone (or "") and key
+        self.repeat_windows = {
             c["name"]: (c["repeatWindow"], c["keyScope"] == "zone")
             for c in plan.settings["classes"]
             if c["idempotency"] == "dedup"
         }
         self._timers: set[asyncio.TimerHandle] = set()
-        self._new = itertools.count(1)
+        self._replacement_numbers = itertools.count(1)
 
     async def start(self) -> None:
-        """Listen for every route of every partner, and put the world on record."""
+        """Listen for every route of every partner, and record the routes."""
         for partner in self.plan.partners:
             for route in partner.routes:
                 await self._open(partner.number, route.name)
-        self._tell_world()
+        self._record_routes()
 
     async def _open(self, number: int, route: str) -> None:
-        self.doors[route] = {}
+        self.listeners[route] = {}
         for relay in self.plan.relays:
-            door = self.doors[route][relay] = Door(self, self.partners[number], route, relay)
-            await door.start()
+            listener = self.listeners[route][relay] = Listener(self, self.partners[number], route, relay)
+            await listener.start()
 
-    def _tell_world(self) -> None:
+    def _record_routes(self) -> None:
         at, since = self.observer.did()
         self.observer.see(
             ev.World(
@@ -220,112 +232,112 @@
         )
 
     async def stop(self) -> None:
-        """Cut all connections off; nothing more happens to the partners."""
+        """Cancel all timers, stop listening and abort all connections."""
         for timer in self._timers:
             timer.cancel()
-        for doors in self.doors.values():
-            for door in doors.values():
-                await door.stop()
+        for listeners in self.listeners.values():
+            for listener in listeners.values():
+                await listener.stop()
 
     def note_answer(self, call: int, at: int) -> None:
-        """Remember when a call was answered, for a while."""
+        """Store when a call was answered; the oldest entries are evicted."""
         self.answered_at[call] = at
         if len(self.answered_at) > 20_000:
             for old in list(itertools.islice(self.answered_at, 10_000)):
                 del self.answered_at[old]
 
-    def begin(self, door: Door, due: Due) -> None:
-        """A call has been started: see to its answer in time."""
+    def schedule_reply(self, listener: Listener, scheduled: ScheduledReply) -> None:
+        """Schedule the reply to a started call."""
         loop = asyncio.get_running_loop()
         handle: asyncio.TimerHandle
 
         def finish() -> None:
             self._timers.discard(handle)
-            call = door.calls.pop(due.call, None)
+            call = listener.accepted.pop(scheduled.call, None)
             if call is not None:
-                door.reply(call, due.reply)
-            for following in door.partner.finish(self.observer.clock.now(), door.route, due.call):
-                # It may have come through another relay's door.
-                self.begin(self._door_of(door.route, following.call) or door, following)
+                listener.reply(call, scheduled.reply)
+            for following in listener.partner.finish(self.observer.clock.now(), listener.route, scheduled.call):
+                # The queued call may have arrived through another relay's listener.
+                self.schedule_reply(self._find_listener(listener.route, following.call) or listener, following)
 
-        handle = loop.call_at(self.observer.clock.loop_time(due.at), finish)
+        handle = loop.call_at(self.observer.clock.loop_time(scheduled.at), finish)
         self._timers.add(handle)
 
-    def _door_of(self, route: str, call: int) -> Door | None:
-        return next((door for door in self.doors[route].values() if call in door.calls), None)
+    def _find_listener(self, route: str, call: int) -> Listener | None:
+        return next((listener for listener in self.listeners[route].values() if call in listener.accepted), None)
 
-    # ---- troubles
+    # ---- faults
 
-    def strike(self, number: int, how: str, until: int, share: float, factor: float) -> None:
-        """Something goes wrong with all of a partner."""
+    def inject_fault(self, number: int, kind: str, until: int, share: float, factor: float) -> None:
+        """Inject a fault into all scopes of a partner."""
         now = self.observer.clock.now()
         partner = self.partners[number]
         for scope in partner.plan.scopes:
-            partner.strike(now, scope, Trouble(how, until, share, factor))
-            if how not in ("slow", "spoil", "reset") and share >= 0.5:
-                self.out.add(scope)
-                self.observer.see(ev.OutageBegan(now, now, scope, how))
-        if how == "down":
+            partner.inject_fault(now, scope, InjectedFault(kind, until, share, factor))
+            if kind not in ("slow", "spoil", "reset") and share >= 0.5:
+                self.in_outage.add(scope)
+                self.observer.see(ev.OutageBegan(now, now, scope, kind))
+        if kind == "down":
             self._abort(partner)
 
-    def heal(self, number: int, cold: float | None, ramp: int) -> None:
-        """It is over. With ``cold`` the partner comes back with that share of its capacity."""
+    def clear_fault(self, number: int, cold: float | None, ramp: int) -> None:
+        """End the fault of a partner. With ``cold``, the partner recovers with that share of its capacity."""
         partner = self.partners[number]
         now = self.observer.clock.now()
         for name in partner.plan.scopes:
             scope = partner.scopes[name]
-            if scope.trouble is not None and scope.trouble.how in ("silent", "hang"):
-                self._abort(partner)  # a machine that is back knows nothing of its old connections
-            if name not in self.out:  # it served all the time, well or badly: it is not cold
-                partner.heal(now, name, None, 0)
+            if scope.fault is not None and scope.fault.kind in ("silent", "hang"):
+                self._abort(partner)  # a restarted machine does not know its old connections
+            if name not in self.in_outage:  # it kept serving during the fault, so it is not cold
+                partner.clear_fault(now, name, None, 0)
                 continue
-            self.out.discard(name)
-            partner.heal(now, name, cold, ramp)
+            self.in_outage.discard(name)
+            partner.clear_fault(now, name, cold, ramp)
             now = self.observer.clock.now()
             self.observer.see(ev.OutageOver(now, now, name, scope.capacity, 1.0 if cold is None else cold, ramp))
 
-    def strike_route(self, number: int, route: str) -> None:
-        """One route of a partner whose routes are apart is restarted: it is down until ``heal_route``."""
+    def take_down_route(self, number: int, route: str) -> None:
+        """Take down one route of a partner whose routes are separate scopes; ``clear_route_fault`` ends that."""
         partner, now = self.partners[number], self.observer.clock.now()
-        partner.strike(now, route, Trouble("down", 1 << 62, 1.0, 1.0))
+        partner.inject_fault(now, route, InjectedFault("down", 1 << 62, 1.0, 1.0))
         self.observer.see(ev.OutageBegan(now, now, route, "down"))
         self._abort(partner, (route,))
 
-    def heal_route(self, number: int, route: str, cold: float, ramp: int) -> None:
-        """It is back, cold."""
+    def clear_route_fault(self, number: int, route: str, cold: float, ramp: int) -> None:
+        """End the outage of a route; it recovers cold."""
         partner, now = self.partners[number], self.observer.clock.now()
-        partner.heal(now, route, cold, ramp)
+        partner.clear_fault(now, route, cold, ramp)
         self.observer.see(ev.OutageOver(now, now, route, partner.scopes[route].capacity, cold, ramp))
 
     def _abort(self, partner: Partner, routes: tuple[str, ...] = ()) -> None:
         for route in routes or partner.routes:
-            for door in self.doors[route].values():
-                for connection in list(door.connections):
+            for listener in self.listeners[route].values():
+                for connection in list(listener.connections):
                     connection.broken_off = True
                     if connection.transport is not None:
                         connection.transport.abort()
 
     def drain(self, route: str) -> None:
-        """The endpoint takes nothing new any more, as far as it can help it."""
+        """Drain an endpoint: it refuses new calls."""
         for partner in self.partners.values():
             if route in partner.routes:
                 partner.routes[route].draining = True
 
     async def replace(self, route: str) -> RoutePlan:
-        """A new endpoint in the place of one that goes; its name is new."""
+        """Add an endpoint with a new name that replaces another one."""
         partner = next(partner for partner in self.partners.values() if route in partner.routes)
         old = partner.routes[route].plan
-        new = RoutePlan(f"{old.name}-new{next(self._new)}", old.zone)
+        new = RoutePlan(f"{old.name}-new{next(self._replacement_numbers)}", old.zone)
         partner.add(new)
         await self._open(partner.plan.number, new.name)
-        self._tell_world()
+        self._record_routes()
         return new
 
     def close(self, route: str) -> None:
-        """An endpoint is gone: it takes no connection any more."""
-        for door in self.doors[route].values():
-            door.stop_listening()
+        """Remove an endpoint: it accepts no more connections."""
+        for listener in self.listeners[route].values():
+            listener.stop_listening()
 
     def address(self, route: str, relay: str) -> str:
-        """Where one relay reaches a route, as host:port."""
-        return self.doors[route][relay].address
+        """The address at which a relay reaches a route, as host:port."""
+        return self.listeners[route][relay].address
