--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -1,4 +1,4 @@
-"""Plays a plan: starts the stand-ins and the relays, carries out each step in its time, and waits for the ends."""
+"""Runs a plan: starts the simulated peers and the relays, executes each step on schedule, and waits for the end."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker import Checker, Verdict, figures_of
-from garnetrelay.rehearsal.clients import Crowd
+from garnetrelay.rehearsal.clients import ClientPool
 from garnetrelay.rehearsal.clock import Clock, run_watched
-from garnetrelay.rehearsal.discovery_server import Entry, Register
+from garnetrelay.rehearsal.discovery_server import DiscoveryServer, ListedEndpoint
 from garnetrelay.rehearsal.links.script import Move
 from garnetrelay.rehearsal.links.stage import LOOK_EVERY, Met, Stage
 from garnetrelay.rehearsal.misbehaving_clients import MisbehavingClients
 from garnetrelay.rehearsal.observer import Observer
 from garnetrelay.rehearsal.partners.endpoints import Partners
 from garnetrelay.rehearsal.plan import SECOND, Plan, Step
-from garnetrelay.rehearsal.relays import START_TRIES, RelayProcess, StartError
+from garnetrelay.rehearsal.relays import MAX_START_ATTEMPTS, RelayProcess, StartError
 from garnetrelay.rehearsal.scenario import TROUBLES, Scenario
 from garnetrelay.rehearsal.tally import Tally
 
-QUIET = 0.5  # seconds with nothing held before a run is over
-GONE_AFTER = 6.0  # seconds from a drain to the endpoint's end, unless the step says otherwise
-STAFF_TRIES = 20
-LAST_LOOK = 0.2  # seconds for what is still on its way once all is over
+IDLE_BEFORE_END_S = 0.5  # a run ends after this time without pending messages
+REMOVAL_DELAY_S = 6.0  # from the drain of an endpoint to its removal, unless the step sets another
+MAX_COMMAND_ATTEMPTS = 20
+FINAL_EVENTS_WAIT_S = 0.2  # for events that are still in transit at the end of a run
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of a run."""
+    """The result of a run."""
 
     plan: Plan
     verdicts: list[Verdict]
     tally: Tally
     misbehaving: list[MisbehavingClients]
     ended_at: int
-    fleet: list[Met] = field(default_factory=list)  # what befell relays that know each other, and how long they took
+    fleet: list[Met] = field(default_factory=list)  # the steps of the fleet, and how long the relays took to react
 
     @property
     def kept(self) -> bool:
-        """Whether every rule was kept."""
+        """Whether no rule was broken."""
         return not self.verdicts
 
 
 class Conductor:
-    """One run. ``command`` starts a relay in place of the installed daemon; ``folder`` keeps logs and states."""
+    """One run. ``command`` starts a relay instead of the installed daemon; ``folder`` has the logs and state folders."""
 
     def __init__(
         self,
@@ -73,13 +73,13 @@
         self.observer = Observer(clock, self.checker, self.tally, recording, header, on_verdict)
         self.clock = clock
         self.relays = {name: RelayProcess(name, plan, folder, self.observer, command) for name in plan.relays}
-        self.crowd = Crowd(plan, scenario, self.observer, lambda relay: self.relays[relay].port)
+        self.clients = ClientPool(plan, scenario, self.observer, lambda relay: self.relays[relay].port)
         self.partners = Partners(plan, self.observer, self._delivered)
-        self.register = Register(plan, self.observer, self.partners.address, self.crowd.bounced)
+        self.discovery = DiscoveryServer(plan, self.observer, self.partners.address, self.clients.bounced)
         self.misbehaving: list[MisbehavingClients] = []
         self._upgrading = {name: asyncio.Lock() for name in plan.relays}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._looking: set[asyncio.Task[None]] = set()
+        self._sampling: set[asyncio.Task[None]] = set()
         self._error: BaseException | None = None
         self.stage: Stage | None = None
         if scenario.fleet is not None:
@@ -90,34 +90,34 @@
                 plan.length / SECOND / scenario.seconds,
                 [step.at for step in plan.steps if step.spec.what == "upgrade"],
             )
-        self.began = 0  # when the plan began, by the run's clock
+        self.began = 0  # time of the run at which the plan started
 
     async def play(self) -> Outcome:
-        """The whole run; raises what went wrong with the kit itself, or a StartError."""
+        """Execute the run. Raises a StartError, or any error of the rehearsal itself."""
         try:
             await self.partners.start()
-            await self.register.start()
+            await self.discovery.start()
             if self.stage is not None:
                 await self.stage.network.start()
                 for relay in self.relays.values():
                     relay.options = self.stage.options(relay.name, relay.folder)
-            starts = self.clock.now()
+            starting_at = self.clock.now()
             await asyncio.gather(*(self._first_start(relay) for relay in self.relays.values()))
             if self.stage is not None:
-                await self._gather(self.stage)
-                self.stage.gathered = round((self.clock.now() - starts) / SECOND, 2)
-            self.began = self.clock.now()  # whatever the start took, the schedule is the same from here
-            self.crowd.start(self.began)
+                await self._wait_for_one_view(self.stage)
+                self.stage.gathered = round((self.clock.now() - starting_at) / SECOND, 2)
+            self.began = self.clock.now()  # the schedule does not depend on how long the start took
+            self.clients.start(self.began)
             loop = asyncio.get_running_loop()
             for step in self.plan.steps:
                 loop.call_at(self._loop_time(step.at), self._begin, step)
             if self.stage is not None:
                 for move in self.stage.moves:
-                    loop.call_at(self._loop_time(move.at), self._move, self.stage, move)
-                looking = loop.create_task(self._look(self.stage))
-                self._looking.add(looking)
-                looking.add_done_callback(self._looked)
-            await self._ends()
+                    loop.call_at(self._loop_time(move.at), self._begin_move, self.stage, move)
+                sampling = loop.create_task(self._sample_views(self.stage))
+                self._sampling.add(sampling)
+                sampling.add_done_callback(self._sampling_ended)
+            await self._wait_for_end()
             at, since = self.observer.did()
             self.observer.see(ev.RunEnded(at, since))
             return Outcome(
@@ -129,65 +129,65 @@
                 [] if self.stage is None else self.stage.met(),
             )
         finally:
-            for task in (*self._tasks, *self._looking):
+            for task in (*self._tasks, *self._sampling):
                 task.cancel()
-            self.crowd.stop()
+            self.clients.stop()
             for relay in self.relays.values():
                 relay.kill()
-            await asyncio.gather(*(relay.gone() for relay in self.relays.values()))
+            await asyncio.gather(*(relay.wait_ended() for relay in self.relays.values()))
             if self.stage is not None:
                 self.stage.network.stop()
-            await self.register.stop()
+            await self.discovery.stop()
             await self.partners.stop()
             self.observer.close()
             if self._error is not None:
                 raise self._error
 
     def _loop_time(self, at: int) -> float:
-        """A time of the plan by the loop's clock."""
+        """Convert a time of the plan to the loop's clock."""
         return self.clock.loop_time(self.began + at)
 
     def _delivered(self, ref: str) -> None:
-        self.crowd.open.pop(ref, None)
+        self.clients.accepted.pop(ref, None)
 
     async def _first_start(self, relay: RelayProcess) -> None:
-        for left in reversed(range(START_TRIES)):
-            relay.configure(self.register.address(relay.name), self.register.known(relay.name))
+        for remaining in reversed(range(MAX_START_ATTEMPTS)):
+            relay.configure(self.discovery.address(relay.name), self.discovery.initial_list(relay.name))
             try:
                 await self._start(relay)
                 return
             except StartError as error:
-                if not left or "in use" not in str(error):
+                if not remaining or "in use" not in str(error):
                     raise
-                relay.move()
+                relay.change_port()
 
     async def _start(self, relay: RelayProcess) -> None:
-        await relay.start(self.register.address(relay.name))
-        self.register.relay_is(relay.name, ready=True)
-        self.crowd.front.ready(relay.name)
+        await relay.start(self.discovery.address(relay.name))
+        self.discovery.set_relay_ready(relay.name, ready=True)
+        self.clients.front.relay_ready(relay.name)
 
-    async def _ends(self) -> None:
-        """Until all that was handed in is over, or the last message's time has long passed."""
-        await self.crowd.done.wait()
+    async def _wait_for_end(self) -> None:
+        """Wait until no message is pending, or until the longest deadline has passed after the last hand-in."""
+        await self.clients.all_handed_in.wait()
         longest = max(c["deadline"] for c in self.plan.settings["classes"]) / SECOND
         loop = asyncio.get_running_loop()
         until = loop.time() + longest + 3.0
-        quiet_from = loop.time()
+        idle_since = loop.time()
         while loop.time() < until:
             if self._error is not None:
                 raise self._error
-            busy = self.crowd.pending or self.tally.held or any(not relay.ready for relay in self.relays.values())
+            busy = self.clients.pending or self.tally.held or any(not relay.ready for relay in self.relays.values())
             if busy or self.clock.now() < self.began + self.plan.length or any(not task.done() for task in self._tasks):
-                quiet_from = loop.time()
-            elif loop.time() - quiet_from > QUIET:
+                idle_since = loop.time()
+            elif loop.time() - idle_since > IDLE_BEFORE_END_S:
                 break
             await asyncio.sleep(0.05)
-        await asyncio.sleep(LAST_LOOK)
+        await asyncio.sleep(FINAL_EVENTS_WAIT_S)
 
     # ---- steps
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._finished)
 
@@ -195,112 +195,114 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None and self._error is None:
             self._error = task.exception()
-            self.crowd.done.set()
+            self.clients.all_handed_in.set()
 
     def _begin(self, step: Step) -> None:
         spec = step.spec
-        where = ", ".join([*step.routes, *(f"partner {number}" for number in step.partners), step.relay])
+        targets = ", ".join([*step.routes, *(f"partner {number}" for number in step.partners), step.relay])
         at, since = self.observer.did()
-        self.observer.see(ev.Step(at, since, " ".join([spec.what, where.strip(", ")]).strip(), step.partners))
+        self.observer.see(ev.Step(at, since, " ".join([spec.what, targets.strip(", ")]).strip(), step.partners))
         if spec.what in TROUBLES:
             for number in step.partners:
                 self.partners.inject_fault(number, spec.what, self.began + step.ends, spec.share, spec.factor)
-            self._then(step, self._heal, step)
+            self._at_end(step, self._clear_faults, step)
         elif spec.what in ("restart", "kill"):
-            self._spawn(self._restart(step))
+            self._start_task(self._restart(step))
         elif spec.what == "upgrade":
-            self._spawn(self._upgrade(step))
+            self._start_task(self._upgrade(step))
         elif spec.what == "by-hand":
-            self._spawn(self._by_hand(step))
+            self._start_task(self._by_hand(step))
         elif spec.what == "reload":
-            self._spawn(self._reload())
+            self._start_task(self._reload())
         elif spec.what == "register-down":
-            self.register.go_down()
-            self._then(step, self.register.come_up)
+            self.discovery.stop_serving()
+            self._at_end(step, self.discovery.resume_serving)
         elif spec.what == "register-slow":
-            self.register.slower = spec.factor
-            self._then(step, setattr, self.register, "slower", 0.0)
+            self.discovery.extra_delay_s = spec.factor
+            self._at_end(step, setattr, self.discovery, "extra_delay_s", 0.0)
         elif spec.what == "watches-end":
-            self.register.end_watches()
+            self.discovery.close_watches()
         elif spec.what == "index-back":
-            self.register.step_back()
+            self.discovery.lower_index()
         elif spec.what in ("notices-refused", "notices-lost"):
-            self.register.take_notices(spec.what.removeprefix("notices-"))
-            self._then(step, self.register.take_notices, "taken")
+            self.discovery.set_notice_mode(spec.what.removeprefix("notices-"))
+            self._at_end(step, self.discovery.set_notice_mode, "taken")
         elif spec.what in ("drain", "replace"):
-            self._spawn(self._drain(step))
+            self._start_task(self._drain(step))
         elif spec.what == "reports-absurd":
             self.partners.invalid_load_reports.update(step.partners)
-            self._then(step, self.partners.invalid_load_reports.difference_update, step.partners)
+            self._at_end(step, self.partners.invalid_load_reports.difference_update, step.partners)
         elif spec.what == "bad-clients":
             for relay in self.relays.values():
-                # The seed keeps its word: earlier runs can be played again.
+                # The text of this random seed is kept, so that earlier runs can be repeated.
                 clients = MisbehavingClients(relay.port, spec.count, f"{self.plan.seed}/rude/{relay.name}")
                 self.misbehaving.append(clients)
-                self._spawn(clients.run((step.ends - step.at) / SECOND))
+                self._start_task(clients.run((step.ends - step.at) / SECOND))
 
-    def _then(self, step: Step, what: Callable[..., Any], *arguments: Any) -> None:
-        """At the step's end."""
-        asyncio.get_running_loop().call_at(self._loop_time(max(step.ends, step.at)), lambda: what(*arguments))
+    def _at_end(self, step: Step, function: Callable[..., Any], *arguments: Any) -> None:
+        """Schedule a call for the end of a step."""
+        asyncio.get_running_loop().call_at(self._loop_time(max(step.ends, step.at)), lambda: function(*arguments))
 
-    def _heal(self, step: Step) -> None:
+    def _clear_faults(self, step: Step) -> None:
         ramp = self.plan.settings["rules"]["rampTime"]
         for number in step.partners:
             self.partners.clear_fault(number, step.spec.start if step.spec.cold else None, ramp if step.spec.cold else 0)
 
-    # ---- relays that know each other
+    # ---- fleet of relays
 
-    async def _gather(self, stage: Stage) -> None:
-        """Until all hold one view."""
+    async def _wait_for_one_view(self, stage: Stage) -> None:
+        """Wait until all relays have the same view."""
         try:
             async with asyncio.timeout(stage.spec.gather_s):
-                while not ((look := await stage.look(self.clock.now, self._staff())) and look.views == 1):
+                while not (
+                    (snapshot := await stage.look(self.clock.now, self._operator_ports())) and snapshot.views == 1
+                ):
                     await asyncio.sleep(LOOK_EVERY)
         except TimeoutError:
-            raise StartError(f"no one view within {stage.spec.gather_s:g} s") from None
+            raise StartError(f"the relays did not agree on one view within {stage.spec.gather_s:g} s") from None
         stage.looks.clear()
-        stage.first_lives({name: relay.state for name, relay in self.relays.items()})
+        stage.first_lives({name: relay.state_folder for name, relay in self.relays.items()})
 
-    def _staff(self) -> dict[str, int]:
-        return {name: relay.staff_port for name, relay in self.relays.items() if relay.ready and not relay.stopped}
+    def _operator_ports(self) -> dict[str, int]:
+        return {name: relay.operator_port for name, relay in self.relays.items() if relay.ready and not relay.paused}
 
-    async def _look(self, stage: Stage) -> None:
+    async def _sample_views(self, stage: Stage) -> None:
         while True:
-            await stage.look(lambda: self.clock.now() - self.began, self._staff())
+            await stage.look(lambda: self.clock.now() - self.began, self._operator_ports())
             await asyncio.sleep(LOOK_EVERY)
 
-    def _looked(self, task: asyncio.Task[None]) -> None:
+    def _sampling_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None and self._error is None:
             self._error = task.exception()
-            self.crowd.done.set()
+            self.clients.all_handed_in.set()
 
-    def _move(self, stage: Stage, move: Move) -> None:
+    def _begin_move(self, stage: Stage, move: Move) -> None:
         at, since = self.observer.did()
-        named = move.relays[0] if len(move.relays) == 1 else f"{len(move.relays)} relays"
-        self.observer.see(ev.Step(at, since, f"fleet: {move.what}, {named}", ()))
+        names = move.relays[0] if len(move.relays) == 1 else f"{len(move.relays)} relays"
+        self.observer.see(ev.Step(at, since, f"fleet: {move.what}, {names}", ()))
         if move.what in ("cut", "cut-one-way"):
             stage.cut(move)
             asyncio.get_running_loop().call_at(self._loop_time(move.ends), stage.mend, move)
         elif move.what == "flap":
-            self._spawn(self._pulses(move, lambda: stage.cut(move), lambda: stage.mend(move)))
+            self._start_task(self._pulses(move, lambda: stage.cut(move), lambda: stage.mend(move)))
         elif move.what in ("stop", "starve"):
             relays = [self.relays[name] for name in move.relays]
 
-            def stop() -> None:
+            def pause() -> None:
                 for relay in relays:
                     if relay.ready:
-                        relay.stop()
+                        relay.pause()
 
-            def go_on() -> None:
+            def resume() -> None:
                 for relay in relays:
-                    relay.go_on()
+                    relay.resume()
 
-            self._spawn(self._pulses(move, stop, go_on))
+            self._start_task(self._pulses(move, pause, resume))
         else:
-            self._spawn(self._away(stage, move))
+            self._start_task(self._leave_and_return(stage, move))
 
     async def _pulses(self, move: Move, begin: Callable[[], object], end: Callable[[], object]) -> None:
-        """Bad for a pulse, good for a pulse, and so on; a stop is one pulse as long as the move."""
+        """Alternate between fault and normal operation, one pulse each. A stop is one pulse as long as the move."""
         pulse = (move.ends - move.at if move.what == "stop" else move.pulse) / SECOND
         until = self._loop_time(move.ends)
         loop = asyncio.get_running_loop()
@@ -313,35 +315,35 @@
         finally:
             end()
 
-    async def _away(self, stage: Stage, move: Move) -> None:
-        """A relay ends, and is back later: with its folder, but for its life number where the move says so."""
+    async def _leave_and_return(self, stage: Stage, move: Move) -> None:
+        """End a relay and start it again later with its state folder; some moves remove or change its life number."""
         relay = self.relays[move.relays[0]]
-        await self._down(
+        await self._end_and_start(
             relay,
             move.what != "leave",
             (move.ends - move.at) / SECOND,
-            lambda: stage.change_life(relay.name, relay.state, move.what),
+            lambda: stage.change_life(relay.name, relay.state_folder, move.what),
         )
 
     async def _restart(self, step: Step) -> None:
-        named = [step.relay] if step.relay else list(self.relays)
-        await asyncio.gather(*(self._restart_one(self.relays[name], step) for name in named))
+        names = [step.relay] if step.relay else list(self.relays)
+        await asyncio.gather(*(self._restart_one(self.relays[name], step) for name in names))
 
     async def _restart_one(self, relay: RelayProcess, step: Step) -> None:
-        await self._down(relay, step.spec.what == "kill", step.spec.down_s)
+        await self._end_and_start(relay, step.spec.what == "kill", step.spec.down_s)
 
-    async def _down(
+    async def _end_and_start(
         self, relay: RelayProcess, kill: bool, seconds: float, change: Callable[[], None] = lambda: None
     ) -> None:
-        """A relay ends and starts again. ``change``: what happens to its folder meanwhile."""
+        """End a relay and start it again. ``change`` is called in between, to modify its state folder."""
         if not relay.ready:
             return
-        self.register.relay_is(relay.name, ready=False)
+        self.discovery.set_relay_ready(relay.name, ready=False)
         if kill:
-            self.crowd.front.died(relay.name)
+            self.clients.front.relay_killed(relay.name)
             await relay.end(signal.SIGKILL)
         else:
-            self.crowd.front.ends(relay.name)
+            self.clients.front.relay_terminating(relay.name)
             await relay.end(signal.SIGTERM)
         change()
         await asyncio.sleep(seconds)
@@ -349,19 +351,21 @@
 
     async def _upgrade(self, step: Step) -> None:
         relay = self.relays[step.relay]
-        async with self._upgrading[step.relay]:  # one that takes its time puts the next one off
-            await relay.upgrade(self.register.address(relay.name), step.fault, step.after / SECOND)
+        async with self._upgrading[step.relay]:  # a slow upgrade delays the next one
+            await relay.upgrade(self.discovery.address(relay.name), step.fault, step.after / SECOND)
 
     async def _by_hand(self, step: Step) -> None:
-        """Every relay is told that an endpoint is out; it is restarted, and comes back cold; then it is put back."""
+        """Exclude an endpoint at every relay, restart it so that it recovers cold, and include it again."""
         route, number = step.routes[0], step.partners[0]
         relays = [relay for relay in self.relays.values() if relay.ready]
         for relay in relays:
-            for left in reversed(range(STAFF_TRIES)):  # the process that was called may be ending: the new one is there
+            for remaining in reversed(
+                range(MAX_COMMAND_ATTEMPTS)
+            ):  # the process that was called may be about to be replaced
                 if await relay.exclude(route, True):
                     break
-                if not left:
-                    raise StartError(f"{relay.name}: no yes to OFFLINE {route}")
+                if not remaining:
+                    raise StartError(f"{relay.name}: OFFLINE {route} was not confirmed")
                 await asyncio.sleep(0.1)
         await asyncio.sleep(self.plan.settings["rules"]["drainGrace"] / SECOND + 0.5)
         self.partners.take_down_route(number, route)
@@ -372,25 +376,25 @@
                 await asyncio.sleep(0.1)
 
     async def _reload(self) -> None:
-        """Each relay's register moves; its configuration says so, and SIGHUP tells it to look."""
+        """Move each relay's discovery address, update its configuration and send SIGHUP."""
         for relay in self.relays.values():
             if relay.ready:
-                address = await self.register.move(relay.name)
-                relay.configure(address, self.register.known(relay.name))
-                relay.hang_up()
+                address = await self.discovery.move_address(relay.name)
+                relay.configure(address, self.discovery.initial_list(relay.name))
+                relay.reload()
 
     async def _drain(self, step: Step) -> None:
-        """An endpoint drains and goes; a replacement comes first, where the step says so."""
+        """Drain and remove an endpoint; a replacement is added first if the step asks for one."""
         route = step.routes[0]
-        if self.register.entries[route].status != "Ready":
+        if self.discovery.entries[route].status != "Ready":
             return
         if step.spec.what == "replace":
             new = await self.partners.replace(route)
-            old = self.register.entries[route]
-            self.register.add(Entry(new.name, new.zone, old.kind, old.dest, old.rate))
-        self.register.change((route, "Terminating"))
-        await asyncio.sleep(step.spec.seconds or GONE_AFTER)
-        self.register.change((route, "Gone"))
+            old = self.discovery.entries[route]
+            self.discovery.add_endpoint(ListedEndpoint(new.name, new.zone, old.kind, old.dest, old.rate))
+        self.discovery.change_status((route, "Terminating"))
+        await asyncio.sleep(step.spec.seconds or REMOVAL_DELAY_S)
+        self.discovery.change_status((route, "Gone"))
         await asyncio.sleep(self.plan.late[1] / SECOND + 2)
         self.partners.close(route)
 
@@ -404,14 +408,14 @@
     on_verdict: Callable[[Verdict], None] | None = None,
     beside: Callable[[Conductor], Coroutine[Any, Any, None]] | None = None,
 ) -> Outcome:
-    """Play a plan on a loop of its own. ``beside`` runs along with it: the live view."""
+    """Run a plan on a new event loop. ``beside`` runs concurrently: the live view."""
     clock = Clock()
 
-    async def main(where: Path) -> Outcome:
-        conductor = Conductor(scenario, plan, clock, where, command, recording, on_verdict)
+    async def main(run_folder: Path) -> Outcome:
+        conductor = Conductor(scenario, plan, clock, run_folder, command, recording, on_verdict)
         task = asyncio.current_task()
         if task is not None and threading.current_thread() is threading.main_thread():
-            # Told to end, the kit must not leave its relays behind.
+            # On SIGTERM, the relays must be ended too.
             asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
         view = None if beside is None else asyncio.get_running_loop().create_task(beside(conductor))
         try:
@@ -424,5 +428,5 @@
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         return run_watched(clock, lambda: main(folder))  # type: ignore[no-any-return]
-    with tempfile.TemporaryDirectory(prefix="rehearsal-") as made:
-        return run_watched(clock, lambda: main(Path(made)))  # type: ignore[no-any-return]
+    with tempfile.TemporaryDirectory(prefix="rehearsal-") as temporary:
+        return run_watched(clock, lambda: main(Path(temporary)))  # type: ignore[no-any-return]
--- a/garnetrelay/rehearsal/discovery_server.py
+++ b/garnetrelay/rehearsal/discovery_server.py
@@ -1,7 +1,7 @@
-"""The stand-in register and platform: the list and its watch, seconds late or out of order, and notices.
+"""Simulated discovery and platform: serves the list of hosts and its watch, delayed or out of order, and takes notices.
 
-Each relay reaches it at an address of its own, which may move. A change is told to each relay after a delay of its
-own; a relay that has had no watch for as long as the settings allow counts as told.
+Each relay has a separate address for it, which may change. A change is published to each relay after a separate random
+delay. A relay without a watch is assumed to know a published change after the longest time that the settings allow.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from garnetrelay.rehearsal.plan import Plan
 
 SECOND = 1_000_000_000
-EMPTY_EVERY = 2.0  # seconds between two empty lines of a watch
-OLD_STAYS = 1.5  # seconds for which an address that was left keeps its connections
-LOOK_EVERY = 0.25
-TOLD_AFTER = 6 * SECOND  # a change counts as told so long after the register had it and could be reached
+KEEPALIVE_INTERVAL_S = 2.0  # between two empty lines of a watch
+OLD_ADDRESS_GRACE_S = 1.5  # an address that was replaced keeps its connections for this time
+CHECK_INTERVAL_S = 0.25
+ASSUMED_KNOWN_AFTER_NS = 6 * SECOND  # after a change was published and the server was reachable
 
 
 @dataclass(slots=True)
-class Entry:
-    """An endpoint as the register has it."""
+class ListedEndpoint:
+    """An endpoint in the list of hosts."""
 
     name: str
     zone: str
@@ -39,31 +39,31 @@
 
 
 @dataclass(slots=True)
-class Line:
-    """Changes that one relay is told together."""
+class ChangeBatch:
+    """Changes that are published to one relay together."""
 
     index: int
     names: list[str]
     status: dict[str, str]
-    since: int = 0  # when it could be told
+    published_at: int = 0  # time of publication
 
 
 @dataclass(slots=True, eq=False)
-class Side:
-    """The register as one relay meets it."""
+class RelayFeed:
+    """The state of the discovery server towards one relay."""
 
     relay: str
-    doors: list[HttpServer] = field(default_factory=list)  # the last is the present one
+    listeners: list[HttpServer] = field(default_factory=list)  # the last is the current one
     watch: Call | None = None
-    told: list[Line] = field(default_factory=list)  # what may be told by now
+    published: list[ChangeBatch] = field(default_factory=list)  # the changes that are published by now
     ready_at: int | None = None
-    asked_at: int = 0
-    counts_as_told: set[tuple[str, str]] = field(default_factory=set)
-    base: int = 0  # taken off the index: an address may count from another version
+    last_request_at: int = 0
+    assumed_known: set[tuple[str, str]] = field(default_factory=set)
+    index_offset: int = 0  # subtracted from the index: an address may count from another version
 
 
-class Register:
-    """Register and platform for all relays of a run. ``on_bounced`` hears of each refusal by a notice."""
+class DiscoveryServer:
+    """Discovery and platform for all relays of a run. ``on_bounced`` is called for each notice of a refusal."""
 
     def __init__(
         self,
@@ -78,113 +78,113 @@
         self.on_bounced = on_bounced
         self.random = random.Random(f"{plan.seed}/register")
         self.entries = {
-            route.name: Entry(route.name, route.zone, partner.kind, partner.number, partner.listed)
+            route.name: ListedEndpoint(route.name, route.zone, partner.kind, partner.number, partner.listed)
             for partner in plan.partners
             for route in partner.routes
         }
         self.index = 41
-        self.sides = {relay: Side(relay) for relay in plan.relays}
+        self.feeds = {relay: RelayFeed(relay) for relay in plan.relays}
         self.down = False
-        self.up_at = 0
-        self.slower = 0.0  # seconds more until a change is told
-        self.notices = "taken"  # refused, lost
-        self._ended: set[str] = set()
+        self.reachable_since = 0
+        self.extra_delay_s = 0.0  # additional delay of each change
+        self.notice_mode = "taken"  # or refused, lost
+        self._ended_refs: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen for every relay, and begin to note those that neither watch nor ask."""
-        for side in self.sides.values():
-            await self._open(side)
-        self._hold(self._look())
+        """Listen for every relay, and start to check for relays without a watch."""
+        for feed in self.feeds.values():
+            await self._open(feed)
+        self._start_task(self._check_unwatched())
 
     async def stop(self) -> None:
-        """Stop listening and cut all connections off."""
+        """Stop listening and abort all connections."""
         for task in self._tasks:
             task.cancel()
-        for side in self.sides.values():
-            for door in side.doors:
-                await door.stop()
+        for feed in self.feeds.values():
+            for listener in feed.listeners:
+                await listener.stop()
 
     def address(self, relay: str) -> str:
-        """Where one relay finds the register, as host:port."""
-        return self.sides[relay].doors[-1].address
+        """The discovery address of a relay, as host:port."""
+        return self.feeds[relay].listeners[-1].address
 
-    def known(self, relay: str) -> dict[str, Any]:
-        """The list as a relay may have it at its first start."""
+    def initial_list(self, relay: str) -> dict[str, Any]:
+        """The list of hosts that a relay is configured with at its first start."""
         return {
             "index": self.index,
             "snapshot": True,
-            "endpoints": [self._entry(relay, entry, entry.status) for entry in self.entries.values()],
+            "endpoints": [self._to_json(relay, entry, entry.status) for entry in self.entries.values()],
         }
 
-    def relay_is(self, relay: str, ready: bool) -> None:
-        """A relay has started, or is gone."""
-        side = self.sides[relay]
-        side.ready_at = self.observer.clock.now() if ready else None
-        side.counts_as_told.clear()
+    def set_relay_ready(self, relay: str, ready: bool) -> None:
+        """Store that a relay has started or ended."""
+        feed = self.feeds[relay]
+        feed.ready_at = self.observer.clock.now() if ready else None
+        feed.assumed_known.clear()
 
-    # ---- what changes
+    # ---- changes
 
-    def change(self, *changes: tuple[str, str]) -> None:
-        """Endpoints take on other states; each relay is told in its time."""
+    def change_status(self, *changes: tuple[str, str]) -> None:
+        """Change the status of endpoints; each relay receives the change after a separate delay."""
         self.index += 1
         for name, status in changes:
             self.entries[name].status = status
-        for side in self.sides.values():
-            late = self.random.uniform(*self.plan.late) / SECOND + self.slower
-            line = Line(self.index, [name for name, _ in changes], dict(changes))
-            asyncio.get_running_loop().call_later(late, self._tell, side, line)
+        for feed in self.feeds.values():
+            delay_s = self.random.uniform(*self.plan.late) / SECOND + self.extra_delay_s
+            batch = ChangeBatch(self.index, [name for name, _ in changes], dict(changes))
+            asyncio.get_running_loop().call_later(delay_s, self._publish, feed, batch)
 
-    def add(self, entry: Entry) -> None:
-        """List a new endpoint as ready; the relays hear of it late, as of any change."""
+    def add_endpoint(self, entry: ListedEndpoint) -> None:
+        """List a new endpoint as ready; the relays receive it late, like any change."""
         self.entries[entry.name] = entry
-        self.change((entry.name, "Ready"))
-
-    def step_back(self) -> None:
-        """The index counts from a lower one: as after a restore from a backup."""
-        for side in self.sides.values():
-            side.base += 30
-            if side.watch is not None:
-                self._whole(side)
-
-    def end_watches(self) -> None:
-        """Close every watch, as a register that restarts does."""
-        for side in self.sides.values():
-            if side.watch is not None:
-                side.watch.close()
-
-    def go_down(self) -> None:
-        """Watches end; calls are reset. Notices are still taken."""
+        self.change_status((entry.name, "Ready"))
+
+    def lower_index(self) -> None:
+        """Lower the index, as after a restore from a backup."""
+        for feed in self.feeds.values():
+            feed.index_offset += 30
+            if feed.watch is not None:
+                self._write_snapshot(feed)
+
+    def close_watches(self) -> None:
+        """Close every watch, as a restart of the server does."""
+        for feed in self.feeds.values():
+            if feed.watch is not None:
+                feed.watch.close()
+
+    def stop_serving(self) -> None:
+        """End all watches and answer requests for the list with 503. Notices are still taken."""
         self.down = True
-        self.end_watches()
+        self.close_watches()
 
-    def come_up(self) -> None:
-        """Answer again; the time is kept, since relays are given some to come back."""
-        self.down, self.up_at = False, self.observer.clock.now()
+    def resume_serving(self) -> None:
+        """Serve the list again. The time is stored, since relays need some time to reconnect."""
+        self.down, self.reachable_since = False, self.observer.clock.now()
 
-    def take_notices(self, how: str) -> None:
-        """From now on they are ``taken``, ``refused`` (503) or ``lost`` (read, and never answered)."""
+    def set_notice_mode(self, mode: str) -> None:
+        """From now on notices are ``taken``, ``refused`` (503) or ``lost`` (read, and never answered)."""
         at, since = self.observer.did()
-        self.notices = how
-        for relay in self.sides:
-            self.observer.see(ev.PlatformState(at, since, relay, how == "taken"))
-
-    async def move(self, relay: str) -> str:
-        """Another address for a relay; the old one takes nothing new, and closes what is open in a while."""
-        side = self.sides[relay]
-        old = side.doors[-1]
-        side.base += 7
-        await self._open(side)
+        self.notice_mode = mode
+        for relay in self.feeds:
+            self.observer.see(ev.PlatformState(at, since, relay, mode == "taken"))
+
+    async def move_address(self, relay: str) -> str:
+        """Give a relay a new address. The old one accepts no more connections, and closes the open ones later."""
+        feed = self.feeds[relay]
+        old = feed.listeners[-1]
+        feed.index_offset += 7
+        await self._open(feed)
         old.stop_listening()
-        self._hold(self._leave(old))
+        self._start_task(self._close_later(old))
         return self.address(relay)
 
-    async def _leave(self, door: HttpServer) -> None:
-        await asyncio.sleep(OLD_STAYS)
-        await door.stop()
+    async def _close_later(self, listener: HttpServer) -> None:
+        await asyncio.sleep(OLD_ADDRESS_GRACE_S)
+        await listener.stop()
 
-    def _hold(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._finished)
 
@@ -193,91 +193,91 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             raise error
 
-    # ---- what relays ask
+    # ---- requests of relays
 
-    async def _open(self, side: Side) -> None:
-        door = HttpServer(lambda call: self._request(side, call), self.observer.clock)
+    async def _open(self, feed: RelayFeed) -> None:
+        listener = HttpServer(lambda call: self._request(feed, call), self.observer.clock)
 
         def closed(connection: Connection) -> None:
-            if side.watch is not None and side.watch.connection is connection:
-                side.watch, side.asked_at = None, self.observer.clock.now()
+            if feed.watch is not None and feed.watch.connection is connection:
+                feed.watch, feed.last_request_at = None, self.observer.clock.now()
 
-        door.closed = closed  # type: ignore[method-assign]
-        await door.start()
-        side.doors.append(door)
+        listener.closed = closed  # type: ignore[method-assign]
+        await listener.start()
+        feed.listeners.append(listener)
 
-    def _request(self, side: Side, call: Call) -> None:
+    def _request(self, feed: RelayFeed, call: Call) -> None:
         if call.method == "POST" and call.target == "/v1/notices":
-            self._notice(side, call)
+            self._receive_notices(feed, call)
         elif self.down:
             call.answer(503)
         elif call.method == "GET" and call.target.startswith("/api/targets"):
-            self._listing(side, call)
+            self._serve_list(feed, call)
         else:
             call.answer(404)
 
-    def _listing(self, side: Side, call: Call) -> None:
-        side.asked_at = self.observer.clock.now()
+    def _serve_list(self, feed: RelayFeed, call: Call) -> None:
+        feed.last_request_at = self.observer.clock.now()
         _, _, query = call.target.partition("?")
         values = dict(part.partition("=")[::2] for part in query.split("&"))
         if values.get("follow") != "1":
-            call.answer(200, body=self._snapshot(side))
-            self._note_told(side, {name: self._told_status(side, name) for name in self.entries})
+            call.answer(200, body=self._encode_snapshot(feed))
+            self._record_told(feed, {name: self._published_status(feed, name) for name in self.entries})
             return
         call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        side.watch = call
+        feed.watch = call
         since = int(values.get("since", "0")) if values.get("since", "0").isdigit() else 0
-        newer = [line for line in side.told if line.index - side.base > since]
-        if since == 0 or since > self.index - side.base:
-            self._whole(side)
+        newer = [batch for batch in feed.published if batch.index - feed.index_offset > since]
+        if since == 0 or since > self.index - feed.index_offset:
+            self._write_snapshot(feed)
         else:
-            for line in newer:
-                self._write(side, line)
-        self._beat(side, call)
+            for batch in newer:
+                self._write_changes(feed, batch)
+        self._keep_alive(feed, call)
 
-    def _beat(self, side: Side, call: Call) -> None:
-        if side.watch is call and not call.connection.lost:
+    def _keep_alive(self, feed: RelayFeed, call: Call) -> None:
+        if feed.watch is call and not call.connection.lost:
             call.raw(b"1\r\n\n\r\n")
-            asyncio.get_running_loop().call_later(EMPTY_EVERY, self._beat, side, call)
+            asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL_S, self._keep_alive, feed, call)
 
-    def _tell(self, side: Side, line: Line) -> None:
-        line.since = self.observer.clock.now()
-        side.told.append(line)
-        if side.watch is not None and not self.down:
-            self._write(side, line)
+    def _publish(self, feed: RelayFeed, batch: ChangeBatch) -> None:
+        batch.published_at = self.observer.clock.now()
+        feed.published.append(batch)
+        if feed.watch is not None and not self.down:
+            self._write_changes(feed, batch)
 
-    def _write(self, side: Side, line: Line) -> None:
-        endpoints = [self._entry(side.relay, self.entries[name], line.status[name]) for name in line.names]
-        self._chunk(side, {"index": line.index - side.base, "snapshot": False, "endpoints": endpoints})
-        self._note_told(side, line.status)
+    def _write_changes(self, feed: RelayFeed, batch: ChangeBatch) -> None:
+        endpoints = [self._to_json(feed.relay, self.entries[name], batch.status[name]) for name in batch.names]
+        self._write_chunk(feed, {"index": batch.index - feed.index_offset, "snapshot": False, "endpoints": endpoints})
+        self._record_told(feed, batch.status)
 
-    def _whole(self, side: Side) -> None:
-        self._chunk(side, msgspec.Raw(self._snapshot(side)))
-        self._note_told(side, {name: self._told_status(side, name) for name in self.entries})
+    def _write_snapshot(self, feed: RelayFeed) -> None:
+        self._write_chunk(feed, msgspec.Raw(self._encode_snapshot(feed)))
+        self._record_told(feed, {name: self._published_status(feed, name) for name in self.entries})
 
-    def _told_status(self, side: Side, name: str) -> str:
-        """Its state as this relay may know it by now; Gone also for what it may not know of yet."""
+    def _published_status(self, feed: RelayFeed, name: str) -> str:
+        """The published status of an endpoint. An endpoint that is not published yet is Gone."""
         status = "Ready" if any(name == route.name for p in self.plan.partners for route in p.routes) else "Gone"
-        for line in side.told:
-            status = line.status.get(name, status)
+        for batch in feed.published:
+            status = batch.status.get(name, status)
         return status
 
-    def _snapshot(self, side: Side) -> bytes:
-        told = {name: self._told_status(side, name) for name in self.entries}
-        index = max((line.index for line in side.told), default=41) - side.base
+    def _encode_snapshot(self, feed: RelayFeed) -> bytes:
+        published = {name: self._published_status(feed, name) for name in self.entries}
+        index = max((batch.index for batch in feed.published), default=41) - feed.index_offset
         return msgspec.json.encode(
             {
                 "index": index,
                 "snapshot": True,
                 "endpoints": [
-                    self._entry(side.relay, self.entries[name], status)
-                    for name, status in told.items()
+                    self._to_json(feed.relay, self.entries[name], status)
+                    for name, status in published.items()
                     if status != "Gone"
                 ],
             }
         )
 
-    def _entry(self, relay: str, entry: Entry, status: str) -> dict[str, Any]:
+    def _to_json(self, relay: str, entry: ListedEndpoint, status: str) -> dict[str, Any]:
         return {
             "name": entry.name,
             "address": self.address_of(entry.name, relay),
@@ -289,61 +289,64 @@
             "since_ms": 0,
         }
 
-    def _chunk(self, side: Side, value: Any) -> None:
-        assert side.watch is not None
+    def _write_chunk(self, feed: RelayFeed, value: Any) -> None:
+        assert feed.watch is not None
         data = msgspec.json.encode(value) + b"\n"
-        side.watch.raw(b"%x\r\n%s\r\n" % (len(data), data))
+        feed.watch.raw(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def _note_told(self, side: Side, statuses: dict[str, str]) -> None:
+    def _record_told(self, feed: RelayFeed, statuses: dict[str, str]) -> None:
         at, since = self.observer.did()
         for name, status in statuses.items():
-            self.observer.see(ev.Told(at, since, side.relay, name, status))
+            self.observer.see(ev.Told(at, since, feed.relay, name, status))
 
-    async def _look(self) -> None:
-        """Whoever neither watches nor asks for as long as is allowed counts as told of what could be told then; whatever
-        became of its calls, of what could be told for ``TOLD_AFTER``."""
+    async def _check_unwatched(self) -> None:
+        """Assume that relays without a watch know published changes.
+
+        A relay that has sent no request for ``askEvery`` is assumed to know all of them. Any other relay is assumed to
+        know those that were published ``ASSUMED_KNOWN_AFTER_NS`` ago, whatever the result of its requests was.
+        """
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            for side in self.sides.values():
-                if side.watch is None and side.ready_at is not None and not self.down:
-                    self._count_as_told(side, side.ready_at)
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            for feed in self.feeds.values():
+                if feed.watch is None and feed.ready_at is not None and not self.down:
+                    self._assume_known(feed, feed.ready_at)
 
-    def _count_as_told(self, side: Side, ready_at: int) -> None:
+    def _assume_known(self, feed: RelayFeed, ready_at: int) -> None:
         now = self.observer.clock.now()
-        reached_at = max(ready_at, self.up_at)
-        nothing_holds = now >= max(reached_at, side.asked_at) + self.plan.settings["rules"]["askEvery"]
-        for line in side.told:
-            if not nothing_holds and now < max(reached_at, line.since) + TOLD_AFTER:
+        reachable_since = max(ready_at, self.reachable_since)
+        request_overdue = now >= max(reachable_since, feed.last_request_at) + self.plan.settings["rules"]["askEvery"]
+        for batch in feed.published:
+            if not request_overdue and now < max(reachable_since, batch.published_at) + ASSUMED_KNOWN_AFTER_NS:
                 continue
-            for name, status in line.status.items():
-                if (name, status) not in side.counts_as_told:
-                    side.counts_as_told.add((name, status))
-                    self._note_told(side, {name: status})
+            for name, status in batch.status.items():
+                if (name, status) not in feed.assumed_known:
+                    feed.assumed_known.add((name, status))
+                    self._record_told(feed, {name: status})
 
     # ---- notices
 
-    def _notice(self, side: Side, call: Call) -> None:
+    def _receive_notices(self, feed: RelayFeed, call: Call) -> None:
         at, since = self.observer.read()
         try:
             notices: list[Notice] = [msgspec.json.decode(line, type=Notice) for line in call.body.splitlines()]
         except msgspec.MsgspecError:
             call.answer(400)
             return
-        taken = self.notices == "taken"
+        taken = self.notice_mode == "taken"
         for notice in notices:
-            self.observer.see(ev.NoticeCame(at, since, side.relay, notice.ref, notice.result, notice.wait_ms, taken))
-        if self.notices == "refused":
+            self.observer.see(ev.NoticeCame(at, since, feed.relay, notice.ref, notice.result, notice.wait_ms, taken))
+        if self.notice_mode == "refused":
             call.answer(503)
         elif taken:
             call.answer(204)
             for notice in notices:
-                if notice.result == "bounced" and notice.ref not in self._ended:
+                if notice.result == "bounced" and notice.ref not in self._ended_refs:
                     self.on_bounced(notice.ref, notice.wait_ms)
-                self._ended.add(notice.ref)
+                self._ended_refs.add(notice.ref)
 
 
 class Notice(msgspec.Struct):
-    """A line that a relay posts."""
+    """A notice: one line of a request that a relay posts."""
 
     ref: str
     result: str
