--- a/garnetrelay/rehearsal/clients.py
+++ b/garnetrelay/rehearsal/clients.py
@@ -217,7 +217,7 @@
         self._write(connection, message)
 
     def _write(self, connection: ClientConnection, message: ClientMessage) -> None:
-        at, since = self.observer.did()
+        at, since = self.observer.action_time()
         remaining_ms = (message.ends_at - at) // MS
         if remaining_ms <= 0:
             self.release(connection)
@@ -231,7 +231,7 @@
             body,
         )
         if not message.resent:
-            self.observer.see(
+            self.observer.record(
                 ev.HandedIn(
                     at,
                     since,
@@ -250,14 +250,14 @@
 
     def answered(self, connection: ClientConnection, message: ClientMessage, answer: Any) -> None:
         """Handle an answer: ``+OK`` (bytes) or an error. A message refused with BUSY is retried later."""
-        at, since = self.observer.read()
+        at, since = self.observer.read_time()
         if not isinstance(answer, hiredis.ReplyError):
-            self.observer.see(ev.Answered(at, since, connection.relay, message.ref, "ok"))
+            self.observer.record(ev.Answered(at, since, connection.relay, message.ref, "ok"))
             self.accepted[message.ref] = message
             return
         kind, _, rest = str(answer).partition(" ")
         wait = int(rest) if kind == "BUSY" and rest.isdigit() else 0
-        self.observer.see(
+        self.observer.record(
             ev.Answered(at, since, connection.relay, message.ref, "busy" if kind == "BUSY" else "error", wait)
         )
         if kind == "BUSY":
@@ -278,19 +278,19 @@
 
     def closed(self, connection: ClientConnection, message: ClientMessage) -> None:
         """Handle a connection that the relay closed during a request, perhaps before it had read the request."""
-        at, since = self.observer.ended()
+        at, since = self.observer.close_time()
         if message.resent:
-            self.observer.see(ev.Unanswered(at, since, connection.relay, message.ref, "closed-twice"))
+            self.observer.record(ev.Unanswered(at, since, connection.relay, message.ref, "closed-twice"))
             self._retry_uncertain(message)
         else:
-            self.observer.see(ev.Unanswered(at, since, connection.relay, message.ref, "closed"))
+            self.observer.record(ev.Unanswered(at, since, connection.relay, message.ref, "closed"))
             message.resent = True
             self._send(message, connection.relay)
 
     def unanswered(self, relay: str, message: ClientMessage, why: str) -> None:
         """Handle a missing answer (``why`` as in the event). If the message may be repeated, retry it as a new effect."""
-        at, since = self.observer.read()
-        self.observer.see(ev.Unanswered(at, since, relay, message.ref, why))
+        at, since = self.observer.read_time()
+        self.observer.record(ev.Unanswered(at, since, relay, message.ref, why))
         self._retry_uncertain(message)
 
     def _retry_uncertain(self, message: ClientMessage) -> None:
--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -16,10 +16,10 @@
 from garnetrelay.rehearsal import events as ev
 from garnetrelay.rehearsal.checker import Checker, Verdict, figures_of
 from garnetrelay.rehearsal.clients import ClientPool
-from garnetrelay.rehearsal.clock import Clock, run_watched
+from garnetrelay.rehearsal.clock import Clock, run_timed
 from garnetrelay.rehearsal.discovery_server import DiscoveryServer, ListedEndpoint
 from garnetrelay.rehearsal.links.script import Move
-from garnetrelay.rehearsal.links.stage import LOOK_EVERY, Met, Stage
+from garnetrelay.rehearsal.links.stage import VIEW_SAMPLE_INTERVAL_S, FleetRun, FleetStepResult
 from garnetrelay.rehearsal.misbehaving_clients import MisbehavingClients
 from garnetrelay.rehearsal.observer import Observer
 from garnetrelay.rehearsal.partners.endpoints import Partners
@@ -43,7 +43,7 @@
     tally: Tally
     misbehaving: list[MisbehavingClients]
     ended_at: int
-    fleet: list[Met] = field(default_factory=list)  # the steps of the fleet, and how long the relays took to react
+    fleet: list[FleetStepResult] = field(default_factory=list)  # how relays of a fleet reacted to its steps
 
     @property
     def kept(self) -> bool:
@@ -81,9 +81,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._sampling: set[asyncio.Task[None]] = set()
         self._error: BaseException | None = None
-        self.stage: Stage | None = None
+        self.fleet: FleetRun | None = None
         if scenario.fleet is not None:
-            self.stage = Stage(
+            self.fleet = FleetRun(
                 scenario.fleet,
                 plan.relays,
                 plan.seed,
@@ -97,36 +97,36 @@
         try:
             await self.partners.start()
             await self.discovery.start()
-            if self.stage is not None:
-                await self.stage.network.start()
+            if self.fleet is not None:
+                await self.fleet.network.start()
                 for relay in self.relays.values():
-                    relay.options = self.stage.options(relay.name, relay.folder)
+                    relay.options = self.fleet.write_options(relay.name, relay.folder)
             starting_at = self.clock.now()
             await asyncio.gather(*(self._first_start(relay) for relay in self.relays.values()))
-            if self.stage is not None:
-                await self._wait_for_one_view(self.stage)
-                self.stage.gathered = round((self.clock.now() - starting_at) / SECOND, 2)
+            if self.fleet is not None:
+                await self._wait_for_one_view(self.fleet)
+                self.fleet.gathered = round((self.clock.now() - starting_at) / SECOND, 2)
             self.began = self.clock.now()  # the schedule does not depend on how long the start took
             self.clients.start(self.began)
             loop = asyncio.get_running_loop()
             for step in self.plan.steps:
                 loop.call_at(self._loop_time(step.at), self._begin, step)
-            if self.stage is not None:
-                for move in self.stage.moves:
-                    loop.call_at(self._loop_time(move.at), self._begin_move, self.stage, move)
-                sampling = loop.create_task(self._sample_views(self.stage))
+            if self.fleet is not None:
+                for move in self.fleet.moves:
+                    loop.call_at(self._loop_time(move.at), self._begin_move, self.fleet, move)
+                sampling = loop.create_task(self._sample_views(self.fleet))
                 self._sampling.add(sampling)
                 sampling.add_done_callback(self._sampling_ended)
             await self._wait_for_end()
-            at, since = self.observer.did()
-            self.observer.see(ev.RunEnded(at, since))
+            at, since = self.observer.action_time()
+            self.observer.record(ev.RunEnded(at, since))
             return Outcome(
                 self.plan,
                 self.checker.verdicts,
                 self.tally,
                 self.misbehaving,
                 at,
-                [] if self.stage is None else self.stage.met(),
+                [] if self.fleet is None else self.fleet.step_results(),
             )
         finally:
             for task in (*self._tasks, *self._sampling):
@@ -135,8 +135,8 @@
             for relay in self.relays.values():
                 relay.kill()
             await asyncio.gather(*(relay.wait_ended() for relay in self.relays.values()))
-            if self.stage is not None:
-                self.stage.network.stop()
+            if self.fleet is not None:
+                self.fleet.network.stop()
             await self.discovery.stop()
             await self.partners.stop()
             self.observer.close()
@@ -200,8 +200,8 @@
     def _begin(self, step: Step) -> None:
         spec = step.spec
         targets = ", ".join([*step.routes, *(f"partner {number}" for number in step.partners), step.relay])
-        at, since = self.observer.did()
-        self.observer.see(ev.Step(at, since, " ".join([spec.what, targets.strip(", ")]).strip(), step.partners))
+        at, since = self.observer.action_time()
+        self.observer.record(ev.Step(at, since, " ".join([spec.what, targets.strip(", ")]).strip(), step.partners))
         if spec.what in TROUBLES:
             for number in step.partners:
                 self.partners.inject_fault(number, spec.what, self.began + step.ends, spec.share, spec.factor)
@@ -250,41 +250,41 @@
 
     # ---- fleet of relays
 
-    async def _wait_for_one_view(self, stage: Stage) -> None:
+    async def _wait_for_one_view(self, fleet: FleetRun) -> None:
         """Wait until all relays have the same view."""
         try:
-            async with asyncio.timeout(stage.spec.gather_s):
+            async with asyncio.timeout(fleet.spec.gather_s):
                 while not (
-                    (snapshot := await stage.look(self.clock.now, self._operator_ports())) and snapshot.views == 1
+                    (sample := await fleet.sample_views(self.clock.now, self._operator_ports())) and sample.views == 1
                 ):
-                    await asyncio.sleep(LOOK_EVERY)
+                    await asyncio.sleep(VIEW_SAMPLE_INTERVAL_S)
         except TimeoutError:
-            raise StartError(f"the relays did not agree on one view within {stage.spec.gather_s:g} s") from None
-        stage.looks.clear()
-        stage.first_lives({name: relay.state_folder for name, relay in self.relays.items()})
+            raise StartError(f"the relays did not agree on one view within {fleet.spec.gather_s:g} s") from None
+        fleet.samples.clear()
+        fleet.store_life_numbers({name: relay.state_folder for name, relay in self.relays.items()})
 
     def _operator_ports(self) -> dict[str, int]:
         return {name: relay.operator_port for name, relay in self.relays.items() if relay.ready and not relay.paused}
 
-    async def _sample_views(self, stage: Stage) -> None:
+    async def _sample_views(self, fleet: FleetRun) -> None:
         while True:
-            await stage.look(lambda: self.clock.now() - self.began, self._operator_ports())
-            await asyncio.sleep(LOOK_EVERY)
+            await fleet.sample_views(lambda: self.clock.now() - self.began, self._operator_ports())
+            await asyncio.sleep(VIEW_SAMPLE_INTERVAL_S)
 
     def _sampling_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None and self._error is None:
             self._error = task.exception()
             self.clients.all_handed_in.set()
 
-    def _begin_move(self, stage: Stage, move: Move) -> None:
-        at, since = self.observer.did()
+    def _begin_move(self, fleet: FleetRun, move: Move) -> None:
+        at, since = self.observer.action_time()
         names = move.relays[0] if len(move.relays) == 1 else f"{len(move.relays)} relays"
-        self.observer.see(ev.Step(at, since, f"fleet: {move.what}, {names}", ()))
+        self.observer.record(ev.Step(at, since, f"fleet: {move.what}, {names}", ()))
         if move.what in ("cut", "cut-one-way"):
-            stage.cut(move)
-            asyncio.get_running_loop().call_at(self._loop_time(move.ends), stage.mend, move)
+            fleet.cut_links(move)
+            asyncio.get_running_loop().call_at(self._loop_time(move.ends), fleet.restore_links, move)
         elif move.what == "flap":
-            self._start_task(self._pulses(move, lambda: stage.cut(move), lambda: stage.mend(move)))
+            self._start_task(self._pulses(move, lambda: fleet.cut_links(move), lambda: fleet.restore_links(move)))
         elif move.what in ("stop", "starve"):
             relays = [self.relays[name] for name in move.relays]
 
@@ -299,7 +299,7 @@
 
             self._start_task(self._pulses(move, pause, resume))
         else:
-            self._start_task(self._leave_and_return(stage, move))
+            self._start_task(self._leave_and_return(fleet, move))
 
     async def _pulses(self, move: Move, begin: Callable[[], object], end: Callable[[], object]) -> None:
         """Alternate between fault and normal operation, one pulse each. A stop is one pulse as long as the move."""
@@ -315,14 +315,14 @@
         finally:
             end()
 
-    async def _leave_and_return(self, stage: Stage, move: Move) -> None:
+    async def _leave_and_return(self, fleet: FleetRun, move: Move) -> None:
         """End a relay and start it again later with its state folder; some moves remove or change its life number."""
         relay = self.relays[move.relays[0]]
         await self._end_and_start(
             relay,
             move.what != "leave",
             (move.ends - move.at) / SECOND,
-            lambda: stage.change_life(relay.name, relay.state_folder, move.what),
+            lambda: fleet.change_life(relay.name, relay.state_folder, move.what),
         )
 
     async def _restart(self, step: Step) -> None:
@@ -359,9 +359,8 @@
         route, number = step.routes[0], step.partners[0]
         relays = [relay for relay in self.relays.values() if relay.ready]
         for relay in relays:
-            for remaining in reversed(
-                range(MAX_COMMAND_ATTEMPTS)
-            ):  # the process that was called may be about to be replaced
+            # A process that an upgrade is replacing may refuse the command.
+            for remaining in reversed(range(MAX_COMMAND_ATTEMPTS)):
                 if await relay.exclude(route, True):
                     break
                 if not remaining:
@@ -427,6 +426,6 @@
 
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return run_watched(clock, lambda: main(folder))  # type: ignore[no-any-return]
+        return run_timed(clock, lambda: main(folder))  # type: ignore[no-any-return]
     with tempfile.TemporaryDirectory(prefix="rehearsal-") as temporary:
-        return run_watched(clock, lambda: main(Path(temporary)))  # type: ignore[no-any-return]
+        return run_timed(clock, lambda: main(Path(temporary)))  # type: ignore[no-any-return]
--- a/garnetrelay/rehearsal/discovery_server.py
+++ b/garnetrelay/rehearsal/discovery_server.py
@@ -164,10 +164,10 @@
 
     def set_notice_mode(self, mode: str) -> None:
         """From now on notices are ``taken``, ``refused`` (503) or ``lost`` (read, and never answered)."""
-        at, since = self.observer.did()
+        at, since = self.observer.action_time()
         self.notice_mode = mode
         for relay in self.feeds:
-            self.observer.see(ev.PlatformState(at, since, relay, mode == "taken"))
+            self.observer.record(ev.PlatformState(at, since, relay, mode == "taken"))
 
     async def move_address(self, relay: str) -> str:
         """Give a relay a new address. The old one accepts no more connections, and closes the open ones later."""
@@ -295,9 +295,9 @@
         feed.watch.raw(b"%x\r\n%s\r\n" % (len(data), data))
 
     def _record_told(self, feed: RelayFeed, statuses: dict[str, str]) -> None:
-        at, since = self.observer.did()
+        at, since = self.observer.action_time()
         for name, status in statuses.items():
-            self.observer.see(ev.Told(at, since, feed.relay, name, status))
+            self.observer.record(ev.Told(at, since, feed.relay, name, status))
 
     async def _check_unwatched(self) -> None:
         """Assume that relays without a watch know published changes.
@@ -326,7 +326,7 @@
     # ---- notices
 
     def _receive_notices(self, feed: RelayFeed, call: Call) -> None:
-        at, since = self.observer.read()
+        at, since = self.observer.read_time()
         try:
             notices: list[Notice] = [msgspec.json.decode(line, type=Notice) for line in call.body.splitlines()]
         except msgspec.MsgspecError:
@@ -334,7 +334,7 @@
             return
         taken = self.notice_mode == "taken"
         for notice in notices:
-            self.observer.see(ev.NoticeCame(at, since, feed.relay, notice.ref, notice.result, notice.wait_ms, taken))
+            self.observer.record(ev.NoticeCame(at, since, feed.relay, notice.ref, notice.result, notice.wait_ms, taken))
         if self.notice_mode == "refused":
             call.answer(503)
         elif taken:
--- a/garnetrelay/rehearsal/http.py
+++ b/garnetrelay/rehearsal/http.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 server on loopback that hands each request whole to a handler and writes what it is told to,
-well formed or not. One set for the kit, the tests and the benchmarks.
+"""A small HTTP/1.1 server on loopback for the rehearsal, the tests and the benchmarks.
 
-``httptools`` parses. A request that can't be read ends its connection.
+Each complete request is passed to a handler, which may write any answer, well formed or not. ``httptools`` parses the
+requests; a request that can't be parsed ends its connection.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 import httptools
 
-from garnetrelay.rehearsal.clock import ROUNDS, Clock
+from garnetrelay.rehearsal.clock import ACCEPT_ITERATIONS, Clock
 
-MOST_BODY = 1 << 20
+MAX_BODY_BYTES = 1 << 20
 REASONS = {
     200: "OK",
     204: "No Content",
@@ -30,7 +30,7 @@
 
 
 class Call:
-    """A request that has come in whole, and the connection that it came on."""
+    """A request that was received completely, and its connection."""
 
     __slots__ = ("connection", "method", "target", "headers", "body", "first", "came", "number")
 
@@ -42,19 +42,19 @@
         self.target = target
         self.headers = headers  # names in lower case
         self.body = body
-        self.first = first  # its first byte came after this time of the run
-        self.came = 0  # when it came whole; the handler's own, as its number is
+        self.first = first  # its first byte arrived after this time of the run
+        self.came = 0  # when it was complete; set by the handler, like the number
         self.number = 0
 
     def answer(self, status: int, *headers: str, body: bytes = b"") -> None:
-        """A whole answer; headers as ``Name: value``."""
+        """Write a complete answer; headers as ``Name: value``."""
         head = _heads.get(status) or b"HTTP/1.1 %d Whatever\r\n" % status
-        more = "".join(f"{header}\r\n" for header in headers).encode("latin-1")
+        header_lines = "".join(f"{header}\r\n" for header in headers).encode("latin-1")
         length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
-        self.raw(head + length + more + b"\r\n" + body)
+        self.raw(head + length + header_lines + b"\r\n" + body)
 
     def raw(self, data: bytes) -> None:
-        """Any bytes in an answer's place."""
+        """Write any bytes instead of an answer."""
         if self.connection.transport is not None:
             self.connection.transport.write(data)
 
@@ -65,24 +65,24 @@
             self.connection.transport.abort()
 
     def close(self) -> None:
-        """End the connection once all is written."""
+        """Close the connection once all data is written."""
         self.connection.broken_off = True
         if self.connection.transport is not None:
             self.connection.transport.close()
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a relay to a stand-in."""
+    """A connection of a client to the server."""
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = None
         self.port = 0
-        self.born = self.born_round = 0
+        self.accepted_since = self.accepted_iteration = 0
         self.last: Call | None = None
-        self.broken_off = False  # by us
-        self.turned_away = False  # by a handler that holds too many
+        self.broken_off = False  # by this side
+        self.turned_away = False  # the handler has too many connections
         self.lost = False
         self._first: int | None = None
         self._target = b""
@@ -93,26 +93,30 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the loop for a new connection."""
         self.transport = cast(asyncio.Transport, transport)
-        # What comes on it first may have lain there since before it was accepted, some rounds of the loop ago.
-        self.born, self.born_round = self.server.clock.looks[0], self.server.clock.rounds
+        # Its first data may have arrived before it was accepted, some iterations of the loop ago.
+        self.accepted_since, self.accepted_iteration = self.server.clock.poll_times[0], self.server.clock.iterations
         self.port = int(transport.get_extra_info("peername")[1])
         self.parser = httptools.HttpRequestParser(self)
         self.server.connections.add(self)
         self.server.opened(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Called by the loop at its end, whoever ended it."""
+        """Called by the loop at the end of the connection, whichever side ended it."""
         self.lost = True
         self.parser = None
         self.server.connections.discard(self)
         self.server.closed(self)
 
     def not_before(self, since: int) -> int:
-        """Since when at the earliest something that is read now may have been there."""
-        return since if self.server.clock.rounds - self.born_round > ROUNDS else min(since, self.born)
+        """The earliest time at which data that is read now may have arrived."""
+        return (
+            since
+            if self.server.clock.iterations - self.accepted_iteration > ACCEPT_ITERATIONS
+            else min(since, self.accepted_since)
+        )
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser; what is no HTTP ends the connection."""
+        """Feed the parser; data that is not HTTP ends the connection."""
         if self.parser is None or self.broken_off:
             return
         if self._first is None:
@@ -129,7 +133,7 @@
     # ---- the parser calls these
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser: a piece of the request's target."""
+        """Called by the parser: a part of the request's target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -137,14 +141,14 @@
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Called by the parser: a piece of the body; ValueError, which ends it, behind ``MOST_BODY`` bytes."""
+        """Called by the parser: a part of the body. Raises ValueError, which ends parsing, above ``MAX_BODY_BYTES``."""
         self._size += len(body)
-        if self._size > MOST_BODY:
+        if self._size > MAX_BODY_BYTES:
             raise ValueError("body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the request is whole and goes to the server."""
+        """Called by the parser: the request is complete and is passed to the server."""
         assert self.parser is not None
         first = self.server.clock.since if self._first is None else self._first
         call = Call(
@@ -161,8 +165,10 @@
 
 
 class HttpServer:
-    """Listens on a loopback port that the kernel picks. What happens comes to ``handler``; ``opened``, ``closed``
-    and ``first_bytes`` are there for those who override them."""
+    """Listens on a loopback port that the kernel picks, and passes requests to ``handler``.
+
+    Subclasses may override ``opened``, ``closed`` and ``first_bytes``.
+    """
 
     def __init__(self, handler: Callable[[Call], None], clock: Clock | None = None) -> None:
         self.handler = handler
@@ -172,35 +178,35 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str = "127.0.0.1", port: int = 0, backlog: int = 512) -> None:
-        """Listen; ``address`` then says where, as host:port. OSError where that can't be."""
+        """Listen, and set ``address`` as host:port. OSError if that fails."""
         self._server = await asyncio.get_running_loop().create_server(
             lambda: Connection(self), host, port, backlog=backlog
         )
         self.address = "%s:%d" % self._server.sockets[0].getsockname()[:2]
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that are open stay."""
+        """Accept no new connections; open ones stay."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     async def stop(self) -> None:
-        """Stop listening and cut all connections off."""
+        """Stop listening and abort all connections."""
         self.stop_listening()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
 
     def request(self, call: Call) -> None:
-        """A whole request has come."""
+        """Called for each complete request."""
         self.handler(call)
 
     def opened(self, connection: Connection) -> None:
-        """A connection has come."""
+        """Called for each new connection."""
 
     def closed(self, connection: Connection) -> None:
-        """It has gone."""
+        """Called when a connection has ended."""
 
     def first_bytes(self, connection: Connection) -> bool:
-        """A request has begun; False: it is not to be read."""
+        """Called when a request begins. Returns whether to read it."""
         return True
--- a/garnetrelay/rehearsal/links/__init__.py
+++ b/garnetrelay/rehearsal/links/__init__.py
@@ -1,1 +1,1 @@
-"""A network between real relays that loses, delays, doubles, damages and cuts, each direction of each pair on its own."""
+"""Simulated network between real relays: loss, delay, duplication, damage and cuts, per direction of each pair."""
--- a/garnetrelay/rehearsal/links/network.py
+++ b/garnetrelay/rehearsal/links/network.py
@@ -1,11 +1,11 @@
-"""The links stand-in: real relays speak through it, by UDP and TCP.
+"""Simulated network between real relays, for UDP and TCP.
 
-Each relay listens on an inner address of its own and tells the others an outer one, which is this network's:
+Each relay listens on its inner address and advertises an outer address, at which this network listens:
 
-    a (127.N.2.1) -> outer address of b (127.N.1.2), here -> [what becomes of a -> b] -> inner address of b (127.N.2.2)
+    a (127.N.2.1) -> outer address of b (127.N.1.2), here -> [rules of the link a -> b] -> inner address of b (127.N.2.2)
 
-Who sends is known by the inner address that it sends from; b hears a from a's outer address. What becomes of a piece is
-decided by `laboratory/links.py`; this file has the sockets.
+The sender is identified by the inner address that it sends from; b receives from a's outer address. The rules of links
+are in `laboratory/links.py`; this module has the sockets.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 from garnetrelay.laboratory.links import Links
 
-NETWORK_TRIES = 50
-PIECE = 65536
-MOST_PIECE = 65536
-TCP_AGAIN = 0.2  # seconds that a lost piece of a connection costs
-MOST_ON_THE_WAY = 20_000
+MAX_NETWORK_ATTEMPTS = 50
+CHUNK_BYTES = 65536
+MAX_DATAGRAM_BYTES = 65536
+TCP_RETRANSMIT_S = 0.2  # delay of a lost chunk of a connection
+MAX_DATAGRAMS_IN_FLIGHT = 20_000
 
 
 class Network:
-    """Outer and inner addresses of named relays, and what happens between them."""
+    """Outer and inner addresses of named relays, and the traffic between them."""
 
     def __init__(self, names: Sequence[str], links: Links) -> None:
         self.links = links
         self.names = list(names)
-        self.figures: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.port = 0
         self._octet = 0
         self._sockets: dict[str, socket.socket] = {}
@@ -39,43 +39,43 @@
         self._by_inner: dict[str, str] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._streams: dict[asyncio.StreamWriter, tuple[str, str]] = {}
-        self._on_the_way = 0
+        self._in_flight = 0
 
     def outer(self, name: str) -> str:
-        """Where the others reach a relay."""
+        """The address at which the other relays reach a relay."""
         return f"{self._host(1, name)}:{self.port}"
 
     def inner(self, name: str) -> str:
-        """Where it listens."""
+        """The address at which a relay listens."""
         return f"{self._host(2, name)}:{self.port}"
 
     def _host(self, third: int, name: str) -> str:
-        place = self.names.index(name) + 1
-        return f"127.{self._octet}.{third + 10 * (place >> 8)}.{place & 255}"
+        index = self.names.index(name) + 1
+        return f"127.{self._octet}.{third + 10 * (index >> 8)}.{index & 255}"
 
     async def start(self) -> None:
-        """Take a network that nobody uses; OSError where none is free."""
-        for left in reversed(range(NETWORK_TRIES)):
+        """Bind to an unused loopback network; OSError if none is free."""
+        for remaining in reversed(range(MAX_NETWORK_ATTEMPTS)):
             self._octet, self.port = random.randint(16, 250), random.randint(20_000, 30_000)
             try:
-                await self._take()
+                await self._bind()
             except OSError:
                 self.stop()
-                if not left:
+                if not remaining:
                     raise
             else:
                 return
 
-    async def _take(self) -> None:
+    async def _bind(self) -> None:
         loop = asyncio.get_running_loop()
         self._by_inner = {self._host(2, name): name for name in self.names}
         for name in self.names:
-            found = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            self._sockets[name] = found
-            found.setblocking(False)
-            found.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-            found.bind((self._host(1, name), self.port))
-            loop.add_reader(found, self._readable, name, found)
+            udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            self._sockets[name] = udp_socket
+            udp_socket.setblocking(False)
+            udp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+            udp_socket.bind((self._host(1, name), self.port))
+            loop.add_reader(udp_socket, self._readable, name, udp_socket)
             self._servers.append(
                 await asyncio.start_server(
                     lambda reader, writer, name=name: self._accepted(name, reader, writer),  # type: ignore[misc]
@@ -85,11 +85,11 @@
             )
 
     def stop(self) -> None:
-        """Close the sockets; what is on its way is lost."""
+        """Close the sockets; traffic in flight is lost."""
         loop = asyncio.get_running_loop()
-        for found in self._sockets.values():
-            loop.remove_reader(found)
-            found.close()
+        for udp_socket in self._sockets.values():
+            loop.remove_reader(udp_socket)
+            udp_socket.close()
         self._sockets.clear()
         for server in self._servers:
             server.close()
@@ -100,42 +100,42 @@
             writer.transport.abort()
 
     def changed(self) -> None:
-        """Rules have changed: connections over a link that is cut now break off."""
+        """Apply changed rules: abort the connections over links that are cut now."""
         for writer, (first, second) in list(self._streams.items()):
             if not self.links.connects(first, second):
                 writer.transport.abort()
 
     # ---- datagrams
 
-    def _readable(self, receiver: str, found: socket.socket) -> None:
+    def _readable(self, receiver: str, udp_socket: socket.socket) -> None:
         for _ in range(64):
             try:
-                data, source = found.recvfrom(MOST_PIECE)
+                data, source = udp_socket.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             sender = self._by_inner.get(source[0])
             if sender is None:
-                self.figures["strangers"] += 1
+                self.counters["unknown senders"] += 1
                 continue
-            self.figures["datagrams"] += 1
+            self.counters["datagrams"] += 1
             copies = self.links.carry(sender, receiver, data)
-            self.figures["lost"] += not copies
+            self.counters["lost"] += not copies
             for delay, arrived in copies:
-                if self._on_the_way >= MOST_ON_THE_WAY:
-                    self.figures["too many"] += 1
+                if self._in_flight >= MAX_DATAGRAMS_IN_FLIGHT:
+                    self.counters["over in-flight limit"] += 1
                     continue
-                self._on_the_way += 1
+                self._in_flight += 1
                 asyncio.get_running_loop().call_later(delay, self._deliver, sender, receiver, arrived)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        self._on_the_way -= 1
-        found = self._sockets.get(sender)
-        if found is None:
+        self._in_flight -= 1
+        udp_socket = self._sockets.get(sender)
+        if udp_socket is None:
             return
         try:
-            found.sendto(data, (self._host(2, receiver), self.port))
-        except OSError:  # nobody listens there: as on any network
-            self.figures["nobody there"] += 1
+            udp_socket.sendto(data, (self._host(2, receiver), self.port))
+        except OSError:  # no listener: the datagram is lost, as on a real network
+            self.counters["no listener"] += 1
 
     # ---- connections
 
@@ -151,26 +151,29 @@
         except OSError:
             writer.transport.abort()
             return
-        self.figures["connections"] += 1
-        for each in (writer, far_writer):
-            self._streams[each] = (sender, receiver)
-        for work in (self._pipe(sender, receiver, reader, far_writer), self._pipe(receiver, sender, far_reader, writer)):
-            task = asyncio.get_running_loop().create_task(work)
+        self.counters["connections"] += 1
+        for stream in (writer, far_writer):
+            self._streams[stream] = (sender, receiver)
+        for coroutine in (
+            self._pipe(sender, receiver, reader, far_writer),
+            self._pipe(receiver, sender, far_reader, writer),
+        ):
+            task = asyncio.get_running_loop().create_task(coroutine)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _pipe(self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pieces one way, in their order, each with its delay; a lost one comes later, a cut ends it."""
+        """Forward chunks in one direction and in order, each with its delay. A loss adds a delay; a cut ends the pipe."""
         try:
-            while piece := await reader.read(PIECE):
-                copies = self.links.carry(sender, receiver, piece)
+            while chunk := await reader.read(CHUNK_BYTES):
+                copies = self.links.carry(sender, receiver, chunk)
                 while not copies:
                     if not self.links.connects(sender, receiver):
                         return
-                    await asyncio.sleep(TCP_AGAIN)
-                    copies = self.links.carry(sender, receiver, piece)
+                    await asyncio.sleep(TCP_RETRANSMIT_S)
+                    copies = self.links.carry(sender, receiver, chunk)
                 await asyncio.sleep(copies[0][0])
-                writer.write(piece)
+                writer.write(chunk)
                 await writer.drain()
         except OSError:
             pass
--- a/garnetrelay/rehearsal/links/script.py
+++ b/garnetrelay/rehearsal/links/script.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` table of a scenario: relays that know each other, by the links stand-in, and what befalls them. No I/O.
+"""The `[fleet]` table of a scenario: a fleet of relays on a simulated network, and its fault steps. No I/O.
 
 The same scenario, seed and number of relays give the same moves.
 """
@@ -19,46 +19,46 @@
 What = Literal[
     "cut",
     "cut-one-way",
-    "flap",  # links between some and the rest; one way: from the some
+    "flap",  # links between the selected relays and the others; one way: from the selected relays
     "stop",
     "starve",  # SIGSTOP and SIGCONT, once or in pulses
     "kill",
     "lose-life",
-    "old-life",  # SIGKILL; back with its folder, without its life number, with the first one
+    "old-life",  # SIGKILL; returns with its folder: whole, without its life number, or with the first one
     "kill-seeds",
-    "leave",  # all seeds; SIGTERM
+    "leave",  # SIGKILL of all seeds, or SIGTERM
 ]
-ENDLESS = ("kill", "lose-life", "old-life", "kill-seeds", "leave")  # their length is what they are away for
+AWAY_STEPS = ("kill", "lose-life", "old-life", "kill-seeds", "leave")  # their length is the time without the relay
 
 
 class FleetStep(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Something that befalls some relays."""
+    """A fault or departure of some relays."""
 
     at: Amount  # seconds from the start
     what: What
-    seconds: Amount = 5.0  # for which it lasts, or the relays are away
+    seconds: Amount = 5.0  # duration, or the time until the relays return
     share: Share = 0.0  # of the relays; at least one
-    within_s: Amount = 0.0  # over which the relays' own beginnings are spread
-    pulse_ms: Annotated[int, Meta(ge=10, le=60_000)] = 500  # of a flap or of starving: so long bad, so long good
+    within_s: Amount = 0.0  # time over which the starts for the single relays are spread
+    pulse_ms: Annotated[int, Meta(ge=10, le=60_000)] = 500  # of a flap or of starving: length of each phase
 
 
 class FleetSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """How the relays know each other."""
+    """The configuration of the fleet and its network."""
 
     probe_every_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1000
     probe_timeout_ms: Annotated[int, Meta(ge=5, le=30_000)] = 300
     seeds: Annotated[int, Meta(ge=1, le=16)] = 3
     old_frames: Share = 0.0  # of the relays: these speak version 1
-    old_secret: Share = 0.0  # of the relays: these sign with the secret of before
-    gather_s: Annotated[float, Meta(gt=0, le=600)] = 120.0  # for coming to one view, ahead of the schedule
+    old_secret: Share = 0.0  # of the relays: these sign with the previous secret
+    gather_s: Annotated[float, Meta(gt=0, le=600)] = 120.0  # time limit for one common view before the schedule starts
     links: Fate = Fate()
     steps: tuple[FleetStep, ...] = ()
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A step as it is played. Nanoseconds from the schedule's start."""
+    """A scheduled step. Times in nanoseconds from the start of the schedule."""
 
-    number: int  # of its step
+    number: int  # index of its step
     at: int
     ends: int
     what: What
@@ -67,25 +67,25 @@
 
 
 def moves(spec: FleetSpec, seed: int, relays: tuple[str, ...], stretch: float = 1.0) -> tuple[Move, ...]:
-    """All moves in the order of their beginnings."""
+    """All moves, ordered by their start."""
     draw = random.Random(f"{seed}/fleet")
-    made: list[Move] = []
+    scheduled: list[Move] = []
     for number, step in enumerate(spec.steps):
         at, length = int(step.at * stretch * SECOND), int(step.seconds * SECOND)
-        some = tuple(sorted(draw.sample(relays, max(1, round(step.share * len(relays)))), key=relays.index))
+        selected = tuple(sorted(draw.sample(relays, max(1, round(step.share * len(relays)))), key=relays.index))
         if step.what == "kill-seeds":
-            some = relays[: spec.seeds]
-        if step.what in ENDLESS:
-            for name in some:
-                shift = int(draw.uniform(0, step.within_s) * SECOND)
-                made.append(Move(number, at + shift, at + shift + length, step.what, (name,)))
+            selected = relays[: spec.seeds]
+        if step.what in AWAY_STEPS:
+            for name in selected:
+                delay = int(draw.uniform(0, step.within_s) * SECOND)
+                scheduled.append(Move(number, at + delay, at + delay + length, step.what, (name,)))
         else:
-            made.append(Move(number, at, at + length, step.what, some, step.pulse_ms * 1_000_000))
-    return tuple(sorted(made, key=lambda move: move.at))
+            scheduled.append(Move(number, at, at + length, step.what, selected, step.pulse_ms * 1_000_000))
+    return tuple(sorted(scheduled, key=lambda move: move.at))
 
 
-def old_ones(share: float, relays: tuple[str, ...]) -> frozenset[str]:
-    """Every so many-eth: the first is never among them, so that a fleet has both kinds."""
+def select_share(share: float, relays: tuple[str, ...]) -> frozenset[str]:
+    """An evenly spread share of the relays. The first is never included, so that a fleet has both kinds."""
     return frozenset(
-        name for place, name in enumerate(relays) if place and int(place * share) != int((place - 1) * share)
+        name for index, name in enumerate(relays) if index and int(index * share) != int((index - 1) * share)
     )
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -1,4 +1,4 @@
-"""The fleet's side of a run: the links between the relays, their options, and how their views stand at every moment."""
+"""The fleet of a run: the links between the relays, their options, and samples of their views."""
 
 from __future__ import annotations
 
@@ -16,52 +16,52 @@
 from garnetrelay.rehearsal.links import script
 from garnetrelay.rehearsal.links.network import Network
 
-SECRET, OLD_SECRET = "the kit's secret of the fleet", "the kit's secret of before"
-LOOK_EVERY = 0.25  # seconds between two looks at all views
+SECRET, OLD_SECRET = "secret of the rehearsal's fleet", "previous secret of the rehearsal's fleet"
+VIEW_SAMPLE_INTERVAL_S = 0.25
 
 
-class Met(msgspec.Struct):
-    """A step of the fleet, and how long the relays took over it. Seconds; None: not within the run, or not asked."""
+class FleetStepResult(msgspec.Struct):
+    """A step of the fleet, and how long the relays took to react. Seconds; None: not within the run, or not measured."""
 
     what: str
     at: float
     relays: int
-    noticed: float | None = None  # from its beginning until a relay is in doubt: somebody suspected, gone or cut off
-    known: float | None = None  # from its last beginning until nobody that runs holds a life that is over
-    one_view: float | None = None  # from its end until all that run hold one view, with just them in it
+    noticed: float | None = None  # from its start until a view is not settled: a member is suspected, gone or cut off
+    known: float | None = None  # from its last start until no running relay lists a member's life that has ended
+    one_view: float | None = None  # from its end until all running relays have one view, which lists exactly them
 
 
-class Look(msgspec.Struct):
-    """How the views stood at a moment (nanoseconds from the schedule's start)."""
+class ViewSample(msgspec.Struct):
+    """A sample of all views (time in nanoseconds from the start of the schedule)."""
 
     at: int
     running: int
-    doubting: int
-    wrong: int  # hold somebody that is not there, or in another life
+    uncertain: int  # views that are not settled
+    stale: int  # views that list a member that is gone or has another life
     views: int
 
 
-class Stage:
-    """Links, options and looks."""
+class FleetRun:
+    """Links, options and view samples of the fleet."""
 
     def __init__(
         self, spec: script.FleetSpec, relays: tuple[str, ...], seed: int, stretch: float, upgrades: Sequence[int] = ()
     ) -> None:
-        """``upgrades``: when relays are upgraded, from the schedule's start."""
+        """``upgrades``: times at which relays are upgraded, from the start of the schedule."""
         self.spec = spec
         self.names = relays
         self.links = Links(spec.links, seed)
         self.network = Network(relays, self.links)
         self.moves = script.moves(spec, seed, relays, stretch)
         self.upgrades = upgrades
-        self.looks: list[Look] = []
-        self.gathered: float | None = None  # seconds from the relays' starts until all held one view
+        self.samples: list[ViewSample] = []
+        self.gathered: float | None = None  # seconds from the start of the relays until all had one view
         self._first_lives: dict[str, bytes] = {}
-        self._old_frames = script.old_ones(spec.old_frames, relays)
-        self._old_secret = script.old_ones(spec.old_secret, relays)
+        self._old_frames = script.select_share(spec.old_frames, relays)
+        self._old_secret = script.select_share(spec.old_secret, relays)
 
-    def options(self, name: str, folder: Path) -> Path:
-        """Write what a relay's RELAY_OPTIONS names."""
+    def write_options(self, name: str, folder: Path) -> Path:
+        """Write the file that a relay's RELAY_OPTIONS names. Returns its path."""
         secrets = [OLD_SECRET, SECRET] if name in self._old_secret else [SECRET, OLD_SECRET]
         (folder / "secret").write_text("\n".join(secrets) + "\n")
         path = folder / "options.toml"
@@ -73,12 +73,12 @@
         )
         return path
 
-    def first_lives(self, folders: dict[str, Path]) -> None:
-        """Remember the relays' life numbers as they are now."""
+    def store_life_numbers(self, folders: dict[str, Path]) -> None:
+        """Store the relays' current life numbers."""
         self._first_lives = {name: (folder / LIFE_FILE).read_bytes() for name, folder in folders.items()}
 
     def change_life(self, name: str, state: Path, what: str) -> None:
-        """What happens to a killed relay's life number: lost, or as it was first. The rest of its folder stays."""
+        """Delete a killed relay's life number, or reset it to the first one. The rest of its folder stays."""
         path = state / LIFE_FILE
         if what == "lose-life":
             path.unlink(missing_ok=True)
@@ -87,80 +87,84 @@
 
     # ---- links
 
-    def cut(self, move: script.Move) -> None:
-        """What a move does to links, from now on."""
-        rest = [name for name in self.names if name not in move.relays]
-        self.links.rule(f"move {move.number}", between(move.relays, rest, move.what == "cut-one-way"), Fate(cut=True))
+    def cut_links(self, move: script.Move) -> None:
+        """Cut the links that a move names."""
+        others = [name for name in self.names if name not in move.relays]
+        self.links.rule(f"move {move.number}", between(move.relays, others, move.what == "cut-one-way"), Fate(cut=True))
         self.network.changed()
 
-    def mend(self, move: script.Move) -> None:
-        """End what a move did to links."""
+    def restore_links(self, move: script.Move) -> None:
+        """Restore the links that a move cut."""
         self.links.drop(f"move {move.number}")
 
-    # ---- looks
+    # ---- view samples
 
-    async def look(self, at: Callable[[], int], ports: dict[str, int]) -> Look | None:
-        """Ask all that run (``ports``: where staff call them) for their views; None where one did not answer."""
-        told = await asyncio.gather(*(staff.lines(port, "FLEET MEMBERS") for port in ports.values()))
-        answers = dict(zip(ports, told, strict=True))
+    async def sample_views(self, at: Callable[[], int], ports: dict[str, int]) -> ViewSample | None:
+        """Query the views of all running relays (``ports``: their operator ports). None if one did not answer."""
+        replies = await asyncio.gather(*(staff.lines(port, "FLEET MEMBERS") for port in ports.values()))
+        answers = dict(zip(ports, replies, strict=True))
         if not answers or not all(answers.values()):
             return None
         states: dict[str, State] = {}
-        held: dict[str, list[Line]] = {}
+        listed: dict[str, list[Line]] = {}
         for name, (first, *rest) in answers.items():
             states[name] = msgspec.json.decode(first, type=State)
-            held[name] = [msgspec.json.decode(line, type=Line) for line in rest]
+            listed[name] = [msgspec.json.decode(line, type=Line) for line in rest]
         lives = {name: state.life for name, state in states.items()}
-        wrong = sum(
+        stale = sum(
             any(line.status in ("alive", "suspect") and lives.get(line.name) != line.life for line in lines)
-            for lines in held.values()
+            for lines in listed.values()
         )
-        found = Look(
+        sample = ViewSample(
             at(),
             len(states),
             sum(state.condition != "settled" for state in states.values()),
-            wrong,
+            stale,
             len({(state.view, state.members == len(states)) for state in states.values()}),
         )
         if any(state.members != len(states) for state in states.values()):
-            found.views = max(2, found.views)
-        self.looks.append(found)
-        return found
-
-    def met(self) -> list[Met]:
-        """Each step, and how the views went on from there until the next one began; the start is the first, and all
-        upgrades are one."""
-        made = [Met("join", 0.0, len(self.names), one_view=self.gathered)]
-        spans: list[tuple[int, int, int, str, int]] = []  # begins, last beginning, ends, what, relays
+            sample.views = max(2, sample.views)
+        self.samples.append(sample)
+        return sample
+
+    def step_results(self) -> list[FleetStepResult]:
+        """Each step, with the reaction of the views until the next step starts.
+
+        The start of the fleet is the first step, and all upgrades are one step.
+        """
+        results = [FleetStepResult("join", 0.0, len(self.names), one_view=self.gathered)]
+        steps: list[tuple[int, int, int, str, int]] = []  # first start, last start, end, what, number of relays
         for number, step in enumerate(self.spec.steps):
-            mine = [move for move in self.moves if move.number == number]
-            spans.append(
+            step_moves = [move for move in self.moves if move.number == number]
+            steps.append(
                 (
-                    mine[0].at,
-                    max(move.at for move in mine),
-                    max(move.ends for move in mine),
+                    step_moves[0].at,
+                    max(move.at for move in step_moves),
+                    max(move.ends for move in step_moves),
                     step.what,
-                    sum(len(move.relays) for move in mine),
+                    sum(len(move.relays) for move in step_moves),
                 )
             )
         if self.upgrades:
-            spans.append((min(self.upgrades), max(self.upgrades), max(self.upgrades), "upgrade", len(self.upgrades)))
-        for begins, last, ends, what, relays in sorted(spans):
-            until = min((span[0] for span in spans if span[0] > begins), default=1 << 62)
-            looks = [look for look in self.looks if begins <= look.at < max(until, ends)]
-
-            def first(since: int, holds: Callable[[Look], bool], looks: list[Look] = looks) -> float | None:
-                at = next((look.at for look in looks if look.at >= since and holds(look)), None)
+            steps.append((min(self.upgrades), max(self.upgrades), max(self.upgrades), "upgrade", len(self.upgrades)))
+        for begins, last, ends, what, relays in sorted(steps):
+            until = min((step[0] for step in steps if step[0] > begins), default=1 << 62)
+            samples = [sample for sample in self.samples if begins <= sample.at < max(until, ends)]
+
+            def first(
+                since: int, condition: Callable[[ViewSample], bool], samples: list[ViewSample] = samples
+            ) -> float | None:
+                at = next((sample.at for sample in samples if sample.at >= since and condition(sample)), None)
                 return None if at is None else round((at - since) / script.SECOND, 2)
 
-            made.append(
-                Met(
+            results.append(
+                FleetStepResult(
                     what,
                     begins / script.SECOND,
                     relays,
-                    first(begins, lambda look: look.doubting > 0),
-                    first(last, lambda look: not look.wrong),
-                    first(ends, lambda look: look.views == 1 and not look.wrong),
+                    first(begins, lambda sample: sample.uncertain > 0),
+                    first(last, lambda sample: not sample.stale),
+                    first(ends, lambda sample: sample.views == 1 and not sample.stale),
                 )
             )
-        return made
+        return results
--- a/garnetrelay/rehearsal/misbehaving_clients.py
+++ b/garnetrelay/rehearsal/misbehaving_clients.py
@@ -1,16 +1,16 @@
-"""Bad clients: what can't be read, at full speed. Each is owed an error or a close within some seconds."""
+"""Clients that send malformed requests at full speed. The relay must answer with an error or close in time."""
 
 from __future__ import annotations
 
 import asyncio
 import random
 
-OWED = 3.0  # seconds for an error or a close
-BLOCK = b"x" * 65536
+RESPONSE_TIMEOUT_S = 3.0  # for an error or a close
+PAYLOAD = b"x" * 65536
 
 
-def nonsense(draw: random.Random) -> bytes:
-    """Something that no relay can take on."""
+def malformed_input(draw: random.Random) -> bytes:
+    """Input that no relay can accept."""
     return draw.choice(
         [
             b"\x00\xff" * 500,
@@ -23,7 +23,7 @@
             b"*5\r\n$7\r\nENQUEUE\r\n$4\r\n0000\r\n$2\r\nid\r\n$13\r\nc=none,d=1000\r\n$1\r\nx\r\n",
             b"*5\r\n$7\r\nENQUEUE\r\n$4\r\n0000\r\n$0\r\n\r\n$29\r\nc=match-state,d=nought,dest=1\r\n$1\r\nx\r\n",
             b"*5\r\n$7\r\nENQUEUE\r\n$4\r\n0000\r\n$3\r\na b\r\n$28\r\nc=match-state,d=1000,dest=1\r\n$1\r\nx\r\n",
-            b"*1\r\n$60000000\r\n" + BLOCK * 4,
+            b"*1\r\n$60000000\r\n" + PAYLOAD * 4,
             b"*2\r\n$4\r\nPI",
             b"",
         ]
@@ -31,40 +31,40 @@
 
 
 class MisbehavingClients:
-    """So many bad clients at once, each coming again as soon as it is turned away, until a time."""
+    """A number of concurrent misbehaving clients; each connects again after its connection ends_at."""
 
     def __init__(self, port: int, count: int, seed: str) -> None:
         self.port = port
         self.count = count
         self.random = random.Random(seed)
-        self.tried = 0
-        self.left_waiting = 0  # with neither error nor close
+        self.attempts = 0
+        self.unanswered = 0  # connections that got neither an error nor a close
 
     async def run(self, seconds: float) -> None:
-        """Open and misuse connections for so many seconds, ``count`` at a time."""
-        ends = asyncio.get_running_loop().time() + seconds
+        """Send malformed input for a number of seconds, on ``count`` connections at a time."""
+        ends_at = asyncio.get_running_loop().time() + seconds
         async with asyncio.TaskGroup() as group:
             for _ in range(self.count):
-                group.create_task(self._one(ends))
+                group.create_task(self._run_client(ends_at))
 
-    async def _one(self, ends: float) -> None:
+    async def _run_client(self, ends_at: float) -> None:
         loop = asyncio.get_running_loop()
-        while loop.time() < ends:
+        while loop.time() < ends_at:
             try:
-                async with asyncio.timeout(OWED):
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except (OSError, TimeoutError):
                 await asyncio.sleep(0.2)
                 continue
-            self.tried += 1
+            self.attempts += 1
             try:
-                writer.write(nonsense(self.random))
-                async with asyncio.timeout(OWED):
-                    await reader.read(100)  # an error, or nothing: a close
+                writer.write(malformed_input(self.random))
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                    await reader.read(100)  # an error, or no data: a close
             except TimeoutError:
-                self.left_waiting += 1
+                self.unanswered += 1
             except OSError:
-                pass  # a reset is a close too
+                pass  # a reset counts as a close
             finally:
                 writer.transport.abort()
             await asyncio.sleep(0.02)
--- a/garnetrelay/rehearsal/observer.py
+++ b/garnetrelay/rehearsal/observer.py
@@ -1,4 +1,4 @@
-"""Where all that is observed comes together: the checker hears it at once, and a recording keeps it."""
+"""Collects all observed events: passes them to the checker and the tally, and writes them to a recording."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from garnetrelay.rehearsal.clock import Clock
 from garnetrelay.rehearsal.tally import Tally
 
-BUFFER = 1 << 18
+MAX_BUFFER_BYTES = 1 << 18
 
 
 class Observer:
-    """Takes events in the order in which they are observed. ``on_verdict`` hears of each verdict as it falls."""
+    """Receives events in the order of observation. ``on_verdict`` is called for each verdict as soon as it is reached."""
 
     def __init__(
         self,
@@ -31,58 +31,58 @@
         self.checker = checker
         self.tally = tally
         self.on_verdict = on_verdict
-        self._told = 0
+        self._reported = 0
         self._encoder = msgspec.json.Encoder()
         self._buffer = bytearray()
         self._file = None if recording is None else recording.open("wb")
         if header is not None:
-            self._record(header)
+            self._write(header)
 
-    def see(self, event: ev.Event) -> None:
-        """One more event."""
+    def record(self, event: ev.Event) -> None:
+        """Process one event."""
         self.checker.take(event)
         self.tally.take(event)
         if self._file is not None:
-            self._record(event)
+            self._write(event)
         verdicts = self.checker.verdicts
-        while self._told < len(verdicts):
-            self._told += 1
+        while self._reported < len(verdicts):
+            self._reported += 1
             if self.on_verdict is not None:
-                self.on_verdict(verdicts[self._told - 1])
+                self.on_verdict(verdicts[self._reported - 1])
 
-    def _record(self, value: ev.Event | ev.Header) -> None:
+    def _write(self, value: ev.Event | ev.Header) -> None:
         if self._file is None:
             return
         self._encoder.encode_into(value, self._buffer, len(self._buffer))
         self._buffer += b"\n"
-        if len(self._buffer) > BUFFER:
+        if len(self._buffer) > MAX_BUFFER_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        """Write what is buffered."""
+        """Write the buffered events to the recording."""
         if self._file is not None:
             self._file.write(self._buffer)
             self._file.flush()
             self._buffer.clear()
 
     def close(self) -> None:
-        """Write what is left and close the record of the run."""
+        """Write the buffered events and close the recording."""
         self.flush()
         if self._file is not None:
             self._file.close()
             self._file = None
 
-    # Often used: what a stand-in does itself happens at one time; what it reads, between two.
+    # An action of a simulated peer has one time; data that it reads arrived between two times.
 
-    def did(self) -> tuple[int, int]:
-        """``at`` and ``since`` of what a stand-in does now."""
+    def action_time(self) -> tuple[int, int]:
+        """``at`` and ``since`` of an action of a simulated peer."""
         now = self.clock.now()
         return now, now
 
-    def read(self) -> tuple[int, int]:
-        """``at`` and ``since`` of what was read in this round of the loop."""
+    def read_time(self) -> tuple[int, int]:
+        """``at`` and ``since`` of data that was read in this iteration of the loop."""
         return self.clock.now(), self.clock.since
 
-    def ended(self) -> tuple[int, int]:
-        """``at`` and ``since`` of a connection's end that the loop tells in this round."""
-        return self.clock.now(), self.clock.earlier
+    def close_time(self) -> tuple[int, int]:
+        """``at`` and ``since`` of the end of a connection that the loop reports in this iteration."""
+        return self.clock.now(), self.clock.previous_since
--- a/garnetrelay/rehearsal/partners/endpoints.py
+++ b/garnetrelay/rehearsal/partners/endpoints.py
@@ -47,8 +47,8 @@
         """Handle a new connection: reset it if the endpoint is down; mark it if the endpoint has too many connections."""
         fault = self.fault
         if fault is not None and fault.kind == "down":
-            at, since = self.partners.observer.read()
-            self.partners.observer.see(ev.ConnectFailed(at, since, self.relay, self.route))
+            at, since = self.partners.observer.read_time()
+            self.partners.observer.record(ev.ConnectFailed(at, since, self.relay, self.route))
             connection.broken_off = True
             if connection.transport is not None:
                 connection.transport.abort()
@@ -83,7 +83,7 @@
         call, observer = connection.last, self.partners.observer
         if call is None or not call.number:
             return
-        at, since = observer.ended()
+        at, since = observer.close_time()
         since = connection.not_before(since)
         pending = self.unanswered.pop(call.number, None)
         if pending is not None and self.partner.connection_closed(self.route, call.number):
@@ -93,14 +93,14 @@
             or self.partners.answered_at.get(call.number, -ANSWER_LOSS_WINDOW_NS) > since - ANSWER_LOSS_WINDOW_NS
         ):
             by = "partner" if connection.broken_off else "relay"
-            observer.see(ev.CallEnded(at, since, call.number, by))
+            observer.record(ev.CallEnded(at, since, call.number, by))
 
     def _request(self, call: Call) -> None:
         observer, now = self.partners.observer, self.clock.now()
         since = call.connection.not_before(self.clock.since)
         if call.method == "GET":
             status = self.partner.probe(now, self.route) if call.target in ("/-/healthy", "/-/load") else 404
-            observer.see(ev.ProbeCame(now, since, self.relay, self.route, status, call.first))
+            observer.record(ev.ProbeCame(now, since, self.relay, self.route, status, call.first))
             if status:
                 load = self.partner.load(now, self.route)
                 body = b"x0=%.4f,x1=%.3f" % load if call.target == "/-/load" and load else b""
@@ -108,7 +108,7 @@
             return
         ref = call.headers.get("x-request-id", "")
         call.number, call.came = next(self.partners.numbers), now
-        observer.see(ev.CallCame(now, since, call.number, self.relay, self.route, ref, call.first))
+        observer.record(ev.CallCame(now, since, call.number, self.relay, self.route, ref, call.first))
         self.unanswered[call.number] = call
         scope = self.partner.routes[self.route].scope
         fallen = scope.fallen
@@ -120,7 +120,7 @@
         else:
             outcome = self.partner.arrive(now, self.route, call.number)
         if scope.fallen and not fallen:
-            observer.see(ev.FellOver(now, now, scope.name))
+            observer.record(ev.FellOver(now, now, scope.name))
         if not isinstance(outcome, Reply):
             self.accepted[call.number] = call
         if isinstance(outcome, ScheduledReply):
@@ -131,7 +131,7 @@
     def reply(self, call: Call, reply: Reply) -> None:
         """Answer a call as the model decided, if its connection is still open."""
         observer = self.partners.observer
-        at, _ = observer.did()
+        at, _ = observer.action_time()
         if reply.runs:
             self._record_effect(call, at)
         fault = self.fault
@@ -140,15 +140,15 @@
         if self.unanswered.pop(call.number, None) is None:
             return  # its connection is closed
         if reply.resets:
-            observer.see(ev.CallEnded(at, at, call.number, "partner"))
+            observer.record(ev.CallEnded(at, at, call.number, "partner"))
             call.break_off()
             return
         self.partners.note_answer(call.number, at)
         if reply.malformed:
-            observer.see(ev.CallAnswered(at, at, call.number, 0, readable=False))
+            observer.record(ev.CallAnswered(at, at, call.number, 0, readable=False))
             call.raw(reply.malformed)
             return
-        observer.see(ev.CallAnswered(at, at, call.number, reply.status, reply.wait_ms * 1_000_000))
+        observer.record(ev.CallAnswered(at, at, call.number, reply.status, reply.wait_ms * 1_000_000))
         if reply.status == 200:
             self.partners.on_delivered(call.headers.get("x-request-id", ""))
         headers = []
@@ -176,7 +176,7 @@
             if ran is not None and call.came < ran + window[0]:
                 return  # the key was still remembered when the call arrived, however long the call was queued
             self.partners.remembered_keys[scoped_key] = at
-        self.partners.observer.see(ev.Effect(at, at, call.number, call.headers.get("x-request-id", ""), zone))
+        self.partners.observer.record(ev.Effect(at, at, call.number, call.headers.get("x-request-id", ""), zone))
 
 
 class Partners:
@@ -218,8 +218,8 @@
             await listener.start()
 
     def _record_routes(self) -> None:
-        at, since = self.observer.did()
-        self.observer.see(
+        at, since = self.observer.action_time()
+        self.observer.record(
             ev.World(
                 at,
                 since,
@@ -276,7 +276,7 @@
             partner.inject_fault(now, scope, InjectedFault(kind, until, share, factor))
             if kind not in ("slow", "spoil", "reset") and share >= 0.5:
                 self.in_outage.add(scope)
-                self.observer.see(ev.OutageBegan(now, now, scope, kind))
+                self.observer.record(ev.OutageBegan(now, now, scope, kind))
         if kind == "down":
             self._abort(partner)
 
@@ -294,20 +294,20 @@
             self.in_outage.discard(name)
             partner.clear_fault(now, name, cold, ramp)
             now = self.observer.clock.now()
-            self.observer.see(ev.OutageOver(now, now, name, scope.capacity, 1.0 if cold is None else cold, ramp))
+            self.observer.record(ev.OutageOver(now, now, name, scope.capacity, 1.0 if cold is None else cold, ramp))
 
     def take_down_route(self, number: int, route: str) -> None:
         """Take down one route of a partner whose routes are separate scopes; ``clear_route_fault`` ends that."""
         partner, now = self.partners[number], self.observer.clock.now()
         partner.inject_fault(now, route, InjectedFault("down", 1 << 62, 1.0, 1.0))
-        self.observer.see(ev.OutageBegan(now, now, route, "down"))
+        self.observer.record(ev.OutageBegan(now, now, route, "down"))
         self._abort(partner, (route,))
 
     def clear_route_fault(self, number: int, route: str, cold: float, ramp: int) -> None:
         """End the outage of a route; it recovers cold."""
         partner, now = self.partners[number], self.observer.clock.now()
         partner.clear_fault(now, route, cold, ramp)
-        self.observer.see(ev.OutageOver(now, now, route, partner.scopes[route].capacity, cold, ramp))
+        self.observer.record(ev.OutageOver(now, now, route, partner.scopes[route].capacity, cold, ramp))
 
     def _abort(self, partner: Partner, routes: tuple[str, ...] = ()) -> None:
         for route in routes or partner.routes:
--- a/garnetrelay/rehearsal/relays.py
+++ b/garnetrelay/rehearsal/relays.py
@@ -82,8 +82,8 @@
     async def start(self, discovery: str) -> None:
         """Start the process and wait until it answers PING."""
         self.planned, self.ready, self.life = False, False, self.life + 1
-        at, since = self.observer.did()
-        self.observer.see(ev.RelayStarted(at, since, self.name, self.life))
+        at, since = self.observer.action_time()
+        self.observer.record(ev.RelayStarted(at, since, self.name, self.life))
         self.operator_port = _free_port() if self.plan.staffed or self.options is not None else 0
         self.process = await self._spawn(discovery, self.operator_port)
         self._watching = asyncio.get_running_loop().create_task(self._watch(self.process))
@@ -93,8 +93,8 @@
                     raise StartError(f"{self.name} ended with status {self.process.returncode}: {self.log_tail()}")
                 await asyncio.sleep(0.02)
         self.ready = True
-        at, since = self.observer.read()
-        self.observer.see(ev.RelayReady(at, since, self.name, self.life))
+        at, since = self.observer.read_time()
+        self.observer.record(ev.RelayReady(at, since, self.name, self.life))
 
     async def _spawn(self, discovery: str, operator_port: int, config: str = "config.json") -> asyncio.subprocess.Process:
         environment = {
@@ -147,8 +147,8 @@
             await self._end_old(old)
             if watching is not None:
                 await watching
-        at, since = self.observer.read()
-        self.observer.see(ev.RelayPassed(at, since, self.name, fault or "well", began))
+        at, since = self.observer.read_time()
+        self.observer.record(ev.RelayPassed(at, since, self.name, fault or "well", began))
 
     async def _wait_healthy(self, new: asyncio.subprocess.Process, port: int) -> None:
         async with asyncio.timeout(START_TIMEOUT_S):
@@ -175,10 +175,10 @@
         If it had already taken over, the old process restarts from the state folder, which is a new life. This cannot
         be observed from outside, so it always counts as a new life.
         """
-        at, since = self.observer.did()
-        self.observer.see(ev.RelaySignalled(at, since, self.name, "SIGKILL of the new process"))
+        at, since = self.observer.action_time()
+        self.observer.record(ev.RelaySignalled(at, since, self.name, "SIGKILL of the new process"))
         self.life += 1
-        self.observer.see(ev.RelayStarted(at, since, self.name, self.life))
+        self.observer.record(ev.RelayStarted(at, since, self.name, self.life))
         if new.returncode is None:
             new.kill()
         await new.wait()
@@ -187,18 +187,18 @@
                 if self.process is None or self.process.returncode is not None:
                     raise StartError(f"{self.name}: the old process did not continue: {self.log_tail()}")
                 await asyncio.sleep(0.02)
-        at, since = self.observer.read()
-        self.observer.see(ev.RelayReady(at, since, self.name, self.life))
+        at, since = self.observer.read_time()
+        self.observer.record(ev.RelayReady(at, since, self.name, self.life))
 
     async def exclude(self, route: str, out: bool) -> bool:
         """Exclude an endpoint by an operator command, or include it again. Returns whether the relay confirmed."""
         if not out:
-            at, since = self.observer.did()
-            self.observer.see(ev.OutByHand(at, since, self.name, route, False))
+            at, since = self.observer.action_time()
+            self.observer.record(ev.OutByHand(at, since, self.name, route, False))
         confirmed = await staff.says_yes(self.operator_port, f"{'OFFLINE' if out else 'ONLINE'} {route}")
         if confirmed and out:
-            at, since = self.observer.read()
-            self.observer.see(ev.OutByHand(at, since, self.name, route, True))
+            at, since = self.observer.read_time()
+            self.observer.record(ev.OutByHand(at, since, self.name, route, True))
         return confirmed
 
     async def _answers_ping(self) -> bool:
@@ -226,8 +226,8 @@
             return
         self.planned, self.ready = True, False
         self.resume()
-        at, since = self.observer.did()
-        self.observer.see(ev.RelaySignalled(at, since, self.name, signal_number.name))
+        at, since = self.observer.action_time()
+        self.observer.record(ev.RelaySignalled(at, since, self.name, signal_number.name))
         process.send_signal(signal_number)
         try:
             async with asyncio.timeout(TERM_TIMEOUT_S):
@@ -271,14 +271,14 @@
         disk = -1
         while process.returncode is None:
             self._core_waits[process.pid] = max(self._core_waits.get(process.pid, 0), _core_wait(process.pid))
-            at, _ = self.observer.did()
+            at, _ = self.observer.action_time()
             # What was read in the previous iteration of the loop had happened by then.
             since = self.observer.clock.since
-            self.observer.see(ev.Starved(at, since, self.name, sum(self._core_waits.values()) + self._total_paused()))
+            self.observer.record(ev.Starved(at, since, self.name, sum(self._core_waits.values()) + self._total_paused()))
             used = _disk_usage(self.state_folder)
             if used != disk:
                 disk = used
-                self.observer.see(ev.DiskUsed(at, since, self.name, used))
+                self.observer.record(ev.DiskUsed(at, since, self.name, used))
             try:
                 async with asyncio.timeout(SAMPLE_INTERVAL_S):
                     await process.wait()
@@ -287,10 +287,10 @@
         if process.pid in self._replaced:
             self._replaced.discard(process.pid)
             return
-        at, since = self.observer.read()
+        at, since = self.observer.read_time()
         # A process that never became ready is a failed start, which is reported to the caller of ``start``.
         planned = self.planned or not self.ready
-        self.observer.see(ev.RelayEnded(at, since, self.name, process.returncode or 0, planned))
+        self.observer.record(ev.RelayEnded(at, since, self.name, process.returncode or 0, planned))
         self.ready = False
 
     def kill(self) -> None:
--- a/garnetrelay/rehearsal/report/live.py
+++ b/garnetrelay/rehearsal/report/live.py
@@ -125,7 +125,7 @@
         console.print(table)
     for clients in outcome.misbehaving:
         console.print(
-            Text(f"bad clients: {clients.tried} tried, {clients.left_waiting} left with neither error nor close")
+            Text(f"bad clients: {clients.attempts} tried, {clients.unanswered} left with neither error nor close")
         )
     end = (
         Text("every rule held", style="bold green")
--- a/garnetrelay/rehearsal/report/machine.py
+++ b/garnetrelay/rehearsal/report/machine.py
@@ -33,8 +33,8 @@
         **outcome.tally.summary(),
         **({"fleet": msgspec.to_builtins(outcome.fleet)} if outcome.fleet else {}),
         "bad clients": {
-            "tried": sum(clients.tried for clients in outcome.misbehaving),
-            "left with neither error nor close": sum(clients.left_waiting for clients in outcome.misbehaving),
+            "tried": sum(clients.attempts for clients in outcome.misbehaving),
+            "left with neither error nor close": sum(clients.unanswered for clients in outcome.misbehaving),
         },
     }
 
--- a/garnetrelay/rehearsal/scripted_peers.py
+++ b/garnetrelay/rehearsal/scripted_peers.py
@@ -1,6 +1,6 @@
-"""Stand-ins that are told step by step what to do: a host, a platform and a client, for tests of a single relay.
+"""Scripted peers for tests of a single relay: a host, a platform and a client that a test controls step by step.
 
-They stand on the same server as the kit's partners and register; only the script is another.
+They use the same HTTP server as the simulated partners and the discovery server of the rehearsal.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from garnetrelay.rehearsal.http import Call, Connection, HttpServer
 
-PATIENCE = 20.0  # seconds after which a script that waits in vain has failed
+PATIENCE = 20.0  # seconds until a script that is waiting fails
 
 
 class ScriptedHost(HttpServer):
-    """Listens, and hands each call to whoever waits for it."""
+    """Listens, and queues each call for the test."""
 
     def __init__(self) -> None:
         super().__init__(self.take)
@@ -25,34 +25,34 @@
         self.closings: asyncio.Queue[Connection] = asyncio.Queue()
 
     def closed(self, connection: Connection) -> None:
-        """Keep the end of a connection for ``next_closing``."""
+        """Queue the end of a connection for ``next_closing``."""
         self.closings.put_nowait(connection)
 
     def take(self, call: Call) -> None:
-        """Keep a call for ``next_call``."""
+        """Queue a call for ``next_call``."""
         self.calls.put_nowait(call)
 
     async def next_call(self) -> Call:
-        """The next call that comes."""
+        """Wait for the next call."""
         async with asyncio.timeout(PATIENCE):
             return await self.calls.get()
 
     async def next_closing(self) -> Connection:
-        """The next connection that ends."""
+        """Wait for the end of a connection."""
         async with asyncio.timeout(PATIENCE):
             return await self.closings.get()
 
 
 class ScriptedPlatform(ScriptedHost):
-    """Register and platform. Watches land in ``calls``; notices are acknowledged unless told otherwise."""
+    """Discovery and platform. Watches are queued in ``calls``; notices are acknowledged unless ``refusals`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.notices: asyncio.Queue[dict[str, Any]] = asyncio.Queue()
-        self.refusals = 0  # notices that are refused before one is taken
+        self.refusals = 0  # number of requests with notices that are refused before one is acknowledged
 
     def take(self, call: Call) -> None:
-        """Acknowledge notices, or refuse as many as ``refusals`` says; anything else waits for ``next_call``."""
+        """Acknowledge or refuse notices, as ``refusals`` says; queue any other call for ``next_call``."""
         if call.method != "POST" or call.target != "/v1/notices":
             super().take(call)
         elif self.refusals:
@@ -64,12 +64,12 @@
             call.answer(204)
 
     async def next_notice(self) -> dict[str, Any]:
-        """The next notice that comes."""
+        """Wait for the next notice."""
         async with asyncio.timeout(PATIENCE):
             return await self.notices.get()
 
     async def next_watch(self) -> Watch:
-        """Take up the next watch that a relay opens."""
+        """Accept the next watch that a relay opens."""
         call = await self.next_call()
         call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return Watch(call)
@@ -82,13 +82,13 @@
         self.call = call
 
     def line(self, text: str) -> None:
-        """Write one line of it."""
+        """Write one line to the watch."""
         data = text.encode() + b"\n"
         self.call.raw(b"%x\r\n%s\r\n" % (len(data), data))
 
 
 class Client:
-    """A client's connection, one step at a time."""
+    """A client connection that a test controls step by step."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -105,7 +105,7 @@
         self.writer.write(hiredis.pack_command(tuple(words)))  # type: ignore[arg-type]
 
     async def read(self) -> Any:
-        """The next answer; None when the relay has closed."""
+        """Wait for the next answer; None if the relay has closed the connection."""
         async with asyncio.timeout(PATIENCE):
             while (answer := self.parser.gets()) is False:
                 data = await self.reader.read(65536)
--- a/garnetrelay/rehearsal/staff.py
+++ b/garnetrelay/rehearsal/staff.py
@@ -1,17 +1,17 @@
-"""Stand-in staff: they call a relay as operators do, a line a connection."""
+"""Sends operator commands to a relay, one line per connection."""
 
 from __future__ import annotations
 
 import asyncio
 
-PATIENCE = 1.0  # seconds for an answer, however busy the relay is
+ANSWER_TIMEOUT_S = 1.0  # also for a busy relay
 
 
 async def ask(port: int, line: str) -> str:
-    """The answer's first line; empty where none came in time."""
+    """The first line of the answer; empty if none arrived in time."""
     writer = None
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(line.encode() + b"\n")
             return (await reader.readline()).decode("ascii", "replace").strip()
@@ -23,10 +23,10 @@
 
 
 async def lines(port: int, line: str) -> list[str]:
-    """All lines of a longer answer; none where it was no, or did not come in time."""
+    """All lines of a multi-line answer; empty if it was an error or did not arrive in time."""
     writer = None
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(line.encode() + b"\n")
             first, *rest = (await reader.read()).decode("ascii", "replace").splitlines()
@@ -39,5 +39,5 @@
 
 
 async def says_yes(port: int, line: str) -> bool:
-    """Whether a relay that staff call answers a line with ``+OK``."""
+    """Whether the relay answers a command with ``+OK``."""
     return (await ask(port, line)).startswith("+OK")
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -133,4 +133,4 @@
     assert len({move.relays for move in kills}) == 14
     assert all(2 * SECOND <= move.at <= 3 * SECOND and move.ends - move.at == 10 * SECOND for move in kills)
     assert [move.relays for move in made if move.what == "kill-seeds"] == [("relay1",), ("relay2",), ("relay3",)]
-    assert len(script.old_ones(0.5, relays)) == 9 and not script.old_ones(0, relays)
+    assert len(script.select_share(0.5, relays)) == 9 and not script.select_share(0, relays)
