--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -25,7 +25,7 @@
 from garnetrelay.rehearsal.partners.endpoints import Partners
 from garnetrelay.rehearsal.plan import SECOND, Plan, Step
 from garnetrelay.rehearsal.relays import MAX_START_ATTEMPTS, RelayProcess, StartError
-from garnetrelay.rehearsal.scenario import TROUBLES, Scenario
+from garnetrelay.rehearsal.scenario import PARTNER_FAULTS, Scenario
 from garnetrelay.rehearsal.tally import Tally
 
 IDLE_BEFORE_END_S = 0.5  # a run ends after this time without pending messages
@@ -176,7 +176,7 @@
         while loop.time() < until:
             if self._error is not None:
                 raise self._error
-            busy = self.clients.pending or self.tally.held or any(not relay.ready for relay in self.relays.values())
+            busy = self.clients.pending or self.tally.pending or any(not relay.ready for relay in self.relays.values())
             if busy or self.clock.now() < self.began + self.plan.length or any(not task.done() for task in self._tasks):
                 idle_since = loop.time()
             elif loop.time() - idle_since > IDLE_BEFORE_END_S:
@@ -202,7 +202,7 @@
         targets = ", ".join([*step.routes, *(f"partner {number}" for number in step.partners), step.relay])
         at, since = self.observer.action_time()
         self.observer.record(ev.Step(at, since, " ".join([spec.what, targets.strip(", ")]).strip(), step.partners))
-        if spec.what in TROUBLES:
+        if spec.what in PARTNER_FAULTS:
             for number in step.partners:
                 self.partners.inject_fault(number, spec.what, self.began + step.ends, spec.share, spec.factor)
             self._at_end(step, self._clear_faults, step)
--- a/garnetrelay/rehearsal/plan.py
+++ b/garnetrelay/rehearsal/plan.py
@@ -1,6 +1,6 @@
-"""The schedule of a run: true partners, all hand-ins and all that happens, drawn from a scenario and a seed. No I/O.
+"""The schedule of a run: actual partners, hand-ins and steps, drawn from a scenario and a seed. No I/O.
 
-The same scenario, seed and length give the same plan on any machine: ``digest`` is its fingerprint.
+The same scenario, seed and length give the same plan on any machine; ``digest`` identifies it.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from garnetrelay.rehearsal.scenario import TROUBLES, Class, Kind, Scenario, StepSpec
+from garnetrelay.rehearsal.scenario import PARTNER_FAULTS, Class, Kind, Scenario, StepSpec
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-LONGEST_KILL = 0.6  # seconds from a new process's start, within which one that is to fail is killed
-LEAST_SLOTS = 2
-LEAST_HELD = 12
-PROTOCOL_REPEAT = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+MAX_KILL_DELAY_S = 0.6  # from the start of a new process that an upgrade step kills
+MIN_SLOTS = 2
+MIN_PENDING_MESSAGES = 12
+IDEMPOTENCY_NAMES = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
 class RoutePlan(msgspec.Struct, frozen=True):
@@ -32,26 +32,26 @@
 
 
 class PartnerPlan(msgspec.Struct, frozen=True):
-    """A partner as it truly is. Times in nanoseconds, rates in calls a second of all its endpoints together."""
+    """The actual properties of a partner. Times in nanoseconds; rates in calls per second, summed over its endpoints."""
 
     number: int
     kind: str
     apart: bool
     routes: tuple[RoutePlan, ...]
-    weight: float  # its share of the traffic
-    full: float  # calls a second at full load
+    weight: float  # share of the traffic
+    full: float  # calls per second at full load
     capacity: float
-    service: int  # mean
-    spread: float  # sigma of its lognormal distribution
-    slots: int  # of one endpoint
-    depth: int  # of one endpoint's queue
+    service: int  # mean service time
+    spread: float  # sigma of the lognormal distribution of the service time
+    slots: int  # per endpoint
+    depth: int  # queue capacity per endpoint
     limit: str
     limit_rate: float
-    listed: float  # the agreed rate, as the register lists it for what is paced as one
+    listed: float  # the agreed rate of each scope, as discovery lists it
     span: int
     tells_wait: float
     refused_count: bool
-    connections: int  # that one endpoint holds; 0: any number
+    connections: int  # limit per endpoint; 0: none
     report_every: int
 
     @property
@@ -61,14 +61,14 @@
 
     @property
     def scopes(self) -> tuple[str, ...]:
-        """The names under which its calls are paced: each route by itself, or the partner as one."""
+        """The scopes of its rate limits: each route, or the partner as a whole."""
         if self.apart:
             return tuple(route.name for route in self.routes)
         return (f"partner-{self.number}",)
 
 
 class Arrival(msgspec.Struct, frozen=True, gc=False):
-    """A message that a client has: its time, class, partner and key (empty: its own)."""
+    """A message of a client: time, class, partner and key (empty: a unique key)."""
 
     at: int
     klass: int
@@ -77,7 +77,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Something that happens: ``ends`` is 0 for what has no length."""
+    """A scheduled step; ``ends`` is 0 if it has no duration."""
 
     at: int
     ends: int
@@ -85,12 +85,12 @@
     partners: tuple[int, ...] = ()
     routes: tuple[str, ...] = ()
     relay: str = ""
-    fault: str = ""  # of an upgrade: what is wrong with the new process
-    after: int = 0  # when it is killed, from its start
+    fault: str = ""  # of an upgrade: the fault of the new process
+    after: int = 0  # of an upgrade: nanoseconds from the start of the new process until it is killed
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """The whole schedule."""
+    """The complete schedule of a run."""
 
     scenario: str
     seed: int
@@ -104,24 +104,27 @@
     late: tuple[int, int]
 
     @property
-    def staffed(self) -> bool:
-        """Whether staff call the relays."""
+    def uses_operator_commands(self) -> bool:
+        """Whether steps send operator commands to the relays."""
         return any(step.spec.what in ("upgrade", "by-hand") for step in self.steps)
 
     def digest(self) -> str:
-        """A fingerprint: two plans that share it are the same schedule."""
+        """A hash of the plan: equal digests mean the same schedule."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()[:16]
 
 
 def make(scenario: Scenario, seed: int, relays: int | None = None, seconds: float | None = None) -> Plan:
-    """The schedule. Other ``relays`` or ``seconds`` than the scenario's stretch it: its steps keep their places in
-    proportion, and their lengths where the run is no shorter."""
+    """Draw the schedule of a scenario.
+
+    ``relays`` and ``seconds`` override the scenario's values. In a run of another length, the times of the steps are
+    scaled in proportion; their durations are scaled only if the run is shorter.
+    """
     count, length = relays or scenario.relays, seconds or scenario.seconds
     partners = _partners(scenario, random.Random(f"{seed}/partners"))
     stretch = length / scenario.seconds
     steps = _steps(scenario, partners, count, stretch, random.Random(f"{seed}/steps"))
     arrivals = _arrivals(scenario, partners, steps, int(length * SECOND), random.Random(f"{seed}/arrivals"))
-    settings, limits = _told(scenario, partners, count)
+    settings, limits = _relay_config(scenario, partners, count)
     late = (int(scenario.register.late_s[0] * SECOND), int(scenario.register.late_s[1] * SECOND))
     return Plan(
         scenario.name,
@@ -142,19 +145,19 @@
     weights = [kind.weight * draw.uniform(0.5, 1.0) / (1 + place * 0.1) for place, kind in enumerate(kinds)]
     total = sum(weights)
     services = [_service(scenario.classes, kind, draw) for kind in kinds]
-    made = []
+    result = []
     for number, (kind, weight, service) in enumerate(zip(kinds, weights, services, strict=True), start=1):
         share = weight / total
         full = scenario.load.rate / scenario.load.of_full * share
         routes = draw.randint(*kind.routes)
-        # Smaller ones have fewer endpoints, so that each still has some calls to serve.
+        # Smaller partners have fewer endpoints, so that each endpoint still gets some calls.
         routes = max(1, min(routes, int(full / kind.least_rate) + 1))
         limit_rate = max(full * draw.uniform(*kind.headroom), kind.least_rate * (routes if kind.apart else 1))
         capacity = limit_rate * draw.uniform(*kind.spare)
-        slots = max(LEAST_SLOTS, math.ceil(capacity / routes * service / SECOND))
-        capacity = slots * routes * SECOND / service  # what the slots amount to
+        slots = max(MIN_SLOTS, math.ceil(capacity / routes * service / SECOND))
+        capacity = slots * routes * SECOND / service  # the capacity of the rounded number of slots
         first = draw.randrange(len(scenario.buildings))
-        made.append(
+        result.append(
             PartnerPlan(
                 number=number,
                 kind=kind.name,
@@ -182,7 +185,7 @@
                 report_every=int(draw.uniform(0.16, 0.72) * SECOND),
             )
         )
-    return tuple(made)
+    return tuple(result)
 
 
 def _service(classes: tuple[Class, ...], kind: Kind, draw: random.Random) -> int:
@@ -194,25 +197,25 @@
 def _steps(
     scenario: Scenario, partners: tuple[PartnerPlan, ...], relays: int, stretch: float, draw: random.Random
 ) -> tuple[Step, ...]:
-    made: list[Step] = []
+    result: list[Step] = []
     by_size = sorted(partners, key=lambda partner: -partner.full)
     for spec in scenario.steps:
         at = int(spec.at * stretch * SECOND)
         ends = at + int(spec.seconds * min(1.0, stretch) * SECOND) if spec.seconds else 0
         chosen: tuple[int, ...] = ()
-        if spec.what in (*TROUBLES, "hot", "reports-absurd"):
-            pool = {"largest": by_size[: spec.count], "smallest": by_size[-spec.count :], "all": by_size}.get(
+        if spec.what in (*PARTNER_FAULTS, "hot", "reports-absurd"):
+            selectable = {"largest": by_size[: spec.count], "smallest": by_size[-spec.count :], "all": by_size}.get(
                 spec.partners
             )
-            picked = pool if pool is not None else draw.sample(by_size, min(spec.count, len(by_size)))
+            picked = selectable if selectable is not None else draw.sample(by_size, min(spec.count, len(by_size)))
             chosen = tuple(partner.number for partner in picked)
         if spec.what in ("drain", "replace", "by-hand"):
-            several = [partner for partner in partners if partner.route_count > 1] or list(partners)
-            if spec.what == "by-hand":  # an endpoint that goes alone: its limits and outages are its own
-                several = [partner for partner in partners if partner.apart]
-            hit = draw.sample(several, min(spec.count, len(several)))
-            for partner in hit:
-                made.append(Step(at, ends, spec, (partner.number,), (draw.choice(partner.routes).name,)))
+            candidates = [partner for partner in partners if partner.route_count > 1] or list(partners)
+            if spec.what == "by-hand":  # only endpoints that are separate scopes, with their own limits and outages
+                candidates = [partner for partner in partners if partner.apart]
+            drawn = draw.sample(candidates, min(spec.count, len(candidates)))
+            for partner in drawn:
+                result.append(Step(at, ends, spec, (partner.number,), (draw.choice(partner.routes).name,)))
         elif spec.what in ("restart", "kill"):
             order = [f"relay{n + 1}" for n in range(relays)]
             first = draw.randrange(relays)
@@ -220,35 +223,37 @@
             if spec.relays == "one":
                 order = order[:1]
             for place, name in enumerate(order):
-                shift = int(spec.every_s * place * SECOND) if spec.relays == "rolling" else 0
-                made.append(Step(at + shift, 0, spec, relay=name))
+                delay = int(spec.every_s * place * SECOND) if spec.relays == "rolling" else 0
+                result.append(Step(at + delay, 0, spec, relay=name))
         elif spec.what == "upgrade":
-            for turn in range(spec.rounds):
+            for upgrade_round in range(spec.rounds):
                 for place in range(relays if spec.relays != "one" else 1):
-                    shift = int(spec.every_s * (turn + (place / relays if spec.relays == "rolling" else 0)) * SECOND)
+                    delay = int(
+                        spec.every_s * (upgrade_round + (place / relays if spec.relays == "rolling" else 0)) * SECOND
+                    )
                     fault = draw.choice(("config", "killed", "killed")) if draw.random() < spec.fails else ""
-                    made.append(
+                    result.append(
                         Step(
-                            at + shift,
+                            at + delay,
                             0,
                             spec,
                             relay=f"relay{place + 1}",
                             fault=fault,
-                            after=int(draw.uniform(0, LONGEST_KILL) * SECOND),
+                            after=int(draw.uniform(0, MAX_KILL_DELAY_S) * SECOND),
                         )
                     )
         else:
-            made.append(Step(at, ends, spec, chosen))
-    return tuple(sorted(made, key=lambda step: step.at))
+            result.append(Step(at, ends, spec, chosen))
+    return tuple(sorted(result, key=lambda step: step.at))
 
 
 def _arrivals(
     scenario: Scenario, partners: tuple[PartnerPlan, ...], steps: tuple[Step, ...], length: int, draw: random.Random
 ) -> tuple[Arrival, ...]:
-    """By thinning: drawn at the highest rate there is, and kept by the share of it that holds at that time."""
+    """Draw arrivals by thinning: at the highest rate, keeping the share that the rate at that time requires."""
     load = scenario.load
     bursts = [step for step in steps if step.spec.what == "burst"]
-    hots = [step for step in steps if step.spec.what == "hot"]
+    hot_steps = [step for step in steps if step.spec.what == "hot"]
 
     def rate(at: int) -> float:
         done = at / length
@@ -262,13 +267,13 @@
     clumps = load.clumps
     cumulative = list(itertools.accumulate(partner.weight for partner in partners))
     shares = list(itertools.accumulate(klass.share for klass in scenario.classes))
-    made: list[Arrival] = []
+    result: list[Arrival] = []
 
     def message(at: int, dest: int) -> None:
         klass = bisect.bisect(shares, draw.random() * shares[-1])
         spec = scenario.classes[min(klass, len(shares) - 1)]
         key = f"{spec.name}-{draw.randrange(spec.keys)}" if spec.keys else ""
-        made.append(Arrival(at, min(klass, len(shares) - 1), dest, key))
+        result.append(Arrival(at, min(klass, len(shares) - 1), dest, key))
 
     at = 0.0
     mean_clump = sum(partner.full * partner.weight for partner in partners) * 2.3
@@ -278,12 +283,12 @@
             break
         if draw.random() >= rate(int(at)) / highest:
             continue
-        hot = next((step for step in hots if step.at <= at < step.ends and draw.random() < step.spec.share), None)
+        hot = next((step for step in hot_steps if step.at <= at < step.ends and draw.random() < step.spec.share), None)
         if hot is not None:
             dest = draw.choice(hot.partners)
         else:
-            place = bisect.bisect(cumulative, draw.random() * cumulative[-1])
-            dest = partners[min(place, len(partners) - 1)].number
+            index = bisect.bisect(cumulative, draw.random() * cumulative[-1])
+            dest = partners[min(index, len(partners) - 1)].number
         if draw.random() < clumps / max(1.0, mean_clump):
             partner = partners[dest - 1]
             for _ in range(max(1, int(partner.full * draw.uniform(1.3, 3.4)))):
@@ -292,11 +297,13 @@
                     message(late, dest)
         else:
             message(int(at), dest)
-    return tuple(sorted(made, key=lambda arrival: arrival.at))
+    return tuple(sorted(result, key=lambda arrival: arrival.at))
 
 
-def _told(scenario: Scenario, partners: tuple[PartnerPlan, ...], relays: int) -> tuple[dict[str, Any], dict[str, float]]:
-    """The settings and limits that a relay is told, in the protocol's form."""
+def _relay_config(
+    scenario: Scenario, partners: tuple[PartnerPlan, ...], relays: int
+) -> tuple[dict[str, Any], dict[str, float]]:
+    """The settings and limits of a relay, in the format of its configuration."""
     rules, limits = scenario.rules, scenario.limits
     busy = sum(partner.full * partner.service / SECOND for partner in partners) / relays
     full = sum(partner.full for partner in partners) / relays
@@ -316,7 +323,7 @@
                 "deadline": int(klass.deadline_ms * MS),
                 "worth": klass.worth,
                 "lateWorth": klass.late_worth,
-                "idempotency": PROTOCOL_REPEAT[klass.repeat],
+                "idempotency": IDEMPOTENCY_NAMES[klass.repeat],
                 "keyScope": "zone" if klass.by_building else "all",
                 "repeatWindow": int(klass.window_ms * MS),
                 "inTurn": klass.in_turn,
@@ -324,7 +331,7 @@
             for klass in scenario.classes
         ],
         "familyInfo": {
-            "callsOut": max(LEAST_SLOTS, math.ceil(limits.slots_room * busy)),
+            "callsOut": max(MIN_SLOTS, math.ceil(limits.slots_room * busy)),
             "decay": "even",
             "kindApart": [kind.apart for kind in scenario.kinds],
             "perCall": [1] * len(kinds),
@@ -343,7 +350,7 @@
         "limits": {
             "cancel": True,
             "probes": True,
-            "mostHeld": max(LEAST_HELD, math.ceil(limits.hold_s * full)),
+            "mostHeld": max(MIN_PENDING_MESSAGES, math.ceil(limits.hold_s * full)),
             "mostTries": rules.most_tries,
             "connectTimeout": SECOND,
             "connIdle": 10 * SECOND,
--- a/garnetrelay/rehearsal/relays.py
+++ b/garnetrelay/rehearsal/relays.py
@@ -84,7 +84,7 @@
         self.planned, self.ready, self.life = False, False, self.life + 1
         at, since = self.observer.action_time()
         self.observer.record(ev.RelayStarted(at, since, self.name, self.life))
-        self.operator_port = _free_port() if self.plan.staffed or self.options is not None else 0
+        self.operator_port = _free_port() if self.plan.uses_operator_commands or self.options is not None else 0
         self.process = await self._spawn(discovery, self.operator_port)
         self._watching = asyncio.get_running_loop().create_task(self._watch(self.process))
         async with asyncio.timeout(START_TIMEOUT_S):
--- a/garnetrelay/rehearsal/report/__init__.py
+++ b/garnetrelay/rehearsal/report/__init__.py
@@ -1,1 +1,1 @@
-"""What a run looked like: a live view for the terminal, JSON for machines, one self-contained HTML page."""
+"""Reports of a run: a live view for the terminal, JSON, and a self-contained HTML page."""
--- a/garnetrelay/rehearsal/report/live.py
+++ b/garnetrelay/rehearsal/report/live.py
@@ -1,4 +1,4 @@
-"""The live view: progress, the last seconds, and verdicts as they fall."""
+"""The live view: progress, counts of the last second, and verdicts as soon as they are reached."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from garnetrelay.rehearsal.checker import RULES
 from garnetrelay.rehearsal.conductor import Conductor, Outcome
 
-EVERY = 0.25  # seconds between two pictures
-SHOWN = 5  # verdicts and steps
+REFRESH_INTERVAL_S = 0.25
+MAX_SHOWN = 5  # verdicts, and steps
 
 
 async def watch(conductor: Conductor, console: Console) -> None:
-    """Draw until cancelled."""
-    with Live(_picture(conductor), console=console, refresh_per_second=4, transient=True) as live:
+    """Update the view until cancelled."""
+    with Live(_render(conductor), console=console, refresh_per_second=4, transient=True) as live:
         while True:
-            await asyncio.sleep(EVERY)
-            live.update(_picture(conductor))
+            await asyncio.sleep(REFRESH_INTERVAL_S)
+            live.update(_render(conductor))
 
 
-def _picture(conductor: Conductor) -> Group:
+def _render(conductor: Conductor) -> Group:
     plan, tally = conductor.plan, conductor.tally
     done = max(0, conductor.clock.now() - conductor.began) if conductor.began else 0
     head = Text(
@@ -48,7 +48,7 @@
                     last.refused + last.ended["bounced"],
                     last.ended["dead"],
                     sum(last.turned_away.values()),
-                    last.held,
+                    last.pending,
                 )
             ),
         )
@@ -63,20 +63,21 @@
                 counts["answered busy"] + counts["notices, bounced"],
                 counts["notices, dead"],
                 tally.statuses[429] + tally.statuses[503],
-                len(tally.held),
+                len(tally.pending),
             )
         ),
     )
-    lines = [Text(f"{step.at / 1e9:7.1f} s  {step.text}", style="dim") for step in tally.steps[-SHOWN:]]
+    lines = [Text(f"{step.at / 1e9:7.1f} s  {step.text}", style="dim") for step in tally.steps[-MAX_SHOWN:]]
     verdicts = conductor.checker.verdicts
     lines += [
-        Text(f"rule {verdict.rule}, {verdict.fault}: {verdict.text}", style="bold red") for verdict in verdicts[-SHOWN:]
+        Text(f"rule {verdict.rule}, {verdict.fault}: {verdict.text}", style="bold red")
+        for verdict in verdicts[-MAX_SHOWN:]
     ]
     return Group(head, ProgressBar(total=plan.length, completed=min(done, plan.length), width=60), table, *lines)
 
 
 def tell(outcome: Outcome, console: Console) -> None:
-    """The end, in a few lines."""
+    """Print a summary of the run."""
     for verdict in outcome.verdicts[:20]:
         console.print(Text(f"rule {verdict.rule} ({RULES[verdict.rule]}), {verdict.fault}", style="bold red"))
         console.print(Text(f"  {verdict.at / 1e9:.3f} s  {verdict.text}"))
@@ -89,7 +90,7 @@
         Text(
             f"{counts['handed in']} handed in, {outcome.tally.statuses[200]} delivered, "
             f"{counts['notices, bounced'] + counts['answered busy']} refused, "
-            f"{counts['notices, dead']} failed; {outcome.tally.most_held} held at most"
+            f"{counts['notices, dead']} failed; {outcome.tally.max_pending} held at most"
         )
     )
     if outcome.tally.upgrades:
--- a/garnetrelay/rehearsal/report/machine.py
+++ b/garnetrelay/rehearsal/report/machine.py
@@ -14,7 +14,7 @@
 
 
 def report(outcome: Outcome) -> dict[str, Any]:
-    """Plain values: what was played, what came of it, each verdict with its proof."""
+    """The report as plain values: the plan, the results, and each verdict with its proof."""
     plan = outcome.plan
     return {
         "version": VERSION,
--- a/garnetrelay/rehearsal/report/page.py
+++ b/garnetrelay/rehearsal/report/page.py
@@ -18,18 +18,24 @@
 from garnetrelay.rehearsal.plan import PartnerPlan
 from garnetrelay.rehearsal.report.machine import report
 
-MOST_SCOPES = 6  # plots of single partners
-MOST_VERDICTS = 200
-COLOURS = {"handed in": "#4a6fa5", "delivered": "#3c8d5a", "refused": "#c8862b", "failed": "#b23b3b", "held": "#6b5b95"}
+MAX_SCOPES = 6  # plots of single scopes
+MAX_VERDICTS = 200
+COLOURS = {
+    "handed in": "#4a6fa5",
+    "delivered": "#3c8d5a",
+    "refused": "#c8862b",
+    "failed": "#b23b3b",
+    "pending": "#6b5b95",
+}
 
 
 def write(outcome: Outcome, path: Path) -> None:
-    """Write the page."""
+    """Write the report page to a file."""
     path.write_text(render(outcome))
 
 
 def render(outcome: Outcome) -> str:
-    """The page's text."""
+    """The HTML text of the report page."""
     template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(
         (resources.files("garnetrelay.rehearsal.report") / "page.html").read_text()
     )
@@ -39,8 +45,8 @@
         rules=RULES,
         plots=_plots(outcome),
         steps=[(step.at / 1e9, step.text) for step in outcome.tally.steps],
-        verdicts=[(verdict, [_line(event) for event in verdict.proof]) for verdict in outcome.verdicts[:MOST_VERDICTS]],
-        left_out=max(0, len(outcome.verdicts) - MOST_VERDICTS),
+        verdicts=[(verdict, [_line(event) for event in verdict.proof]) for verdict in outcome.verdicts[:MAX_VERDICTS]],
+        left_out=max(0, len(outcome.verdicts) - MAX_VERDICTS),
     )
 
 
@@ -55,33 +61,35 @@
     seconds = outcome.tally.seconds
     times = [n + 0.5 for n in range(len(seconds))]
     plots = []
-    figure, axes = _figure("messages a second")
+    figure, axes = _figure("messages per second")
     axes.plot(times, [s.handed_in for s in seconds], color=COLOURS["handed in"], label="handed in")
     axes.plot(times, [s.delivered for s in seconds], color=COLOURS["delivered"], label="delivered")
     axes.plot(times, [s.refused + s.ended["bounced"] for s in seconds], color=COLOURS["refused"], label="refused")
     axes.plot(times, [s.ended["dead"] for s in seconds], color=COLOURS["failed"], label="failed")
     plots.append(("Messages", _svg(figure, axes, outcome)))
-    figure, axes = _figure("messages held, waits told a second")
-    axes.fill_between(times, [s.held for s in seconds], color=COLOURS["held"], alpha=0.3, label="held by all relays")
-    axes.plot(times, [s.waits for s in seconds], color=COLOURS["refused"], label="waits told")
-    plots.append(("Held and waits", _svg(figure, axes, outcome)))
+    figure, axes = _figure("pending messages, waits per second")
+    axes.fill_between(
+        times, [s.pending for s in seconds], color=COLOURS["pending"], alpha=0.3, label="pending at all relays"
+    )
+    axes.plot(times, [s.waits for s in seconds], color=COLOURS["refused"], label="answers with a wait")
+    plots.append(("Pending messages and waits", _svg(figure, axes, outcome)))
     for scope, partner in _scopes(outcome):
-        figure, axes = _figure("calls a second")
+        figure, axes = _figure("calls per second")
         axes.plot(times, [s.calls[scope] for s in seconds], color=COLOURS["handed in"], label="sent")
-        axes.plot(times, [s.turned_away[scope] for s in seconds], color=COLOURS["refused"], label="turned away")
         axes.plot(
-            times, _capacity(outcome, scope, partner, times), color="#222222", linestyle="--", label="what it can take"
+            times, [s.turned_away[scope] for s in seconds], color=COLOURS["refused"], label="refused with 429 or 503"
         )
+        axes.plot(times, _capacity(outcome, scope, partner, times), color="#222222", linestyle="--", label="capacity")
         plots.append((f"{scope} ({partner.kind})", _svg(figure, axes, outcome)))
     return plots
 
 
 def _scopes(outcome: Outcome) -> list[tuple[str, PartnerPlan]]:
-    """Those that were struck first, then the largest."""
+    """The scopes to plot: those with outages first, then the largest."""
     by_scope = {scope: partner for partner in outcome.plan.partners for scope in partner.scopes}
-    struck = [began.scope for began, _ in outcome.tally.outages]
+    with_outage = [began.scope for began, _ in outcome.tally.outages]
     largest = sorted(by_scope, key=lambda scope: -by_scope[scope].full)
-    chosen = [scope for scope in dict.fromkeys([*struck, *largest]) if scope in by_scope][:MOST_SCOPES]
+    chosen = [scope for scope in dict.fromkeys([*with_outage, *largest]) if scope in by_scope][:MAX_SCOPES]
     return [(scope, by_scope[scope]) for scope in chosen]
 
 
@@ -91,11 +99,11 @@
     for began, over in outcome.tally.outages:
         if began.scope != scope:
             continue
-        for place, time in enumerate(times):
+        for index, time in enumerate(times):
             if time * 1e9 >= began.at and (over is None or time * 1e9 < over.at):
-                line[place] = 0.0
+                line[index] = 0.0
             elif over is not None and over.at <= time * 1e9 < over.at + over.ramp:
-                line[place] = full * (over.start + (1 - over.start) * (time * 1e9 - over.at) / over.ramp)
+                line[index] = full * (over.start + (1 - over.start) * (time * 1e9 - over.at) / over.ramp)
     return line
 
 
@@ -116,7 +124,7 @@
         axes.axvline(verdict.at / 1e9, color="#b23b3b", linewidth=0.8, label="rule broken" if not number else None)
     axes.set_ylim(bottom=0)
     axes.legend(fontsize=7, loc="upper left", ncols=4, frameon=False)
-    out = io.StringIO()
-    figure.savefig(out, format="svg", metadata={"Date": None})
-    text = out.getvalue()
+    buffer = io.StringIO()
+    figure.savefig(buffer, format="svg", metadata={"Date": None})
+    text = buffer.getvalue()
     return text[text.index("<svg") :]
--- a/garnetrelay/rehearsal/scenario.py
+++ b/garnetrelay/rehearsal/scenario.py
@@ -1,5 +1,4 @@
-"""Scenarios: TOML files, typed and checked before anything starts. A mistake is told with its file and line, and what
-was expected there."""
+"""Scenarios: typed TOML files that are validated before a run. Errors name the file, the line and the expected value."""
 
 from __future__ import annotations
 
@@ -22,7 +21,7 @@
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Range = tuple[Amount, Amount]
 
-TROUBLES = ("shut", "hang", "silent", "fail", "reset", "spoil", "slow", "down")
+PARTNER_FAULTS = ("shut", "hang", "silent", "fail", "reset", "spoil", "slow", "down")
 What = Literal[
     "shut",
     "hang",
@@ -38,11 +37,11 @@
     "kill",
     "reload",
     "upgrade",  # relays
-    "by-hand",  # staff take endpoints out, which are restarted, and put them back
+    "by-hand",  # operators exclude endpoints, which are restarted, and include them again
     "register-down",
     "register-slow",
     "watches-end",
-    "index-back",  # the register
+    "index-back",  # discovery
     "notices-refused",
     "notices-lost",  # the platform
     "drain",
@@ -53,25 +52,25 @@
 
 
 class Spec(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The base: a name that is not known is a mistake."""
+    """Base class: an unknown field is an error."""
 
 
 class Load(Spec, frozen=True):
-    """First tries of all clients together."""
+    """First hand-ins of all clients together."""
 
-    rate: Positive = 74.0  # a second
-    of_full: Positive = 0.75  # share of full load, the yardstick of the partners' limits
+    rate: Positive = 74.0  # per second
+    of_full: Positive = 0.75  # share of full load, on which the limits of the partners are based
     shape: Literal["steady", "ramp", "wave"] = "steady"
-    clumps: Share = 0.1  # share of the messages that comes in clumps for one partner
+    clumps: Share = 0.1  # share of the messages that arrives in clumps for one partner
 
 
 class Clients(Spec, frozen=True):
-    """Our own programs, and the front before the relays."""
+    """The clients, and the front before the relays."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 2  # after refusals
-    again_ms: Range = (390, 1200)  # before a retry, where no time is told
-    patience_ms: Positive = 400  # for an answer to a hand-in
-    notice_s: Range = (1.1, 3.6)  # until the front has noticed a dead relay
+    again_ms: Range = (390, 1200)  # before a retry, if the refusal states no wait
+    patience_ms: Positive = 400  # time-out for the answer to a hand-in
+    notice_s: Range = (1.1, 3.6)  # until the front detects a killed relay
     body: Annotated[int, Meta(ge=1, le=60_000)] = 200  # bytes
 
 
@@ -86,68 +85,68 @@
     worth: Amount = 1.0
     late_worth: Share = 0.3
     service_ms: Range = (140, 250)
-    window_ms: Amount = 0  # for which a keyed one is remembered
-    by_building: bool = True  # a repeat is recognised in one building only
+    window_ms: Amount = 0  # for which the key of a keyed message is remembered
+    by_building: bool = True  # a repeat is recognised only in the building of the first attempt
     in_turn: bool = False
     keys: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # distinct keys; 0: each message has its own
 
 
 class Kind(Spec, frozen=True):
-    """A kind of partner: ranges that the seed draws from."""
+    """A kind of partner: ranges from which values are drawn."""
 
     name: Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,40}$")]
     count: Annotated[int, Meta(ge=1, le=10_000)]
     routes: tuple[Count, Count] = (1, 3)
     apart: bool = False
     limit: Literal["none", "rate", "window"] = "rate"
-    headroom: Range = (1.2, 2.0)  # the limit, in times its calls at full load
-    spare: Range = (1.2, 1.6)  # the capacity, in times the limit
-    least_rate: Positive = 3.0  # calls a second
-    tells_wait: Range = (0.1, 0.8)  # share of the refusals
+    headroom: Range = (1.2, 2.0)  # limit, as a multiple of the calls at full load
+    spare: Range = (1.2, 1.6)  # capacity, as a multiple of the limit
+    least_rate: Positive = 3.0  # calls per second
+    tells_wait: Range = (0.1, 0.8)  # share of the refusals that state a wait
     refused_count: bool = False
-    slow_cv: Share = 0.5  # how much the partners differ in the time that they take
-    depth_s: Amount = 0.6  # the queue, in seconds of its capacity
-    connections: Amount = 0  # times the calls that an endpoint serves at once; 0: any number
-    weight: Positive = 1.0  # how much of the traffic they draw
+    slow_cv: Share = 0.5  # how much the mean service times of the partners vary
+    depth_s: Amount = 0.6  # length of the queue, in seconds of capacity
+    connections: Amount = 0  # limit, as a multiple of the slots of an endpoint; 0: none
+    weight: Positive = 1.0  # relative share of the traffic
 
 
 class Register(Spec, frozen=True):
-    """The partner register."""
+    """Discovery, which lists the partners."""
 
-    late_s: Range = (1.8, 4.6)  # until a change is told
+    late_s: Range = (1.8, 4.6)  # until a change is published
 
 
 class Limits(Spec, frozen=True):
-    """What a relay may use."""
+    """The resource limits of a relay."""
 
     sockets: Annotated[int, Meta(ge=64, le=65536)] = 1024
     disk_mb: Positive = 3.0
     memory_mb: Positive = 192.0
-    slots_room: Positive = 2.2  # slots, in times what full load keeps busy
-    hold_s: Positive = 8.0  # messages held, in seconds of full load
+    slots_room: Positive = 2.2  # slots, as a multiple of those that full load keeps busy
+    hold_s: Positive = 8.0  # pending messages, in seconds of full load
 
 
 class StepSpec(Spec, frozen=True):
-    """Something that happens."""
+    """A step of a scenario."""
 
     at: Amount  # seconds from the start
     what: What
-    seconds: Amount = 0.0  # for which it lasts
+    seconds: Amount = 0.0  # duration
     partners: Literal["largest", "smallest", "any", "all"] = "any"
-    count: Count = 1  # of partners, endpoints or bad clients
+    count: Count = 1  # of partners, endpoints or misbehaving clients
     share: Share = 1.0  # of the calls, or of the traffic
-    factor: Positive = 2.0  # of the traffic, or of the time that calls take
-    cold: bool = True  # a partner comes back cold
-    start: Annotated[float, Meta(gt=0, le=1)] = 0.25  # share of its capacity that a cold one starts with
+    factor: Positive = 2.0  # multiplies the traffic, or the service time
+    cold: bool = True  # a partner recovers cold
+    start: Annotated[float, Meta(gt=0, le=1)] = 0.25  # share of the capacity that a cold partner starts with
     relays: Literal["one", "rolling", "all"] = "one"
-    every_s: Positive = 3.0  # between two of a rolling restart
-    down_s: Amount = 0.6  # from SIGKILL, or its end, to the next start
-    rounds: Count = 1  # of upgrades in a row, each ``every_s`` after the one before
-    fails: Share = 0.0  # share of the upgrades whose new process can't start, or is killed on its way
+    every_s: Positive = 3.0  # between two relays of a rolling restart
+    down_s: Amount = 0.6  # from SIGKILL, or the end of the process, to the next start
+    rounds: Count = 1  # of consecutive upgrades, ``every_s`` apart
+    fails: Share = 0.0  # share of the upgrades whose new process can't start, or is killed during the handover
 
 
 class Rules(Spec, frozen=True):
-    """The figures of the rules, as the relays are told them."""
+    """The parameters of the rules, as the relays are configured with them."""
 
     answer_slack_ms: Amount = 250
     drain_grace_ms: Amount = 1000
@@ -173,7 +172,7 @@
 
 
 class Scenario(Spec, frozen=True):
-    """A scenario as its file has it."""
+    """A scenario, with the fields of its file."""
 
     name: Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,60}$")]
     text: str
@@ -196,26 +195,26 @@
         for named in (self.classes, self.kinds):
             names = [each.name for each in named]
             if len(set(names)) < len(names):
-                raise ValueError(f"a name stands twice among {', '.join(names)}")
+                raise ValueError(f"duplicate name among {', '.join(names)}")
         for klass in self.classes:
             if klass.repeat == "keyed" and not klass.window_ms:
                 raise ValueError(f"class {klass.name} is keyed and has no window_ms")
             if klass.deadline_ms < klass.aim_ms:
-                raise ValueError(f"class {klass.name}: deadline_ms lies under aim_ms")
+                raise ValueError(f"class {klass.name}: deadline_ms is less than aim_ms")
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be played; the text names file, line and what was expected."""
+    """An invalid scenario; the message names file, line and expected value."""
 
 
 def names() -> list[str]:
-    """The scenarios that come with the kit."""
+    """The names of the bundled scenarios."""
     folder = resources.files("garnetrelay.rehearsal") / "scenarios"
     return sorted(entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml"))
 
 
 def load(name: str) -> Scenario:
-    """A scenario of the kit by its name, or of a file by its path (anything with a dot or a slash)."""
+    """Load a bundled scenario by its name, or a file by its path (any name with a dot or a slash)."""
     if "/" in name or "." in name:
         return read(Path(name).name, _text(Path(name)))
     if name not in names():
@@ -227,14 +226,14 @@
 def _text(path: Path) -> str:
     try:
         if path.stat().st_size > 1 << 20:
-            raise ScenarioError(f"{path}: over 1 MB is no scenario")
+            raise ScenarioError(f"{path}: larger than 1 MB")
         return path.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise ScenarioError(f"{path}: {getattr(error, 'strerror', None) or 'not text'}") from None
 
 
 def read(name: str, text: str) -> Scenario:
-    """A scenario from a file's text; ScenarioError in one line if it can't be played."""
+    """Parse the text of a scenario file. Raises ScenarioError with one line of text if it is invalid."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -246,32 +245,32 @@
         what, _, path = str(error).partition(" - at `")
         unknown = re.search(r"unknown field `(\w+)`", what)
         steps = re.findall(r"\.(\w+)|\[(\d+)\]", path.rstrip("`"))
-        place = [key or int(index) for key, index in steps]
+        location = [key or int(index) for key, index in steps]
         if unknown:
-            place.append(unknown.group(1))
-        where = ".".join(str(step) for step in place if isinstance(step, str)) or "the file"
-        raise ScenarioError(f"{name}:{_line(text, place)}: {where}: {what}") from None
+            location.append(unknown.group(1))
+        where = ".".join(str(step) for step in location if isinstance(step, str)) or "the file"
+        raise ScenarioError(f"{name}:{_line(text, location)}: {where}: {what}") from None
 
 
-def _line(text: str, place: list[str | int]) -> int:
-    """The line of a value in a TOML file, or of the nearest table above it; for the forms that people write."""
-    best = 1
-    wanted = [step for step in place if isinstance(step, str)]
-    index = next((step for step in place if isinstance(step, int)), None)
+def _line(text: str, location: list[str | int]) -> int:
+    """The line of a value in a TOML file, or of the nearest table above it. Covers the common forms of TOML only."""
+    nearest = 1
+    wanted = [step for step in location if isinstance(step, str)]
+    index = next((step for step in location if isinstance(step, int)), None)
     for number, table, count, key in _keys(text):
         if table and wanted[:1] != [table]:
             continue
         if table and index is not None and count != index:
             continue
         if key is None:
-            best = number
+            nearest = number
         elif (table and [key] == wanted[1:2]) or (not table and [key] == wanted[:1]):
             return number
-    return best
+    return nearest
 
 
 def _keys(text: str) -> Iterator[tuple[int, str, int, str | None]]:
-    """Line, table, its count among those of that name, and key (None: the table's own head)."""
+    """Line, table, index of the table among those of its name, and key (None for the header of the table)."""
     table, counts = "", dict[str, int]()
     for number, line in enumerate(text.splitlines(), start=1):
         if head := re.match(r"\s*\[\[?\s*([\w-]+)", line):
--- a/garnetrelay/rehearsal/tally.py
+++ b/garnetrelay/rehearsal/tally.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from its events alone: service, counts by second, what each partner was sent. No I/O."""
+"""Statistics of a run, computed from its events only: service, counts per second, calls per partner. No I/O."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @dataclass(slots=True)
 class Second:
-    """What was seen in one second of the run."""
+    """The counts of one second of the run."""
 
     handed_in: int = 0
     delivered: int = 0
     refused: int = 0  # by relays
     ended: Counter[str] = field(default_factory=Counter)  # notices by result
     calls: Counter[str] = field(default_factory=Counter)  # by scope
-    turned_away: Counter[str] = field(default_factory=Counter)  # calls that never ran, by scope
+    turned_away: Counter[str] = field(default_factory=Counter)  # calls that never ran (429 or 503), by scope
     waits: int = 0
-    held: int = 0  # messages taken on and not over, at its end
+    pending: int = 0  # accepted messages that had not ended at the end of the second
 
 
 @dataclass(slots=True)
 class Served:
-    """A message that a client had, whatever number of times it was handed in."""
+    """A message of a client, however many times it was handed in."""
 
     klass: int
     at: int
@@ -39,7 +39,7 @@
 
 
 class Tally:
-    """Counts as events come."""
+    """Counts events as they are observed."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -48,52 +48,52 @@
         self.statuses: Counter[int] = Counter()
         self.restarts: list[ev.RelaySignalled] = []
         self.steps: list[ev.Step] = []
-        self.fell: list[ev.FellOver] = []
+        self.fallen_over: list[ev.FellOver] = []
         self.outages: list[tuple[ev.OutageBegan, ev.OutageOver | None]] = []
         self.served: dict[str, Served] = {}
-        self.held: set[str] = set()
-        self.most_held = 0
+        self.pending: set[str] = set()
+        self.max_pending = 0
         self.starved: dict[str, int] = {}
         self.disk: dict[str, int] = {}
         self.upgrades: list[ev.RelayPassed] = []
-        self.answers: dict[str, array[int]] = {}  # by relay: when a hand-in was written, and its answer's time, in turn
-        self._asked: dict[str, int] = {}  # hand-ins without an answer yet
+        self.answers: dict[str, array[int]] = {}  # by relay: time of a hand-in and duration until its answer, in pairs
+        self._unanswered_since: dict[str, int] = {}  # hand-ins without an answer yet
         self._routes: dict[str, ev.Route] = {}
         self._refs: dict[str, str] = {}
         self._calls: dict[int, ev.CallCame] = {}
-        self._takers = self._table()
+        self._handlers = self._handler_table()
         self._classes = {c["name"]: n for n, c in enumerate(plan.settings["classes"])}
 
     def second(self, at: int) -> Second:
-        """The figures of the second that a time (nanoseconds) falls into; the seconds before it are filled up."""
-        place = max(0, at // SECOND)
-        while len(self.seconds) <= place:
-            self.seconds.append(Second(held=len(self.held)))
-        return self.seconds[place]
+        """The counts of the second that a time (nanoseconds) falls into; missing seconds before it are added."""
+        index = max(0, at // SECOND)
+        while len(self.seconds) <= index:
+            self.seconds.append(Second(pending=len(self.pending)))
+        return self.seconds[index]
 
     def take(self, event: ev.Event) -> None:
-        """Count one more event."""
-        taker = self._takers.get(type(event))
-        if taker is not None:
+        """Count an event."""
+        handler = self._handlers.get(type(event))
+        if handler is not None:
             now = self.second(event.at)
-            taker(event, now)
-            now.held = len(self.held)
+            handler(event, now)
+            now.pending = len(self.pending)
 
-    def _table(self) -> dict[type[ev.Observed], Callable[[Any, Second], None]]:
+    def _handler_table(self) -> dict[type[ev.Observed], Callable[[Any, Second], None]]:
         return {
             ev.HandedIn: self._handed_in,
-            ev.Answered: self._taken_on,
+            ev.Answered: self._hand_in_answered,
             ev.Unanswered: self._unanswered,
-            ev.CallCame: self._came,
-            ev.CallAnswered: self._answered,
-            ev.CallEnded: self._ended,
+            ev.CallCame: self._call_arrived,
+            ev.CallAnswered: self._call_answered,
+            ev.CallEnded: self._call_ended,
             ev.Effect: lambda event, now: self.counts.update(("effects",)),
             ev.ProbeCame: lambda event, now: self.counts.update(("probes",)),
             ev.NoticeCame: self._notice,
             ev.RelayPassed: lambda event, now: self.upgrades.append(event),
             ev.RelaySignalled: lambda event, now: self.restarts.append(event),
             ev.Step: lambda event, now: self.steps.append(event),
-            ev.FellOver: lambda event, now: self.fell.append(event),
+            ev.FellOver: lambda event, now: self.fallen_over.append(event),
             ev.OutageBegan: lambda event, now: self.outages.append((event, None)),
             ev.OutageOver: self._outage_over,
             ev.Starved: lambda event, now: self.starved.update({event.relay: event.waited}),
@@ -104,14 +104,14 @@
     def _handed_in(self, event: ev.HandedIn, now: Second) -> None:
         now.handed_in += 1
         self.counts["handed in"] += 1
-        self._asked[event.ref] = event.at
+        self._unanswered_since[event.ref] = event.at
         root = event.lineage.partition(".")[0]
         self._refs[event.ref] = root
         if root not in self.served:
             self.served[root] = Served(self._classes[event.klass], event.at)
 
-    def _taken_on(self, event: ev.Answered, now: Second) -> None:
-        asked = self._asked.pop(event.ref, None)
+    def _hand_in_answered(self, event: ev.Answered, now: Second) -> None:
+        asked = self._unanswered_since.pop(event.ref, None)
         if asked is not None:
             self.answers.setdefault(event.relay, array("q")).extend((asked, event.at - asked))
         if event.answer != "ok":
@@ -121,21 +121,21 @@
             return
         self.counts["taken on"] += 1
         if event.ref in self._refs:
-            self.held.add(event.ref)
-        self.most_held = max(self.most_held, len(self.held))
+            self.pending.add(event.ref)
+        self.max_pending = max(self.max_pending, len(self.pending))
 
     def _unanswered(self, event: ev.Unanswered, now: Second) -> None:
         self.counts[f"unanswered, {event.why}"] += 1
         if event.why != "closed":
-            self._asked.pop(event.ref, None)
+            self._unanswered_since.pop(event.ref, None)
 
-    def _came(self, event: ev.CallCame, now: Second) -> None:
+    def _call_arrived(self, event: ev.CallCame, now: Second) -> None:
         route = self._routes.get(event.route)
         now.calls[event.route if route is None else ev.scope_of(route)] += 1
         self.counts["calls"] += 1
         self._calls[event.call] = event
 
-    def _ended(self, event: ev.CallEnded, now: Second) -> None:
+    def _call_ended(self, event: ev.CallEnded, now: Second) -> None:
         if self._calls.pop(event.call, None) is not None:
             self.counts[f"calls without an answer, ended by the {event.by}"] += 1
 
@@ -143,7 +143,7 @@
         if event.acknowledged:
             now.ended[event.result] += 1
             self.counts[f"notices, {event.result}"] += 1
-        self._over(event.ref)
+        self._message_ended(event.ref)
 
     def _outage_over(self, event: ev.OutageOver, now: Second) -> None:
         self.outages = [
@@ -153,7 +153,7 @@
     def _disk_used(self, event: ev.DiskUsed, now: Second) -> None:
         self.disk[event.relay] = max(self.disk.get(event.relay, 0), event.bytes)
 
-    def _answered(self, event: ev.CallAnswered, now: Second) -> None:
+    def _call_answered(self, event: ev.CallAnswered, now: Second) -> None:
         came = self._calls.pop(event.call, None)
         if came is None:
             return
@@ -170,14 +170,14 @@
         served = self.served.get(root) if root is not None else None
         if served is not None:
             served.worth = max(served.worth, self._worth(served, event.at))
-        self._over(came.ref)
+        self._message_ended(came.ref)
 
-    def _over(self, ref: str) -> None:
-        self.held.discard(ref)
+    def _message_ended(self, ref: str) -> None:
+        self.pending.discard(ref)
         self._refs.pop(ref, None)
 
     def _worth(self, served: Served, at: int) -> float:
-        """Full within the aim, then falling evenly to what is left of it at the deadline."""
+        """1 within the aim, then falling linearly to the late worth at the deadline; 0 after it."""
         klass = self.plan.settings["classes"][served.klass]
         late = (at - served.at - klass["aim"]) / max(1, klass["deadline"] - klass["aim"])
         if late >= 1:
@@ -185,7 +185,7 @@
         return float(1 - max(0.0, late) * (1 - klass["lateWorth"]))
 
     def service(self) -> dict[str, float]:
-        """Worth delivered over worth asked for: in all, and by class."""
+        """Delivered worth divided by requested worth, in total and by class."""
         asked: Counter[str] = Counter()
         got: Counter[str] = Counter()
         for served in self.served.values():
@@ -196,26 +196,26 @@
         return {name: got[name] / asked[name] for name in asked if asked[name]}
 
     def answer_times(self) -> dict[str, dict[str, float]]:
-        """Until a client has its answer (milliseconds): while its relay was being upgraded, and otherwise."""
+        """Answer times of clients in milliseconds: during an upgrade of the relay, and otherwise."""
         found: dict[str, list[int]] = {"during upgrades": [], "otherwise": []}
         for relay, pairs in self.answers.items():
             spans = sorted((passed.began, passed.at) for passed in self.upgrades if passed.relay == relay)
             for asked, took in zip(pairs[::2], pairs[1::2], strict=True):
-                place = bisect.bisect(spans, (asked + took, 1 << 62)) - 1
-                within = any(asked <= end for _, end in spans[max(0, place - 1) : place + 1])
+                index = bisect.bisect(spans, (asked + took, 1 << 62)) - 1
+                within = any(asked <= end for _, end in spans[max(0, index - 1) : index + 1])
                 found["during upgrades" if within else "otherwise"].append(took)
         return {name: _percentiles(times) for name, times in found.items() if times}
 
     def summary(self) -> dict[str, Any]:
-        """For machines: plain values only."""
+        """The statistics as plain values, for the JSON report."""
         return {
             "service": {name: round(value, 4) for name, value in self.service().items()},
             "counts": dict(sorted(self.counts.items())),
             "answers": {str(status): count for status, count in sorted(self.statuses.items())},
-            "most held": self.most_held,
+            "most held": self.max_pending,
             "answer times, ms": self.answer_times(),
             "upgrades": dict(Counter(passed.how for passed in self.upgrades)),
-            "partners pushed over": [event.scope for event in self.fell],
+            "partners pushed over": [event.scope for event in self.fallen_over],
             "starved seconds": {relay: round(waited / 1e9, 3) for relay, waited in sorted(self.starved.items())},
             "disk bytes at most": dict(sorted(self.disk.items())),
         }
--- a/tests/rehearsal/test_played.py
+++ b/tests/rehearsal/test_played.py
@@ -1,4 +1,4 @@
-"""Real relays in short scenarios: a clean one gives no verdict, and planted faults are named."""
+"""Real relays in short scenarios: a correct relay gives no verdict, and injected faults are detected."""
 
 from __future__ import annotations
 
@@ -16,49 +16,49 @@
 from tests.rehearsal import planted
 from tests.rehearsal.faults import FAULTS
 
-PLANTED = ("attempts-not-recorded", "drain-not-understood", "waits-halved", "calls-left-behind")
-TASKS: list[tuple[str, int, str | None]] = [(FAULTS[name].scenario, 3, name) for name in PLANTED]
+INJECTED = ("attempts-not-recorded", "drain-not-understood", "waits-halved", "calls-left-behind")
+TASKS: list[tuple[str, int, str | None]] = [(FAULTS[name].scenario, 3, name) for name in INJECTED]
 
 
 @pytest.fixture(scope="module")
 def played() -> Iterator[dict[str, concurrent.futures.Future[list[Verdict]]]]:
-    """The three planted runs, side by side: most of their time passes by the clock."""
+    """The runs with injected faults, in parallel: most of their time is spent waiting."""
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(len(TASKS), context) as pool:
         yield {str(task[2]): pool.submit(planted.run, *task) for task in TASKS}
 
 
-@pytest.mark.parametrize("fault", PLANTED)
-def test_planted_fault_is_named_with_what_broke_it(
+@pytest.mark.parametrize("fault", INJECTED)
+def test_injected_fault_is_detected_with_its_proof(
     played: dict[str, concurrent.futures.Future[list[Verdict]]], fault: str
 ) -> None:
     found = planted.named(fault, played[fault].result(timeout=100))
     assert found and all(verdict.relay.startswith("relay") and len(verdict.proof) >= 2 for verdict in found)
 
 
-def test_upgrades_under_load_go_unnoticed() -> None:
-    found = planted.load("upgraded")
-    outcome = conductor.play(found, plan.make(found, 5))
+def test_upgrades_under_load_break_no_rule() -> None:
+    loaded = planted.load("upgraded")
+    outcome = conductor.play(loaded, plan.make(loaded, 5))
     assert outcome.kept, outcome.verdicts
     tally = outcome.tally
     assert [passed.how for passed in tally.upgrades] == ["well"] * 8
     assert not [name for name in tally.counts if name.startswith("unanswered")]
 
 
-def test_a_fleet_between_faults_keeps_every_rule_and_comes_to_one_view() -> None:
-    found = planted.load("fleet")
-    outcome = conductor.play(found, plan.make(found, 2))
+def test_a_fleet_with_faults_keeps_every_rule_and_converges_on_one_view() -> None:
+    loaded = planted.load("fleet")
+    outcome = conductor.play(loaded, plan.make(loaded, 2))
     assert outcome.kept, outcome.verdicts
     assert [met.what for met in outcome.fleet] == ["join", "cut", "stop", "kill"]
     last = outcome.fleet[-1]
     assert last.noticed is not None and last.known is not None and last.one_view is not None
 
 
-def test_clean_scenario_keeps_every_rule_and_its_recording_says_the_same(tmp_path: Path) -> None:
-    found = planted.load("closing-hour")
-    schedule = plan.make(found, 3, seconds=12.0)
+def test_correct_relay_keeps_every_rule_and_its_recording_gives_the_same_result(tmp_path: Path) -> None:
+    loaded = planted.load("closing-hour")
+    schedule = plan.make(loaded, 3, seconds=12.0)
     recording = tmp_path / "seen.jsonl"
-    outcome = conductor.play(found, schedule, recording=recording)
+    outcome = conductor.play(loaded, schedule, recording=recording)
     assert outcome.kept, outcome.verdicts
     assert outcome.tally.statuses[200] > 0.8 * len(schedule.arrivals) and len(outcome.tally.restarts) == 2
     checked = CliRunner().invoke(command, ["rehearse", "--check", str(recording)])
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios and the plans drawn from them."""
+"""Tests of scenario files, and of the plans drawn from them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "says"),
+    ("more", "message"),
     [
         ('relays = "two"\n', "mine.toml:4: relays: Expected `int`, got `str`"),
         ("relays = 999\n", "mine.toml:4: relays: Expected `int` <= 200"),
@@ -38,43 +38,43 @@
         ("load = = 3\n", "mine.toml:4: not TOML"),
     ],
 )
-def test_mistake_is_told_with_its_file_and_line(tmp_path: Path, more: str, says: str) -> None:
+def test_error_names_file_and_line(tmp_path: Path, more: str, message: str) -> None:
     path = tmp_path / "mine.toml"
     path.write_text(GOOD + more)
-    told = CliRunner().invoke(command, ["rehearse", str(path)])
-    assert told.exit_code == 2 and says in told.output and told.output.count("\n") == 1
+    result = CliRunner().invoke(command, ["rehearse", str(path)])
+    assert result.exit_code == 2 and message in result.output and result.output.count("\n") == 1
 
 
 def test_unknown_scenario_and_list() -> None:
-    told = CliRunner().invoke(command, ["rehearse", "no-such"])
-    assert told.exit_code == 2 and "closing-hour" in told.output
-    told = CliRunner().invoke(command, ["rehearse", "--list"])
-    assert told.exit_code == 0 and set(scenario.names()) <= set(told.output.split())
+    result = CliRunner().invoke(command, ["rehearse", "no-such"])
+    assert result.exit_code == 2 and "closing-hour" in result.output
+    result = CliRunner().invoke(command, ["rehearse", "--list"])
+    assert result.exit_code == 0 and set(scenario.names()) <= set(result.output.split())
 
 
 @pytest.mark.parametrize("name", scenario.names())
 def test_same_seed_is_the_same_schedule(name: str) -> None:
-    found = scenario.load(name)
-    assert plan.make(found, 7).digest() == plan.make(found, 7).digest() != plan.make(found, 8).digest()
+    loaded = scenario.load(name)
+    assert plan.make(loaded, 7).digest() == plan.make(loaded, 7).digest() != plan.make(loaded, 8).digest()
 
 
 @settings(max_examples=25, deadline=None)
 @given(
     seed=st.integers(0, 2**32), relays=st.integers(1, 5), seconds=st.floats(2, 90), name=st.sampled_from(scenario.names())
 )
-def test_every_plan_can_be_played(seed: int, relays: int, seconds: float, name: str) -> None:
-    made = plan.make(scenario.load(name), seed, relays, seconds)
-    assert all(0 <= a.at < made.length and 1 <= a.dest <= len(made.partners) for a in made.arrivals)
-    assert list(made.arrivals) == sorted(made.arrivals, key=lambda a: a.at) and made.partners
-    assert all(p.capacity > 0 and p.slots > 0 and p.listed > 0 and p.routes for p in made.partners)
-    assert all(step.at >= 0 and (not step.ends or step.ends > step.at) for step in made.steps)
-    assert len({route.name for p in made.partners for route in p.routes}) == sum(p.route_count for p in made.partners)
+def test_every_plan_is_valid(seed: int, relays: int, seconds: float, name: str) -> None:
+    drawn = plan.make(scenario.load(name), seed, relays, seconds)
+    assert all(0 <= a.at < drawn.length and 1 <= a.dest <= len(drawn.partners) for a in drawn.arrivals)
+    assert list(drawn.arrivals) == sorted(drawn.arrivals, key=lambda a: a.at) and drawn.partners
+    assert all(p.capacity > 0 and p.slots > 0 and p.listed > 0 and p.routes for p in drawn.partners)
+    assert all(step.at >= 0 and (not step.ends or step.ends > step.at) for step in drawn.steps)
+    assert len({route.name for p in drawn.partners for route in p.routes}) == sum(p.route_count for p in drawn.partners)
 
 
-def test_settings_of_a_plan_are_a_relays(tmp_path: Path) -> None:
+def test_a_relay_accepts_the_settings_of_a_plan(tmp_path: Path) -> None:
     import json
 
-    made = plan.make(scenario.load("in-turn"), 1)
+    drawn = plan.make(scenario.load("in-turn"), 1)
     path = tmp_path / "config.json"
     path.write_text(
         json.dumps(
@@ -82,8 +82,8 @@
                 "name": "n",
                 "listen": "127.0.0.1:1",
                 "discovery": "127.0.0.1:2",
-                "limits": made.limits,
-                "settings": made.settings,
+                "limits": drawn.limits,
+                "settings": drawn.settings,
             }
         )
     )
@@ -92,21 +92,21 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("", ":1: not a recording"),
         ('{"what":"recording","version":9,"figures":{}}\n', ":1: version 9"),
         ('{"what":"recording","version":1,"figures":{}}\n', "missing required field"),
     ],
 )
-def test_recording_that_cannot_be_read(tmp_path: Path, text: str, says: str) -> None:
+def test_recording_that_cannot_be_read(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "seen.jsonl"
     path.write_text(text)
-    told = CliRunner().invoke(command, ["rehearse", "--check", str(path)])
-    assert told.exit_code == 2 and says in told.output
+    result = CliRunner().invoke(command, ["rehearse", "--check", str(path)])
+    assert result.exit_code == 2 and message in result.output
 
 
-def test_recording_that_a_crash_cut_off_is_read_as_far_as_it_goes(tmp_path: Path) -> None:
+def test_recording_truncated_by_a_crash_is_read_up_to_the_last_complete_line(tmp_path: Path) -> None:
     path = tmp_path / "seen.jsonl"
     good = '{"what":"step","at":1,"since":1,"text":"x"}\n'
     path.write_text('{"what":"recording","version":1,"figures":{}}\n' + good + good[:20])
@@ -117,7 +117,7 @@
         list(ev.read_recording(path)[1])
 
 
-def test_a_fleets_moves_are_the_same_by_seed_and_within_their_bounds() -> None:
+def test_moves_of_a_fleet_depend_on_the_seed_only_and_stay_within_their_bounds() -> None:
     spec = script.FleetSpec(
         steps=(
             script.FleetStep(1, "cut", 2, 0.25),
@@ -126,11 +126,11 @@
         )
     )
     relays = tuple(f"relay{number}" for number in range(1, 21))
-    made = script.moves(spec, 7, relays)
-    assert made == script.moves(spec, 7, relays) != script.moves(spec, 8, relays)
-    assert [len(move.relays) for move in made if move.what == "cut"] == [5]
-    kills = [move for move in made if move.what == "kill"]
+    drawn = script.moves(spec, 7, relays)
+    assert drawn == script.moves(spec, 7, relays) != script.moves(spec, 8, relays)
+    assert [len(move.relays) for move in drawn if move.what == "cut"] == [5]
+    kills = [move for move in drawn if move.what == "kill"]
     assert len({move.relays for move in kills}) == 14
     assert all(2 * SECOND <= move.at <= 3 * SECOND and move.ends - move.at == 10 * SECOND for move in kills)
-    assert [move.relays for move in made if move.what == "kill-seeds"] == [("relay1",), ("relay2",), ("relay3",)]
+    assert [move.relays for move in drawn if move.what == "kill-seeds"] == [("relay1",), ("relay2",), ("relay3",)]
     assert len(script.select_share(0.5, relays)) == 9 and not script.select_share(0, relays)
