--- a/garnetrelay/rehearsal/conductor.py
+++ b/garnetrelay/rehearsal/conductor.py
@@ -235,9 +235,9 @@
         elif spec.what == "bad-clients":
             for relay in self.relays.values():
                 # The text of this random seed is kept, so that earlier runs can be repeated.
-                clients = MisbehavingClients(relay.port, spec.count, f"{self.plan.seed}/rude/{relay.name}")
-                self.misbehaving.append(clients)
-                self._start_task(clients.run((step.ends - step.at) / SECOND))
+                misbehaving = MisbehavingClients(relay.port, spec.count, f"{self.plan.seed}/rude/{relay.name}")
+                self.misbehaving.append(misbehaving)
+                self._start_task(misbehaving.run((step.ends - step.at) / SECOND))
 
     def _at_end(self, step: Step, function: Callable[..., Any], *arguments: Any) -> None:
         """Schedule a call for the end of a step."""
@@ -364,7 +364,7 @@
                 if await relay.exclude(route, True):
                     break
                 if not remaining:
-                    raise StartError(f"{relay.name}: OFFLINE {route} was not confirmed")
+                    raise StartError(f"{relay.name}: not confirmed: OFFLINE {route}")
                 await asyncio.sleep(0.1)
         await asyncio.sleep(self.plan.settings["rules"]["drainGrace"] / SECOND + 0.5)
         self.partners.take_down_route(number, route)
--- a/garnetrelay/rehearsal/links/stage.py
+++ b/garnetrelay/rehearsal/links/stage.py
@@ -133,10 +133,10 @@
         The start of the fleet is the first step, and all upgrades are one step.
         """
         results = [FleetStepResult("join", 0.0, len(self.names), one_view=self.gathered)]
-        steps: list[tuple[int, int, int, str, int]] = []  # first start, last start, end, what, number of relays
+        intervals: list[tuple[int, int, int, str, int]] = []  # first start, last start, end, what, number of relays
         for number, step in enumerate(self.spec.steps):
             step_moves = [move for move in self.moves if move.number == number]
-            steps.append(
+            intervals.append(
                 (
                     step_moves[0].at,
                     max(move.at for move in step_moves),
@@ -146,9 +146,9 @@
                 )
             )
         if self.upgrades:
-            steps.append((min(self.upgrades), max(self.upgrades), max(self.upgrades), "upgrade", len(self.upgrades)))
-        for begins, last, ends, what, relays in sorted(steps):
-            until = min((step[0] for step in steps if step[0] > begins), default=1 << 62)
+            intervals.append((min(self.upgrades), max(self.upgrades), max(self.upgrades), "upgrade", len(self.upgrades)))
+        for begins, last, ends, what, relays in sorted(intervals):
+            until = min((interval[0] for interval in intervals if interval[0] > begins), default=1 << 62)
             samples = [sample for sample in self.samples if begins <= sample.at < max(until, ends)]
 
             def first(
