--- a/garnetrelay/rehearsal/report/machine.py
+++ b/garnetrelay/rehearsal/report/machine.py
@@ -14,7 +14,7 @@
 
 
 def report(outcome: Outcome) -> dict[str, Any]:
-    """Plain values: what was played, what came of it, each verdict with its proof."""
+    """The report as plain values: the plan, the results, and each verdict with its proof."""
     plan = outcome.plan
     return {
         "version": VERSION,
@@ -33,8 +33,8 @@
         **outcome.tally.summary(),
         **({"fleet": msgspec.to_builtins(outcome.fleet)} if outcome.fleet else {}),
         "bad clients": {
-            "tried": sum(clients.tried for clients in outcome.misbehaving),
-            "left with neither error nor close": sum(clients.left_waiting for clients in outcome.misbehaving),
+            "tried": sum(clients.attempts for clients in outcome.misbehaving),
+            "left with neither error nor close": sum(clients.unanswered for clients in outcome.misbehaving),
         },
     }
 
